--- a/internal/ranker/counts.go
+++ b/internal/ranker/counts.go
@@ -7,47 +7,48 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/fleet/fleetpb"
 )
 
-// countsKept is how many of its last counts an agent keeps to tell differences
-// from: a leader has one of the last two, unless replies were lost.
-const countsKept = 4
+// maxCountSnapshots is how many of its last counts an agent keeps as a base for
+// differences. A leader has one of the last two, unless replies were lost.
+const maxCountSnapshots = 4
 
-// countLog is an agent's memory of the counts that it has told.
+// countHistory holds the counts that an agent has reported, so that later ones can be
+// encoded as differences. It is safe for concurrent use.
 //
-// Load: a group of 63 ranks with 8 sets of 252 experts, whose leader looks ten
-// times a second over a line of 8 Mbit/s. Counts since a start take three bytes
-// each, those since the last look one, so that three times as many ranks are
-// heard in the same time, and a jump of popularity is told from noise as much
+// For a group of 63 ranks with 8 sets of 252 experts, whose leader polls ten times a
+// second over an 8 Mbit/s link, a count since the engine's start takes three bytes
+// and a difference one. Three times as many ranks can thus be polled for counts in
+// the same time, and a jump of popularity is distinguished from noise that much
 // sooner.
-type countLog struct {
-	mu   sync.Mutex
-	last uint64
-	kept map[uint64][]uint64
+type countHistory struct {
+	mu        sync.Mutex
+	lastID    uint64
+	snapshots map[uint64][]uint64
 }
 
-// newCountLog returns an empty log. Its ids begin with the time, so that those of
-// an earlier start of the process mean nothing.
-func newCountLog(now time.Time) *countLog {
-	return &countLog{last: uint64(now.UnixNano()), kept: map[uint64][]uint64{}}
+// newCountHistory returns an empty history. Its ids start from the current time, so
+// that ids from an earlier run of the process match no snapshot.
+func newCountHistory(now time.Time) *countHistory {
+	return &countHistory{lastID: uint64(now.UnixNano()), snapshots: map[uint64][]uint64{}}
 }
 
-// tell puts counts into a reply, as differences from those of the given id if
-// they are kept and the engine has not started anew since.
-func (c *countLog) tell(p *fleetpb.LookReply, counts []uint64, id uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	p.Counts = counts
-	if since, ok := difference(counts, c.kept[id]); ok {
-		p.Counts, p.CountsSince = since, id
+// encode adds counts to a reply: as differences from the snapshot with the given id
+// if that is kept and the engine has not restarted since, or else in full.
+func (h *countHistory) encode(resp *fleetpb.LookReply, counts []uint64, id uint64) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	resp.Counts = counts
+	if increments, ok := subtract(counts, h.snapshots[id]); ok {
+		resp.Counts, resp.CountsSince = increments, id
 	}
-	c.last++
-	p.CountsId = c.last
-	c.kept[c.last] = counts
-	delete(c.kept, c.last-countsKept)
+	h.lastID++
+	resp.CountsId = h.lastID
+	h.snapshots[h.lastID] = counts
+	delete(h.snapshots, h.lastID-maxCountSnapshots)
 }
 
-// difference returns what was counted since before. It reports false where counts
-// have fallen, or are not of the same experts.
-func difference(counts, before []uint64) ([]uint64, bool) {
+// subtract returns the difference of two sets of counts. It reports false if a count
+// has fallen or the lengths differ.
+func subtract(counts, before []uint64) ([]uint64, bool) {
 	if len(before) != len(counts) {
 		return nil, false
 	}
@@ -61,46 +62,47 @@
 	return out, true
 }
 
-// heardCounts is what a leader has heard of the counts of each agent.
-type heardCounts struct {
-	mu     sync.Mutex
-	agents map[string]heard
+// countDecoder holds the last counts received from each agent and restores full
+// counts from differences. It is safe for concurrent use.
+type countDecoder struct {
+	mu        sync.Mutex
+	snapshots map[string]countSnapshot
 }
 
-type heard struct {
+type countSnapshot struct {
 	id     uint64
 	counts []uint64
 }
 
-// id returns the id of the counts that were last heard of an agent, or 0.
-func (h *heardCounts) id(agent string) uint64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.agents[agent].id
+// lastID returns the id of the last counts received from an agent, or 0.
+func (d *countDecoder) lastID(agent string) uint64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.snapshots[agent].id
 }
 
-// join returns the counts since the engine's start that a reply tells, or nil if
-// it tells none or differences from others than were heard.
-func (h *heardCounts) join(agent string, p *fleetpb.LookReply) []uint64 {
-	counts := p.GetCounts()
+// decode returns the counts since the engine's start. It returns nil if the reply has
+// no counts, or differences from counts other than the last ones received.
+func (d *countDecoder) decode(agent string, resp *fleetpb.LookReply) []uint64 {
+	counts := resp.GetCounts()
 	if len(counts) == 0 {
 		return nil
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if since := p.GetCountsSince(); since != 0 {
-		before := h.agents[agent]
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if since := resp.GetCountsSince(); since != 0 {
+		before := d.snapshots[agent]
 		if before.id != since || len(before.counts) != len(counts) {
-			delete(h.agents, agent)
+			delete(d.snapshots, agent)
 			return nil
 		}
 		for i, n := range before.counts {
 			counts[i] += n
 		}
 	}
-	if h.agents == nil {
-		h.agents = map[string]heard{}
+	if d.snapshots == nil {
+		d.snapshots = map[string]countSnapshot{}
 	}
-	h.agents[agent] = heard{id: p.GetCountsId(), counts: counts}
+	d.snapshots[agent] = countSnapshot{id: resp.GetCountsId(), counts: counts}
 	return counts
 }
--- a/internal/ranker/delegate.go
+++ b/internal/ranker/delegate.go
@@ -14,100 +14,100 @@
 )
 
 const (
-	// memberTimeout bounds a delegate's call to an agent of its bunch, in the
-	// same data centre, and memberEngineTimeout one to the engine of an agent
-	// that does not answer. Both together leave time for the answer to the
-	// leader, which waits for callTimeout.
-	memberTimeout       = 90 * time.Millisecond
-	memberEngineTimeout = darkTimeout
+	// delegateAgentTimeout bounds a delegate's call to an agent of its subgroup, in
+	// the same data centre, and delegateEngineTimeout one to the engine of an agent
+	// that does not answer. Together they leave time for the reply to the leader,
+	// which waits for agentCallTimeout.
+	delegateAgentTimeout  = 90 * time.Millisecond
+	delegateEngineTimeout = unresponsiveTimeout
 )
 
-// delegate looks at the ranks of a bunch, and gives them orders, for the leader.
-// It keeps nothing that it was told of a rank: each look of the leader's asks all
-// of them, so that an answer is never of before the leader asked.
+// delegate polls the ranks of a subgroup for the leader. It caches no rank's state:
+// each poll by the leader polls all ranks, so that no report dates from before the
+// leader's call.
 type delegate struct {
-	looker looker
-	// bunches are those that leaders have told of.
-	bunches fleet.Lists
+	poller poller
+	// targetLists holds the target lists that leaders have sent.
+	targetLists fleet.Lists
 }
 
 func newDelegate(r *Ranker) *delegate {
-	return &delegate{looker: newLooker(r, memberTimeout, memberEngineTimeout)}
+	return &delegate{poller: newPoller(r, delegateAgentTimeout, delegateEngineTimeout)}
 }
 
 // Gather implements fleetpb.AgentServer.
-func (s *service) Gather(ctx context.Context, q *fleetpb.GatherRequest) (*fleetpb.GatherReply, error) {
+func (s *service) Gather(ctx context.Context, req *fleetpb.GatherRequest) (*fleetpb.GatherReply, error) {
 	d := s.ranker.delegate
-	s.ranker.heardOf(q.GetLeader(), boottime.Now())
-	targets := d.bunches.Learn(q.GetList(), q.GetTargets())
+	s.ranker.noteLeader(req.GetLeader(), boottime.Now())
+	targets := d.targetLists.Learn(req.GetList(), req.GetTargets())
 	if targets == nil {
 		return &fleetpb.GatherReply{UnknownList: true}, nil
 	}
-	want := wanted{experts: int(q.GetExperts()), lists: q.GetLists(), leader: q.GetLeader()}
+	opts := pollOptions{experts: int(req.GetExperts()), lists: req.GetLists(), leader: req.GetLeader()}
 	agents := make([]*fleet.Member, 0, len(targets))
 	for _, target := range targets {
-		agents = append(agents, memberOf(target))
+		agents = append(agents, memberFromProto(target))
 	}
-	p := &fleetpb.GatherReply{}
+	resp := &fleetpb.GatherReply{}
 	var sum []float64
-	for i, one := range d.looker.lookAt(ctx, agents, slices.Repeat([]wanted{want}, len(agents))) {
-		if one.err != nil {
-			s.ranker.Log.WithFields(logrus.Fields{"agent": agents[i].Name, "cause": one.err.Error()}).Warn("rank not seen")
+	for i, result := range d.poller.poll(ctx, agents, slices.Repeat([]pollOptions{opts}, len(agents))) {
+		if result.err != nil {
+			s.ranker.Log.WithFields(logrus.Fields{"agent": agents[i].Name, "cause": result.err.Error()}).Warn("rank not seen")
 			continue
 		}
-		p.Gathered = append(p.Gathered, &fleetpb.Gathered{Target: uint32(i), Look: replyFrom(one.look), Direct: one.agent == nil})
-		if counts, ok := countsFrom(one.sums, want.experts, rankBits); ok && len(counts) > 0 {
-			sum = addUp(sum, counts)
+		resp.Gathered = append(resp.Gathered, &fleetpb.Gathered{Target: uint32(i), Look: lookReplyProto(result.engineReport), Direct: result.agent == nil})
+		if counts, ok := countsFromProto(result.sums, opts.experts, rankLevelBits); ok && len(counts) > 0 {
+			sum = addCounts(sum, counts)
 		}
 	}
-	p.Sums = sumsProto(sum, want.experts, sumBits)
-	return p, nil
+	resp.Sums = sumsProto(sum, opts.experts, subgroupLevelBits)
+	return resp, nil
 }
 
 // Spread implements fleetpb.AgentServer.
-func (s *service) Spread(ctx context.Context, q *fleetpb.SpreadRequest) (*fleetpb.SpreadReply, error) {
-	p := &fleetpb.SpreadReply{Replies: make([]*fleetpb.GiveReply, len(q.GetOrders()))}
-	together(len(p.Replies), func(i int) { p.Replies[i] = s.handOn(ctx, q, q.GetOrders()[i]) })
-	return p, nil
+func (s *service) Spread(ctx context.Context, req *fleetpb.SpreadRequest) (*fleetpb.SpreadReply, error) {
+	resp := &fleetpb.SpreadReply{Replies: make([]*fleetpb.GiveReply, len(req.GetOrders()))}
+	parallel(len(resp.Replies), func(i int) { resp.Replies[i] = s.forward(ctx, req, req.GetOrders()[i]) })
+	return resp, nil
 }
 
-// handOn gives one order of the leader's to the agent that it is for, in half of the
-// time for which the leader waits.
-func (s *service) handOn(ctx context.Context, q *fleetpb.SpreadRequest, o *fleetpb.Addressed) *fleetpb.GiveReply {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout(q.GetPrepare() != nil)/2)
+// forward delivers one of the leader's orders to the agent or engine that it is for,
+// within half of the leader's timeout.
+func (s *service) forward(ctx context.Context, req *fleetpb.SpreadRequest, addressed *fleetpb.Addressed) *fleetpb.GiveReply {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout(req.GetPrepare() != nil)/2)
 	defer cancel()
-	order := o.GetOrder()
-	order.Token = q.GetToken()
+	order := addressed.GetOrder()
+	order.Token = req.GetToken()
 	if order.GetPrepare() != nil {
-		order.Order = &fleetpb.GiveRequest_Prepare{Prepare: q.GetPrepare()}
+		order.Order = &fleetpb.GiveRequest_Prepare{Prepare: req.GetPrepare()}
 	}
-	m := memberOf(o.GetTarget())
-	if o.GetDirect() {
-		return s.giveDirectly(ctx, m.Endpoint, order)
+	m := memberFromProto(addressed.GetTarget())
+	if addressed.GetDirect() {
+		return s.giveToEngine(ctx, m.Endpoint, order)
 	}
-	p, err := s.giveTo(ctx, m, order)
+	resp, err := s.giveToAgent(ctx, m, order)
 	if err != nil {
-		s.ranker.Log.WithFields(logrus.Fields{"agent": o.GetTarget().GetAgent(), "cause": err.Error()}).Warn("order not handed on")
+		s.ranker.Log.WithFields(logrus.Fields{"agent": addressed.GetTarget().GetAgent(), "cause": err.Error()}).Warn("cannot forward order to agent")
 		return &fleetpb.GiveReply{Status: uint32(lockstep.Unknown)}
 	}
-	return p
+	return resp
 }
 
-// giveDirectly gives an order to an engine whose agent does not answer.
-func (s *service) giveDirectly(ctx context.Context, endpoint string, q *fleetpb.GiveRequest) *fleetpb.GiveReply {
-	d, known, err := s.read(q)
+// giveToEngine delivers an order to an engine whose agent does not answer.
+func (s *service) giveToEngine(ctx context.Context, endpoint string, req *fleetpb.GiveRequest) *fleetpb.GiveReply {
+	d, known, err := s.decodeOrder(req)
 	if err != nil || !known {
 		return &fleetpb.GiveReply{UnknownBase: !known}
 	}
-	o, err := giveAgain(ctx, s.ranker.delegate.looker.engineAt(endpoint), q.GetToken(), d, directTries)
+	o, err := giveWithRetries(ctx, s.ranker.delegate.poller.engineAt(endpoint), req.GetToken(), d, remoteRetries)
 	if err != nil {
-		s.ranker.Log.WithFields(logrus.Fields{"endpoint": endpoint, "cause": err.Error()}).Warn("order not given to the engine")
+		s.ranker.Log.WithFields(logrus.Fields{"endpoint": endpoint, "cause": err.Error()}).Warn("cannot deliver order to engine")
 	}
 	return &fleetpb.GiveReply{Status: uint32(o)}
 }
 
-// giveTo hands an order to an agent, this one or another.
-func (s *service) giveTo(ctx context.Context, m *fleet.Member, order *fleetpb.GiveRequest) (*fleetpb.GiveReply, error) {
+// giveToAgent delivers an order to this agent or another.
+func (s *service) giveToAgent(ctx context.Context, m *fleet.Member, order *fleetpb.GiveRequest) (*fleetpb.GiveReply, error) {
 	if m.Name == s.ranker.Settings.Name {
 		return s.Give(ctx, order)
 	}
--- a/internal/ranker/doc.go
+++ b/internal/ranker/doc.go
@@ -1,6 +1,7 @@
-// Package ranker is the process of an agent that stands beside a model engine
-// and is not on the way of requests. Each agent reports its engine's state and
-// hands it orders, both from the engine's own VM, where they cost nothing; one
-// agent of a group of ranks, by a lease in the platform's store, leads the
-// group's expert maps and tells entries how much work the engines have.
+// Package ranker implements the agent process that runs beside a model engine,
+// outside the request path. Each agent reports its engine's state and delivers orders
+// to it from the engine's own VM, where these calls are free of charge. One agent of
+// each group of ranks, elected by a lease in the platform's key-value store, leads
+// the group: it changes the group's expert maps and reports the engines' loads to
+// entries.
 package ranker
--- a/internal/ranker/gather.go
+++ b/internal/ranker/gather.go
@@ -13,135 +13,138 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/fleet/fleetpb"
 )
 
-// lookBunches looks at the engines of bunches of agents through their delegates, and
-// through other ones where these do not answer.
+// pollSubgroups polls the engines of subgroups of agents through their delegates, and
+// once more through other delegates where these fail.
 //
-// Guard: when most delegates are silent at once, it is the leader's own way that is
-// full or cut. Others would not be reached either, and each has its connections to
-// open first; so nothing is concluded from that.
-func (t *term) lookBunches(ctx context.Context, bunches []fanout.Bunch, wants []wanted) []found {
-	looks := make([][]found, len(bunches))
-	failed := make([]error, len(bunches))
-	asked := make([]fleet.Member, len(bunches))
-	look := func(i int) {
-		asked[i] = t.tree.Delegate(bunches[i])
-		looks[i], failed[i] = t.gather(ctx, &asked[i], bunches[i], wants[i])
+// When more than half of the delegates fail at once, the likely cause is that the
+// leader's own link is congested or cut. Other delegates would not be reached either,
+// and each of them needs new connections first, so these failures are not held
+// against any delegate.
+func (t *term) pollSubgroups(ctx context.Context, subgroups []fanout.Bunch, opts []pollOptions) []rankReport {
+	reports := make([][]rankReport, len(subgroups))
+	errs := make([]error, len(subgroups))
+	delegates := make([]fleet.Member, len(subgroups))
+	poll := func(i int) {
+		delegates[i] = t.tree.Delegate(subgroups[i])
+		reports[i], errs[i] = t.gather(ctx, &delegates[i], subgroups[i], opts[i])
 	}
-	together(len(bunches), look)
-	again := make([]int, 0, len(bunches))
-	for i, err := range failed {
+	parallel(len(subgroups), poll)
+	failed := make([]int, 0, len(subgroups))
+	for i, err := range errs {
 		if err != nil {
-			again = append(again, i)
-			t.logSilentDelegate(asked[i].Name, err)
+			failed = append(failed, i)
+			t.logDelegateFailure(delegates[i].Name, err)
 		}
 	}
-	if 2*len(again) <= len(bunches) {
-		for _, i := range again {
-			t.tree.Failed(asked[i].Name, boottime.Now())
-			t.ranker.conns.DropSilent(asked[i].Address)
+	if 2*len(failed) <= len(subgroups) {
+		for _, i := range failed {
+			t.tree.Failed(delegates[i].Name, boottime.Now())
+			t.ranker.conns.DropSilent(delegates[i].Address)
 		}
-		together(len(again), func(n int) { look(again[n]) })
+		parallel(len(failed), func(n int) { poll(failed[n]) })
 	}
-	return slices.Concat(looks...)
+	return slices.Concat(reports...)
 }
 
-// logSilentDelegate tells that a delegate did not answer.
-func (t *term) logSilentDelegate(name string, err error) {
+// logDelegateFailure logs that a delegate did not answer.
+func (t *term) logDelegateFailure(name string, err error) {
 	t.ranker.Log.WithFields(logrus.Fields{"dependency": "agent", "agent": name, "cause": err.Error()}).Warn("delegate does not answer")
 }
 
-// gather has a delegate look at the engines of some agents.
-func (t *term) gather(ctx context.Context, delegate *fleet.Member, targets fanout.Bunch, want wanted) ([]found, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+// gather has a delegate poll the engines of some agents.
+func (t *term) gather(ctx context.Context, delegate *fleet.Member, targets fanout.Bunch, opts pollOptions) ([]rankReport, error) {
+	ctx, cancel := context.WithTimeout(ctx, agentCallTimeout)
 	defer cancel()
 	conn, err := t.ranker.conns.Get(delegate.Address)
 	if err != nil {
 		return nil, err
 	}
-	q := gatherRequest(targets)
-	q.Lists, q.Leader = want.lists, want.leader
-	q.Experts = uint32(want.experts)
-	told := q.Targets
-	if t.known.Knows(delegate.Name, q.List) {
-		q.Targets = nil
+	req := gatherRequestProto(targets)
+	req.Lists, req.Leader = opts.lists, opts.leader
+	req.Experts = uint32(opts.experts)
+	allTargets := req.Targets
+	if t.knownLists.Knows(delegate.Name, req.List) {
+		req.Targets = nil
 	}
-	asked := boottime.Now()
+	polledAt := boottime.Now()
 	agent := fleetpb.NewAgentClient(conn)
-	p, err := agent.Gather(ctx, q)
-	if err == nil && p.GetUnknownList() {
-		q.Targets = told
-		p, err = agent.Gather(ctx, q)
+	resp, err := agent.Gather(ctx, req)
+	if err == nil && resp.GetUnknownList() {
+		req.Targets = allTargets
+		resp, err = agent.Gather(ctx, req)
 	}
 	if err != nil {
-		t.known.Forget(delegate.Name)
+		t.knownLists.Forget(delegate.Name)
 		return nil, err
 	}
-	t.takeSums(p.GetSums())
-	return t.foundBy(delegate, targets, p, asked), nil
+	t.addSums(resp.GetSums())
+	return t.reportsFromDelegate(delegate, targets, resp, polledAt), nil
 }
 
-// gatherRequest asks for the states of targets.
-func gatherRequest(targets fanout.Bunch) *fleetpb.GatherRequest {
-	q := &fleetpb.GatherRequest{}
+// gatherRequestProto returns a request for the states of targets.
+func gatherRequestProto(targets fanout.Bunch) *fleetpb.GatherRequest {
+	req := &fleetpb.GatherRequest{}
 	for i := range targets {
-		q.Targets = append(q.Targets, targetOf(&targets[i]))
+		req.Targets = append(req.Targets, targetProto(&targets[i]))
 	}
-	q.List = fleet.ListName(q.Targets)
-	return q
+	req.List = fleet.ListName(req.Targets)
+	return req
 }
 
-// foundBy returns the looks that a delegate tells, and logs which are missing.
-func (t *term) foundBy(delegate *fleet.Member, targets fanout.Bunch, p *fleetpb.GatherReply, asked time.Time) []found {
-	out := make([]found, 0, len(targets))
+// reportsFromDelegate decodes the reports in a delegate's reply and logs which
+// targets have none.
+func (t *term) reportsFromDelegate(delegate *fleet.Member, targets fanout.Bunch, resp *fleetpb.GatherReply, polledAt time.Time) []rankReport {
+	reports := make([]rankReport, 0, len(targets))
 	seen := make([]bool, len(targets))
-	for _, g := range p.GetGathered() {
-		i := int(g.GetTarget())
-		if i >= len(targets) || g.GetLook() == nil || seen[i] {
+	for _, gathered := range resp.GetGathered() {
+		i := int(gathered.GetTarget())
+		if i >= len(targets) || gathered.GetLook() == nil || seen[i] {
 			continue
 		}
 		seen[i] = true
-		f := found{look: lookFrom(g.GetLook(), targets[i].Endpoint), via: delegate}
-		f.state.AsOf = asked
-		if !g.GetDirect() {
-			f.agent = &targets[i]
+		report := rankReport{engineReport: reportFromProto(gathered.GetLook(), targets[i].Endpoint), delegate: delegate}
+		report.state.AsOf = polledAt
+		if !gathered.GetDirect() {
+			report.agent = &targets[i]
 		}
-		out = append(out, t.dated(f))
+		reports = append(reports, t.withReportLag(report))
 	}
 	for i, ok := range seen {
 		if !ok {
 			t.ranker.Log.WithFields(logrus.Fields{"agent": targets[i].Name, "delegate": delegate.Name}).Warn("rank not seen")
 		}
 	}
-	return out
+	return reports
 }
 
-// takeSums keeps what a delegate has counted until it is planned by.
-func (t *term) takeSums(sums []*fleetpb.CountSum) {
+// addSums stores the counts from a delegate until the next plan. It ignores sums that
+// cannot be decoded.
+func (t *term) addSums(sums []*fleetpb.CountSum) {
 	if t.engine == nil || len(sums) == 0 {
 		return
 	}
-	counts, ok := countsFrom(sums, t.engine.Experts.Count, sumBits)
+	counts, ok := countsFromProto(sums, t.engine.Experts.Count, subgroupLevelBits)
 	if !ok {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sums = append(t.sums, counts)
+	t.pendingSums = append(t.pendingSums, counts)
 }
 
-// takenSums returns the sums that came since the last call.
-func (t *term) takenSums() [][]float64 {
+// drainSums returns the sums that were added since the previous call.
+func (t *term) drainSums() [][]float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := t.sums
-	t.sums = nil
+	out := t.pendingSums
+	t.pendingSums = nil
 	return out
 }
 
-func targetOf(m *fleet.Member) *fleetpb.Target {
+func targetProto(m *fleet.Member) *fleetpb.Target {
 	return &fleetpb.Target{Agent: m.Name, Address: m.Address, Endpoint: m.Endpoint}
 }
 
-func memberOf(t *fleetpb.Target) *fleet.Member {
-	return &fleet.Member{Kind: fleet.Agent, Name: t.GetAgent(), Address: t.GetAddress(), Endpoint: t.GetEndpoint()}
+func memberFromProto(target *fleetpb.Target) *fleet.Member {
+	return &fleet.Member{Kind: fleet.Agent, Name: target.GetAgent(), Address: target.GetAddress(), Endpoint: target.GetEndpoint()}
 }
--- a/internal/ranker/lease.go
+++ b/internal/ranker/lease.go
@@ -12,64 +12,67 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/rank"
 )
 
-// renewal is the end of a call that renews the lease.
+// renewal is the result of a call that renews the lease.
 type renewal struct {
 	until time.Time
 	err   error
 }
 
-// giveBack ends the lease of a leader that stops, so that another leads at once.
-func (t *term) giveBack() {
-	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+// releaseLease ends the lease of a stopping leader, so that another agent can lead at
+// once.
+func (t *term) releaseLease() {
+	ctx, cancel := context.WithTimeout(context.Background(), agentCallTimeout)
 	defer cancel()
 	if err := t.lease.Release(ctx); err != nil {
-		t.ranker.storeFailed(err)
+		t.ranker.logStoreFailure(err)
 		return
 	}
-	t.tellEnd(ctx)
+	t.announceEnd(ctx)
 }
 
-// tellEnd tells the first successors that this agent leads no longer.
-func (t *term) tellEnd(ctx context.Context) {
+// announceEnd tells the agents that are first in the order of succession that the
+// term has ended.
+func (t *term) announceEnd(ctx context.Context) {
 	agents, _ := t.ranker.members(t.group)
-	var first []fleet.Member
+	var recipients []fleet.Member
 	for _, m := range agents {
-		if place := (t.rankOf[m.Name] - t.leader.Own - 1 + t.size) % t.size; place < successors {
-			first = append(first, m)
+		if distance := (t.rankByAgent[m.Name] - t.leader.Own - 1 + t.size) % t.size; distance < firstCandidates {
+			recipients = append(recipients, m)
 		}
 	}
-	together(len(first), func(i int) {
-		if _, err := t.looker.askAgent(ctx, &first[i], wanted{leader: t.self(true)}); err != nil {
-			t.ranker.Log.WithFields(logrus.Fields{"agent": first[i].Name, "cause": err.Error()}).Info("end of the lead not told")
+	parallel(len(recipients), func(i int) {
+		if _, err := t.poller.queryAgent(ctx, &recipients[i], pollOptions{leader: t.leaderProto(true)}); err != nil {
+			t.ranker.Log.WithFields(logrus.Fields{"agent": recipients[i].Name, "cause": err.Error()}).Info("cannot tell agent that the term has ended")
 		}
 	})
 }
 
-// self tells who leads, or that this agent no longer does.
-func (t *term) self(ended bool) *fleetpb.Leader {
+// leaderProto identifies this agent as the group's leader, or as its former leader if
+// ended is set.
+func (t *term) leaderProto(ended bool) *fleetpb.Leader {
 	return &fleetpb.Leader{Agent: t.ranker.Settings.Name, Token: t.token, Rank: uint32(t.leader.Own), Ended: ended}
 }
 
-// keepLease renews the lease beside the rounds, so that a slow store does not
-// stall the group.
+// keepLease renews the lease when it is due. The call runs concurrently with the
+// rounds, so that a slow store does not stall the group.
 func (t *term) keepLease(ctx context.Context, now time.Time) {
 	select {
-	case end := <-t.renew:
-		t.renews = false
-		if end.err == nil {
-			t.until = end.until
+	case result := <-t.renewals:
+		t.renewing = false
+		if result.err == nil {
+			t.leaseUntil = result.until
 		} else {
-			t.ranker.storeFailed(end.err)
-			t.lost = t.lost || errors.Is(end.err, rank.ErrLeaseLost)
+			t.ranker.logStoreFailure(result.err)
+			t.leaseLost = t.leaseLost || errors.Is(result.err, rank.ErrLeaseLost)
 		}
 	default:
 	}
-	if t.renews || now.Before(t.renewAt) {
+	if t.renewing || now.Before(t.nextRenewal) {
 		return
 	}
-	t.renews, t.renewAt = true, now.Add(renewEvery)
+	t.renewing, t.nextRenewal = true, now.Add(renewInterval)
 	go func() {
 		until, err := t.lease.Renew(ctx, now)
-		t.renew <- renewal{until: until, err: err}
+		t.renewals <- renewal{until: until, err: err}
 	}()
 }
--- a/internal/ranker/led.go
+++ b/internal/ranker/led.go
@@ -9,114 +9,119 @@
 )
 
 const (
-	// unledAfter is how long an agent is not looked at until it takes its group to
-	// have no leader, who looks ten times a second.
-	unledAfter = 600 * time.Millisecond
-	// successors is how many agents ask the store then, in the order of their
-	// ranks after the leader's; the others wait for lateAfter, as all of those may
-	// be lost with the leader.
-	successors = 6
-	lateAfter  = 2500 * time.Millisecond
-	// turn is the pause between two of them, so that few ask at once.
-	turn = 15 * time.Millisecond
-	// askAgain is the pause between two times of asking by a successor: a lease
-	// ends a second after its leader. lateAgain is that of the others.
-	askAgain  = 150 * time.Millisecond
-	lateAgain = time.Second
+	// leaderTimeout is how long an agent goes without a poll by the leader before it
+	// assumes that the group has none. Leaders poll ten times a second.
+	leaderTimeout = 600 * time.Millisecond
+	// firstCandidates is how many agents then ask the store, in the order of their
+	// ranks after the leader's. The others wait for lateLeaderTimeout, in case all
+	// the first candidates were lost together with the leader.
+	firstCandidates   = 6
+	lateLeaderTimeout = 2500 * time.Millisecond
+	// askStagger is the delay between two successive candidates, so that few ask at
+	// once.
+	askStagger = 15 * time.Millisecond
+	// askInterval is the time between two queries by the same first candidate: a
+	// lease ends a second after its leader fails. lateAskInterval is that of the
+	// other agents.
+	askInterval     = 150 * time.Millisecond
+	lateAskInterval = time.Second
 )
 
-// led is what an agent knows of its group's leader. It is safe for concurrent use.
+// leaderTracker tracks which agent leads the group. It is safe for concurrent use.
 //
-// Load: 129 agents of which each follows in the store who leads. Harm prevented:
-// calls that grow with the group, most of them while nothing happens. A leader looks
-// at each rank ten times a second anyway, so an agent that is looked at asks nobody.
-type led struct {
+// In a group of 129 agents, having each one watch the leader's key in the store would
+// cost calls that grow with the group, most of them while nothing happens. Since a
+// leader polls each rank ten times a second, an agent that is polled does not ask the
+// store.
+type leaderTracker struct {
 	mu sync.Mutex // guards all below
-	// by is who leads, or led last, if known.
-	by    predecessor
-	known bool
-	// seen is when that agent was last known to lead, and asked when the store
-	// was last asked for it.
-	seen, asked time.Time
+	// leader is the current leader, or the last one; it is valid if known is set.
+	leader leaderInfo
+	known  bool
+	// lastSeen is when that agent was last known to lead, lastAsked when the store
+	// was last asked for the lease's holder.
+	lastSeen, lastAsked time.Time
 }
 
-// leads notes that an agent leads the group. One with a lower token than another
-// that was heard of leads no longer.
-func (l *led) leads(p predecessor, now time.Time) {
+// observe records that an agent leads the group at the given time. An agent with a
+// lower token than the recorded one no longer leads and is ignored.
+func (l *leaderTracker) observe(leader leaderInfo, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.known && p.Token < l.by.Token {
+	if l.known && leader.Token < l.leader.Token {
 		return
 	}
-	l.by, l.known, l.seen = p, true, now
+	l.leader, l.known, l.lastSeen = leader, true, now
 }
 
-// holds notes that an agent holds the group's lease, by the store. It may be silent
-// all the same.
-func (l *led) holds(p predecessor) {
+// setHolder records that an agent holds the group's lease according to the store.
+// Such an agent may still have failed, so the time at which a leader was last seen
+// stays the same.
+func (l *leaderTracker) setHolder(holder leaderInfo) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.known || p.Token > l.by.Token {
-		l.by, l.known = p, true
+	if !l.known || holder.Token > l.leader.Token {
+		l.leader, l.known = holder, true
 	}
 }
 
-// ended notes that the agent with a token leads no longer. It reports false for one
-// that has been followed by another.
-func (l *led) ended(token uint64) bool {
+// ended records that the term with the given token has ended. It reports false unless
+// the recorded leader has that token.
+func (l *leaderTracker) ended(token uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.known || l.by.Token != token {
+	if !l.known || l.leader.Token != token {
 		return false
 	}
-	l.seen, l.asked = time.Time{}, time.Time{}
+	l.lastSeen, l.lastAsked = time.Time{}, time.Time{}
 	return true
 }
 
-// last returns who led the group last, and whether that is known.
-func (l *led) last() (predecessor, bool) {
+// last returns the group's current or last leader and whether one is known.
+func (l *leaderTracker) last() (leaderInfo, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.by, l.known
+	return l.leader, l.known
 }
 
-// ask reports whether the agent of a rank asks the store now who leads its group of
-// the given size, and notes that it does.
-func (l *led) ask(rank, size int, now time.Time) bool {
+// shouldAsk reports whether the agent of the given rank, in a group of the given
+// size, should ask the store now which agent leads. If so, it records now as the time
+// of the query.
+func (l *leaderTracker) shouldAsk(rank, size int, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	place := rank
+	distance := rank
 	if l.known && size > 0 {
-		place = (rank - l.by.Rank - 1 + size) % size
+		distance = (rank - l.leader.Rank - 1 + size) % size
 	}
-	after, again := unledAfter, askAgain
-	if place >= successors {
-		after, again = lateAfter, lateAgain
+	timeout, interval := leaderTimeout, askInterval
+	if distance >= firstCandidates {
+		timeout, interval = lateLeaderTimeout, lateAskInterval
 	}
-	after += time.Duration(place) * turn
-	if l.seen.IsZero() {
-		// Nobody leads: there is no silence to wait for.
-		l.seen = now.Add(-unledAfter)
+	timeout += time.Duration(distance) * askStagger
+	if l.lastSeen.IsZero() {
+		// No agent leads, so there is no silence to wait for.
+		l.lastSeen = now.Add(-leaderTimeout)
 	}
-	if now.Sub(l.seen) < after || now.Sub(l.asked) < again {
+	if now.Sub(l.lastSeen) < timeout || now.Sub(l.lastAsked) < interval {
 		return false
 	}
-	l.asked = now
+	l.lastAsked = now
 	return true
 }
 
-// leaderFrom reads who leads.
-func leaderFrom(p *fleetpb.Leader) predecessor {
-	return predecessor{name: p.GetAgent(), Predecessor: lockstep.Predecessor{Token: p.GetToken(), Rank: int(p.GetRank())}}
+// leaderFromProto decodes the leader named in a message.
+func leaderFromProto(msg *fleetpb.Leader) leaderInfo {
+	return leaderInfo{name: msg.GetAgent(), Predecessor: lockstep.Predecessor{Token: msg.GetToken(), Rank: int(msg.GetRank())}}
 }
 
-// heardOf takes in what a look tells of the leader.
-func (r *Ranker) heardOf(p *fleetpb.Leader, now time.Time) {
+// noteLeader records what a poll's message says about the leader; msg may be nil.
+func (r *Ranker) noteLeader(msg *fleetpb.Leader, now time.Time) {
 	switch {
-	case p == nil:
-	case !p.GetEnded():
-		r.led.leads(leaderFrom(p), now)
-	case r.led.ended(p.GetToken()):
-		r.free.Raise()
+	case msg == nil:
+	case !msg.GetEnded():
+		r.leader.observe(leaderFromProto(msg), now)
+	case r.leader.ended(msg.GetToken()):
+		r.leaderGone.Raise()
 	}
 }
--- a/internal/ranker/led_test.go
+++ b/internal/ranker/led_test.go
@@ -7,19 +7,19 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/rank/lockstep"
 )
 
-func leaderAt(rank int, token uint64) predecessor {
-	return predecessor{name: "agent", Predecessor: lockstep.Predecessor{Rank: rank, Token: token}}
+func leaderAt(rank int, token uint64) leaderInfo {
+	return leaderInfo{name: "agent", Predecessor: lockstep.Predecessor{Rank: rank, Token: token}}
 }
 
-// asksIn counts how often the agents of a group ask the store within a time after
-// their leader was last seen, each looking at that every 50 ms.
-func asksIn(d time.Duration, size int, prepare func(l *led)) int {
+// countAsks counts how often the agents of a group ask the store within d after their
+// leader was last seen, if each checks every 50 ms.
+func countAsks(d time.Duration, size int, prepare func(l *leaderTracker)) int {
 	asks := 0
 	for r := range size {
-		l := &led{}
+		l := &leaderTracker{}
 		prepare(l)
 		for now := start; now.Before(start.Add(d)); now = now.Add(50 * time.Millisecond) {
-			if l.ask(r, size, now) {
+			if l.shouldAsk(r, size, now) {
 				asks++
 			}
 		}
@@ -27,48 +27,48 @@
 	return asks
 }
 
-// Guards against calls to the store that grow with the group, as all of its agents ask
-// who leads when the leader is lost, or all processes start.
+// Guards against calls to the store that grow with the group, because all agents ask
+// who leads when the leader is lost or all processes start.
 func TestFewAgentsAskWhoLeads(t *testing.T) {
 	for _, size := range []int{3, 12, 129, 258} {
-		lost := asksIn(1400*time.Millisecond, size, func(l *led) { l.leads(leaderAt(1, 5), start) })
-		if most := successors * 6; lost > most || lost == 0 {
+		lost := countAsks(1400*time.Millisecond, size, func(l *leaderTracker) { l.observe(leaderAt(1, 5), start) })
+		if most := firstCandidates * 6; lost > most || lost == 0 {
 			t.Errorf("%d of %d agents ask after the loss, want 1 to %d", lost, size, most)
 		}
-		if n := asksIn(500*time.Millisecond, size, func(l *led) { l.leads(leaderAt(1, 5), start) }); n != 0 {
-			t.Errorf("%d ask before the leader is silent", n)
+		if n := countAsks(500*time.Millisecond, size, func(l *leaderTracker) { l.observe(leaderAt(1, 5), start) }); n != 0 {
+			t.Errorf("%d ask before the leader has timed out", n)
 		}
-		if n := asksIn(500*time.Millisecond, size, func(*led) {}); n == 0 || n > successors*4 {
+		if n := countAsks(500*time.Millisecond, size, func(*leaderTracker) {}); n == 0 || n > firstCandidates*4 {
 			t.Errorf("%d of %d agents ask at their start", n, size)
 		}
 	}
 }
 
-// Guards against a group without a leader because all of those that ask first were
-// lost with the last one.
-func TestLateAgentsAskToo(t *testing.T) {
-	l := &led{}
-	l.leads(leaderAt(1, 5), start)
-	now := start.Add(lateAfter + 129*turn)
-	if !l.ask(100, 129, now) || l.ask(100, 129, now.Add(lateAgain/2)) || !l.ask(100, 129, now.Add(lateAgain)) {
-		t.Error("an agent far from the leader doesn't ask once a second in the end")
+// Guards against a group without a leader because all first candidates were lost
+// together with the leader.
+func TestDistantRanksAskLater(t *testing.T) {
+	l := &leaderTracker{}
+	l.observe(leaderAt(1, 5), start)
+	now := start.Add(lateLeaderTimeout + 129*askStagger)
+	if !l.shouldAsk(100, 129, now) || l.shouldAsk(100, 129, now.Add(lateAskInterval/2)) || !l.shouldAsk(100, 129, now.Add(lateAskInterval)) {
+		t.Error("an agent far from the leader does not eventually ask once a second")
 	}
 }
 
-// Guards against a successor that goes by a leader which was followed by another, and
-// against an end that is taken for the present leader's.
-func TestNewestLeaderCounts(t *testing.T) {
-	l := &led{}
-	l.leads(leaderAt(1, 5), start)
-	l.leads(leaderAt(2, 7), start)
-	l.leads(leaderAt(1, 5), start.Add(time.Second))
-	if by, ok := l.last(); !ok || by.Token != 7 || by.Rank != 2 {
-		t.Errorf("the last leader is %v", by)
+// Guards against following a leader that another one has replaced, and against taking
+// the end of an earlier term for that of the current one.
+func TestHighestTokenLeads(t *testing.T) {
+	l := &leaderTracker{}
+	l.observe(leaderAt(1, 5), start)
+	l.observe(leaderAt(2, 7), start)
+	l.observe(leaderAt(1, 5), start.Add(time.Second))
+	if leader, ok := l.last(); !ok || leader.Token != 7 || leader.Rank != 2 {
+		t.Errorf("the last leader is %v", leader)
 	}
 	if l.ended(5) || !l.ended(7) {
-		t.Error("the end of another leader counts")
+		t.Error("the end of an earlier term was accepted, or that of the current one was not")
 	}
-	if !l.ask(3, 12, start) {
-		t.Error("the first successor waits though the leader has ended")
+	if !l.shouldAsk(3, 12, start) {
+		t.Error("the first successor waits although the term has ended")
 	}
 }
--- a/internal/ranker/loads.go
+++ b/internal/ranker/loads.go
@@ -13,101 +13,104 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/fleet/fleetpb"
 )
 
-// loadsEvery is how often entries are told of the engines' work. A request lasts a
-// second or two.
-const loadsEvery = 100 * time.Millisecond
+// loadReportInterval is how often loads are reported to entries. A request lasts one
+// or two seconds.
+const loadReportInterval = 100 * time.Millisecond
 
-// loadTeller tells entries of the engines' work.
+// loadReporter keeps the state of load reports to entries.
 //
-// Load: 129 engines and 150 entries, and a leader with a line of 6 Mbit/s. Told to
-// each entry ten times a second, engine by engine with its address, the loads took
-// 40 Mbit/s. Harm prevented: nothing else passed the line, no look saw all ranks,
-// and the group never got a map. One entry of each data centre is told now, in half
-// a kilobyte, and tells the others.
-type loadTeller struct {
-	// tree says which entry of a data centre is told.
+// With 129 engines and 150 entries, sending every entry the loads of all engines with
+// their addresses ten times a second took 40 Mbit/s, and the leader's link has 6
+// Mbit/s. Nothing else passed the link, no poll returned all ranks, and the group
+// never got a map. Therefore one entry of each data centre receives a report of half
+// a kilobyte and forwards it to the others.
+type loadReporter struct {
+	// tree selects the entry of each data centre that receives reports.
 	tree fanout.Tree
-	// told is when entries were last told, and closed whether the group was then.
-	told   time.Time
-	closed bool
-	// known is which engines each entry has been told.
-	known fleet.Told
+	// lastSent is when loads were last reported, lastClosed whether the group was
+	// closed then.
+	lastSent   time.Time
+	lastClosed bool
+	// knownLists records which list of engines each entry has received.
+	knownLists fleet.Told
 }
 
-func newLoadTeller() loadTeller {
-	return loadTeller{tree: fanout.Tree{Direct: fanout.FewEntries, Most: fanout.BunchEntries}}
+func newLoadReporter() loadReporter {
+	return loadReporter{tree: fanout.Tree{Direct: fanout.FewEntries, Most: fanout.BunchEntries}}
 }
 
-// due reports whether entries are told now. That a group opens or closes is told at
-// once: requests wait for it.
-func (l *loadTeller) due(closed bool, now time.Time) bool {
-	if now.Sub(l.told) < loadsEvery && closed == l.closed {
+// due reports whether a report is due now. A change between open and closed is
+// reported at once, because requests wait for it.
+func (r *loadReporter) due(closed bool, now time.Time) bool {
+	if now.Sub(r.lastSent) < loadReportInterval && closed == r.lastClosed {
 		return false
 	}
-	l.told, l.closed = now, closed
+	r.lastSent, r.lastClosed = now, closed
 	return true
 }
 
-// loadsOf describes the work of engines, in the order of their ranks. Whole says
-// that no rank is missing.
-func loadsOf(looks []found, whole bool) *fleetpb.LoadsRequest {
-	sorted := slices.SortedFunc(slices.Values(looks), func(a, b found) int { return a.state.Rank - b.state.Rank })
-	closed := isClosed(looks)
-	q := &fleetpb.LoadsRequest{Closed: closed, Forming: closed && whole}
+// loadsRequestProto encodes the engines' loads, ordered by rank. complete means that
+// no rank is missing.
+func loadsRequestProto(reports []rankReport, complete bool) *fleetpb.LoadsRequest {
+	sorted := slices.SortedFunc(slices.Values(reports), func(a, b rankReport) int { return a.state.Rank - b.state.Rank })
+	closed := isClosed(reports)
+	req := &fleetpb.LoadsRequest{Closed: closed, Forming: closed && complete}
 	slow := false
-	for _, l := range sorted {
-		q.Targets = append(q.Targets, &fleetpb.Target{Endpoint: l.address})
-		q.Running = append(q.Running, uint32(l.state.Running))
-		q.Queued = append(q.Queued, uint32(l.state.Queued))
-		q.Pace = append(q.Pace, uint32(100*l.state.Pace))
-		slow = slow || l.state.Pace > 1
+	for _, report := range sorted {
+		req.Targets = append(req.Targets, &fleetpb.Target{Endpoint: report.address})
+		req.Running = append(req.Running, uint32(report.state.Running))
+		req.Queued = append(req.Queued, uint32(report.state.Queued))
+		req.Pace = append(req.Pace, uint32(100*report.state.Pace))
+		slow = slow || report.state.Pace > 1
 	}
 	if !slow {
-		q.Pace = nil
+		req.Pace = nil
 	}
-	q.List = fleet.ListName(q.Targets)
-	return q
+	req.List = fleet.ListName(req.Targets)
+	return req
 }
 
-func isClosed(looks []found) bool {
-	return slices.ContainsFunc(looks, func(f found) bool { return !f.state.Open })
+func isClosed(reports []rankReport) bool {
+	return slices.ContainsFunc(reports, func(report rankReport) bool { return !report.state.Open })
 }
 
-// tellEntries tells entries how much work the engines have, and whether their group
-// takes requests. Whole says that no rank is missing.
-func (t *term) tellEntries(ctx context.Context, entries []fleet.Member, looks []found, whole bool, now time.Time) {
-	if !t.loads.due(isClosed(looks), now) {
+// reportLoads sends entries the engines' loads and whether their group accepts
+// requests. complete means that no rank is missing. It does not wait for the entries'
+// replies.
+func (t *term) reportLoads(ctx context.Context, entries []fleet.Member, reports []rankReport, complete bool, now time.Time) {
+	if !t.loads.due(isClosed(reports), now) {
 		return
 	}
-	q := loadsOf(looks, whole)
+	req := loadsRequestProto(reports, complete)
 	for _, b := range t.loads.tree.Bunches(entries) {
-		go t.tellEntry(ctx, t.loads.tree.Delegate(b), q, len(b) > 1)
+		go t.reportLoadsTo(ctx, t.loads.tree.Delegate(b), req, len(b) > 1)
 	}
 }
 
-// tellEntry tells one entry, which tells the others of its data centre with forward.
-func (t *term) tellEntry(ctx context.Context, m fleet.Member, loads *fleetpb.LoadsRequest, forward bool) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+// reportLoadsTo reports loads to one entry. With forward set, that entry forwards the
+// report to the others in its data centre.
+func (t *term) reportLoadsTo(ctx context.Context, m fleet.Member, loads *fleetpb.LoadsRequest, forward bool) {
+	ctx, cancel := context.WithTimeout(ctx, agentCallTimeout)
 	defer cancel()
 	conn, err := t.ranker.conns.Get(m.Address)
 	if err != nil {
 		return
 	}
-	q := &fleetpb.LoadsRequest{
+	req := &fleetpb.LoadsRequest{
 		List: loads.List, Targets: loads.Targets, Running: loads.Running, Queued: loads.Queued,
 		Pace: loads.Pace, Closed: loads.Closed, Forming: loads.Forming, Forward: forward,
 	}
-	if t.loads.known.Knows(m.Name, q.List) {
-		q.Targets = nil
+	if t.loads.knownLists.Knows(m.Name, req.List) {
+		req.Targets = nil
 	}
-	p, err := fleetpb.NewEntryClient(conn).Loads(ctx, q)
+	resp, err := fleetpb.NewEntryClient(conn).Loads(ctx, req)
 	switch {
 	case err != nil:
-		t.loads.known.Forget(m.Name)
+		t.loads.knownLists.Forget(m.Name)
 		t.loads.tree.Failed(m.Name, boottime.Now())
 		t.ranker.conns.DropSilent(m.Address)
-		t.ranker.Log.WithFields(logrus.Fields{"entry": m.Name, "cause": err.Error()}).Debug("loads not told")
-	case p.GetUnknownList():
-		t.loads.known.Forget(m.Name)
+		t.ranker.Log.WithFields(logrus.Fields{"entry": m.Name, "cause": err.Error()}).Debug("cannot report loads to entry")
+	case resp.GetUnknownList():
+		t.loads.knownLists.Forget(m.Name)
 	}
 }
--- a/internal/ranker/loads_test.go
+++ b/internal/ranker/loads_test.go
@@ -9,57 +9,57 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/rank/lockstep"
 )
 
-func looksOf(n int) []found {
-	out := make([]found, 0, n)
+func testReports(n int) []rankReport {
+	out := make([]rankReport, 0, n)
 	for i := range n {
-		// The order of looks differs each time.
+		// Reports arrive in any order.
 		r := n - 1 - i
-		out = append(out, found{look: look{
+		out = append(out, rankReport{engineReport: engineReport{
 			address: "10.1.64.140:8029" + string(rune('a'+r)), state: lockstep.State{Rank: r, Open: true, Running: r, Pace: 1},
 		}})
 	}
 	return out
 }
 
-// Guards against loads that are read for other engines than they are of, and against
-// a list that is told again and again since it has another name each time.
-func TestLoadsAreInTheOrderOfRanks(t *testing.T) {
-	q, again := loadsOf(looksOf(5), true), loadsOf(looksOf(5), true)
-	if q.GetList() != again.GetList() || q.GetList() == loadsOf(looksOf(4), true).GetList() {
-		t.Error("the name of a list doesn't follow from its addresses")
+// Guards against loads that are assigned to the wrong engines, and against sending
+// the list of engines repeatedly because its name changes.
+func TestLoadsAreOrderedByRank(t *testing.T) {
+	req, again := loadsRequestProto(testReports(5), true), loadsRequestProto(testReports(5), true)
+	if req.GetList() != again.GetList() || req.GetList() == loadsRequestProto(testReports(4), true).GetList() {
+		t.Error("the name of a list does not follow from its addresses")
 	}
-	for i, n := range q.GetRunning() {
-		if int(n) != i || q.GetTargets()[i].GetEndpoint() != "10.1.64.140:8029"+string(rune('a'+i)) {
-			t.Errorf("engine %d has %d requests at %s", i, n, q.GetTargets()[i].GetEndpoint())
+	for i, n := range req.GetRunning() {
+		if int(n) != i || req.GetTargets()[i].GetEndpoint() != "10.1.64.140:8029"+string(rune('a'+i)) {
+			t.Errorf("engine %d has %d requests at %s", i, n, req.GetTargets()[i].GetEndpoint())
 		}
 	}
-	if len(q.GetPace()) != 0 || q.GetClosed() {
-		t.Error("paces are told though none is slow, or the group as closed")
+	if len(req.GetPace()) != 0 || req.GetClosed() {
+		t.Error("paces are reported although no engine is slow, or the group is reported as closed")
 	}
-	slow := looksOf(3)
+	slow := testReports(3)
 	slow[0].state.Pace, slow[1].state.Open = 2, false
-	if q := loadsOf(slow, true); len(q.GetPace()) != 3 || q.GetPace()[2] != 200 || !q.GetClosed() || !q.GetForming() {
-		t.Errorf("paces %v, closed %v, forming %v", q.GetPace(), q.GetClosed(), q.GetForming())
+	if req := loadsRequestProto(slow, true); len(req.GetPace()) != 3 || req.GetPace()[2] != 200 || !req.GetClosed() || !req.GetForming() {
+		t.Errorf("paces %v, closed %v, forming %v", req.GetPace(), req.GetClosed(), req.GetForming())
 	}
-	if loadsOf(slow, false).GetForming() {
-		t.Error("a group that lacks a rank is told to be forming")
+	if loadsRequestProto(slow, false).GetForming() {
+		t.Error("a group with a missing rank is reported as forming")
 	}
-	q = loadsOf(looksOf(129), true)
-	q.Targets = nil
-	if n := proto.Size(q); n > 600 {
+	req = loadsRequestProto(testReports(129), true)
+	req.Targets = nil
+	if n := proto.Size(req); n > 600 {
 		t.Errorf("the loads of 129 engines take %d bytes", n)
 	}
 }
 
-// Guards against a group whose opening is told as late as any load: requests wait
-// for it.
-func TestOpeningIsToldAtOnce(t *testing.T) {
-	l := newLoadTeller()
+// Guards against reporting the opening of a group with the delay of a load report,
+// while requests wait for it.
+func TestOpeningIsReportedAtOnce(t *testing.T) {
+	l := newLoadReporter()
 	now := start
 	if !l.due(true, now) || l.due(true, now.Add(time.Millisecond)) {
-		t.Error("loads are not told once at first")
+		t.Error("the first report is not due exactly once")
 	}
 	if !l.due(false, now.Add(2*time.Millisecond)) {
-		t.Error("the opening is not told at once")
+		t.Error("the opening is not reported at once")
 	}
 }
--- a/internal/ranker/looker.go
+++ b/internal/ranker/looker.go
@@ -15,105 +15,107 @@
 )
 
 const (
-	// passOver is how long an agent that did not answer is passed over, so
-	// that each look does not wait for it again.
-	passOver = time.Second
-	// darkTimeout bounds a look at an engine that did not answer a moment ago
-	// either. Engines answer in some ten milliseconds, also over a new
-	// connection; while a step is held each look stalls all streams.
-	darkTimeout = 60 * time.Millisecond
-	// usualLag is how old a report to another VM may be where the configuration
-	// doesn't say, and lagMargin what is added to what it says: reports are of
-	// some hundred milliseconds ago.
-	usualLag  = 300 * time.Millisecond
-	lagMargin = 100 * time.Millisecond
+	// agentBackoff is how long an agent that did not answer is not asked again, so
+	// that polls do not wait for it each time.
+	agentBackoff = time.Second
+	// unresponsiveTimeout bounds a poll of an engine that did not answer the previous
+	// poll either. Engines answer within about ten milliseconds, even over a new
+	// connection, and while a step is held each poll stalls all streams.
+	unresponsiveTimeout = 60 * time.Millisecond
+	// defaultReportLag is the assumed age of an engine's report to another VM where
+	// the configuration gives none, and reportLagMargin is added to either. Such
+	// reports are some hundred milliseconds old.
+	defaultReportLag = 300 * time.Millisecond
+	reportLagMargin  = 100 * time.Millisecond
 )
 
-// silence is that of an agent which did not answer.
-type silence struct {
-	// until is when it is asked again.
-	until time.Time
-	// dark says that its engine didn't answer either.
-	dark bool
+// agentFailure records that an agent did not answer.
+type agentFailure struct {
+	// retryAt is when the agent may be asked again.
+	retryAt time.Time
+	// engineSilent reports that the agent's engine did not answer either.
+	engineSilent bool
 }
 
-// wanted says what a look asks for besides the state.
-type wanted struct {
+// pollOptions selects what a poll returns besides the state.
+type pollOptions struct {
 	counts, lists bool
-	// experts asks for sums of counts, of so many experts a set, unless it is 0.
+	// experts, unless 0, asks for sums of counts and gives the number of experts per
+	// set.
 	experts int
-	// leader is for whom the look is.
+	// leader identifies the agent on whose behalf the poll is made.
 	leader *fleetpb.Leader
 }
 
-// found is a look at one engine.
-type found struct {
-	look
-	// agent is the one beside the engine, or nil when the engine was asked
-	// without it.
+// rankReport is the report of one engine and the way by which it was obtained.
+type rankReport struct {
+	engineReport
+	// agent is the agent beside the engine, or nil if the engine was polled without
+	// it.
 	agent *fleet.Member
-	// via is the delegate through which the agent was reached, or nil.
-	via *fleet.Member
+	// delegate is the agent that forwarded the poll, or nil.
+	delegate *fleet.Member
 }
 
-// looker looks at engines through the agents beside them. Set the exported fields
-// before the first call. It is safe for concurrent use.
-type looker struct {
+// poller polls engines through the agents beside them. Set the exported fields before
+// the first call. It is safe for concurrent use.
+type poller struct {
 	Ranker *Ranker
-	// AgentTimeout bounds a call to an agent, and EngineTimeout one to the
-	// engine of an agent that does not answer.
+	// AgentTimeout bounds a call to an agent, EngineTimeout one to the engine of an
+	// agent that does not answer.
 	AgentTimeout, EngineTimeout time.Duration
 
-	heard  heardCounts
-	mu     sync.Mutex // guards all below
-	direct map[string]*platform.Engine
-	silent map[string]silence
-	// mostSilent says that most agents were silent at the last look.
-	mostSilent bool
+	counts   countDecoder
+	mu       sync.Mutex // guards all below
+	engines  map[string]*platform.Engine
+	failures map[string]agentFailure
+	// mostFailed reports that more than half of the agents failed in the last poll.
+	mostFailed bool
 }
 
-func newLooker(r *Ranker, agentTimeout, engineTimeout time.Duration) looker {
-	return looker{
+func newPoller(r *Ranker, agentTimeout, engineTimeout time.Duration) poller {
+	return poller{
 		Ranker: r, AgentTimeout: agentTimeout, EngineTimeout: engineTimeout,
-		direct: map[string]*platform.Engine{}, silent: map[string]silence{},
+		engines: map[string]*platform.Engine{}, failures: map[string]agentFailure{},
 	}
 }
 
-// seen is what came of a look at one engine.
-type seen struct {
-	found
+// pollResult is a report, or the error of the poll.
+type pollResult struct {
+	rankReport
 	err error
 }
 
-// lookAt looks at the engines of agents through these, or else directly: an agent's
-// VM may be frozen or its process gone while the engine runs, is armed, or holds the
-// group. Looks and orders from elsewhere are priced, so they are the second choice.
-// Wants says for each agent what is asked for.
+// poll polls the engines of agents through these agents, or directly if an agent does
+// not answer: its VM may be frozen or its process gone while the engine runs, is
+// armed or holds up the group. Direct polls and orders from other VMs are charged
+// for, so they are the second choice. opts holds the options for each agent.
 //
-// Guard: when most agents are silent at once, it is the way to them that is full or
-// cut. Were all their engines asked then, by new connections, it would be fuller
-// still, and no look would ever see all ranks. So nothing is concluded from the
-// first such look.
-func (k *looker) lookAt(ctx context.Context, agents []*fleet.Member, wants []wanted) []seen {
-	asked := boottime.Now()
-	out := make([]seen, len(agents))
-	silent := make([]bool, len(agents))
-	together(len(agents), func(i int) {
-		out[i], silent[i] = k.askOne(ctx, agents[i], wants[i], asked)
+// When more than half of the agents fail at once, the likely cause is that the link
+// to them is congested or cut. Polling all their engines over new connections would
+// congest it further, and no poll would ever return all ranks. The first such poll
+// therefore neither polls engines directly nor backs off from any agent.
+func (p *poller) poll(ctx context.Context, agents []*fleet.Member, opts []pollOptions) []pollResult {
+	polledAt := boottime.Now()
+	out := make([]pollResult, len(agents))
+	failed := make([]bool, len(agents))
+	parallel(len(agents), func(i int) {
+		out[i], failed[i] = p.pollAgent(ctx, agents[i], opts[i], polledAt)
 	})
-	if k.tooManySilent(agents, silent) {
+	if p.suspectsOwnLink(agents, failed) {
 		return out
 	}
-	together(len(agents), func(i int) {
-		if out[i].err != nil && agents[i].Name != k.Ranker.Settings.Name {
-			out[i] = k.lookPast(ctx, agents[i], wants[i], out[i].err, silent[i])
+	parallel(len(agents), func(i int) {
+		if out[i].err != nil && agents[i].Name != p.Ranker.Settings.Name {
+			out[i] = p.pollWithoutAgent(ctx, agents[i], opts[i], out[i].err, failed[i])
 		}
 	})
 	return out
 }
 
-// together runs a function for each of n numbers at once.
-func together(n int, f func(i int)) {
+// parallel calls f with each number from 0 to n-1, concurrently, and waits for all
+// calls.
+func parallel(n int, f func(i int)) {
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Add(1)
@@ -125,131 +127,134 @@
 	wg.Wait()
 }
 
-// errPassedOver says that an agent was not asked, as it was silent a moment ago.
-var errPassedOver = errors.New("the agent was silent a moment ago")
+// errAgentBackoff is the result for an agent that was not asked because it failed
+// less than agentBackoff ago.
+var errAgentBackoff = errors.New("agent failed recently and is not asked again yet")
 
-// askOne looks at one engine through its agent, and reports whether that was asked
-// and is silent.
-func (k *looker) askOne(ctx context.Context, m *fleet.Member, want wanted, asked time.Time) (seen, bool) {
-	if m.Name == k.Ranker.Settings.Name {
-		l, err := lookEngine(ctx, k.Ranker.engine, want)
-		if want.experts > 0 && err == nil {
-			l.sums = k.Ranker.ownSums(l, want.experts, asked)
+// pollAgent polls one engine through its agent. It also reports whether the agent was
+// asked and failed to answer.
+func (p *poller) pollAgent(ctx context.Context, m *fleet.Member, opts pollOptions, polledAt time.Time) (pollResult, bool) {
+	if m.Name == p.Ranker.Settings.Name {
+		report, err := queryEngine(ctx, p.Ranker.engine, opts)
+		if opts.experts > 0 && err == nil {
+			report.sums = p.Ranker.localSums(report, opts.experts, polledAt)
 		}
-		l.state.AsOf = asked
-		return seen{found: found{look: l, agent: m}, err: err}, false
+		report.state.AsOf = polledAt
+		return pollResult{rankReport: rankReport{engineReport: report, agent: m}, err: err}, false
 	}
-	if !asked.After(k.silenceOf(m.Name).until) {
-		return seen{err: errPassedOver}, false
+	if !polledAt.After(p.failureOf(m.Name).retryAt) {
+		return pollResult{err: errAgentBackoff}, false
 	}
-	f, err := k.askAgent(ctx, m, want)
-	f.state.AsOf = asked
-	return seen{found: f, err: err}, err != nil
+	report, err := p.queryAgent(ctx, m, opts)
+	report.state.AsOf = polledAt
+	return pollResult{rankReport: report, err: err}, err != nil
 }
 
-// tooManySilent reports whether most of the agents that were asked are silent, for
-// the first time in a row.
-func (k *looker) tooManySilent(agents []*fleet.Member, silent []bool) bool {
+// suspectsOwnLink reports whether more than half of the agents failed, and did not
+// already do so in the previous poll.
+func (p *poller) suspectsOwnLink(agents []*fleet.Member, failed []bool) bool {
 	n := 0
-	for _, is := range silent {
-		if is {
+	for _, isFailed := range failed {
+		if isFailed {
 			n++
 		}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if 2*n <= len(agents) {
-		k.mostSilent = false
+		p.mostFailed = false
 		return false
 	}
-	first := !k.mostSilent
-	k.mostSilent = true
+	first := !p.mostFailed
+	p.mostFailed = true
 	return first
 }
 
-// lookPast looks at an engine without its agent.
-func (k *looker) lookPast(ctx context.Context, m *fleet.Member, want wanted, cause error, silent bool) seen {
-	if silent {
-		k.passOver(m, cause)
+// pollWithoutAgent polls an engine whose agent has no result. If failed is set, the
+// agent failed in this poll and is not asked again for agentBackoff.
+func (p *poller) pollWithoutAgent(ctx context.Context, m *fleet.Member, opts pollOptions, cause error, failed bool) pollResult {
+	if failed {
+		p.backOff(m, cause)
 	}
-	timeout := k.EngineTimeout
-	if k.silenceOf(m.Name).dark {
-		timeout = darkTimeout
+	timeout := p.EngineTimeout
+	if p.failureOf(m.Name).engineSilent {
+		timeout = unresponsiveTimeout
 	}
-	f, err := k.lookDirectly(ctx, m, want.lists, timeout)
-	k.noteDark(m.Name, err != nil)
-	return seen{found: f, err: err}
+	report, err := p.pollEngine(ctx, m, opts.lists, timeout)
+	p.setEngineSilent(m.Name, err != nil)
+	return pollResult{rankReport: report, err: err}
 }
 
-// lookDirectly looks at an engine without the agent beside it. What it reports to
-// another VM is older than the time of asking, see term.dated.
-func (k *looker) lookDirectly(ctx context.Context, m *fleet.Member, lists bool, timeout time.Duration) (found, error) {
+// pollEngine polls an engine without the agent beside it. What an engine reports to
+// another VM is older than the time of the poll, see term.withReportLag.
+func (p *poller) pollEngine(ctx context.Context, m *fleet.Member, lists bool, timeout time.Duration) (rankReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	asked := boottime.Now()
-	l, err := lookEngine(ctx, k.engineAt(m.Endpoint), wanted{lists: lists})
-	l.state.AsOf = asked
-	return found{look: l}, err
+	polledAt := boottime.Now()
+	report, err := queryEngine(ctx, p.engineAt(m.Endpoint), pollOptions{lists: lists})
+	report.state.AsOf = polledAt
+	return rankReport{engineReport: report}, err
 }
 
-func (k *looker) askAgent(ctx context.Context, m *fleet.Member, want wanted) (found, error) {
-	ctx, cancel := context.WithTimeout(ctx, k.AgentTimeout)
+func (p *poller) queryAgent(ctx context.Context, m *fleet.Member, opts pollOptions) (rankReport, error) {
+	ctx, cancel := context.WithTimeout(ctx, p.AgentTimeout)
 	defer cancel()
-	conn, err := k.Ranker.conns.Get(m.Address)
+	conn, err := p.Ranker.conns.Get(m.Address)
 	if err != nil {
-		return found{}, err
+		return rankReport{}, err
 	}
-	p, err := fleetpb.NewAgentClient(conn).Look(ctx, &fleetpb.LookRequest{
-		Counts: want.counts, Lists: want.lists, Experts: uint32(want.experts), Counted: k.heard.id(m.Name), Leader: want.leader,
+	resp, err := fleetpb.NewAgentClient(conn).Look(ctx, &fleetpb.LookRequest{
+		Counts: opts.counts, Lists: opts.lists, Experts: uint32(opts.experts), Counted: p.counts.lastID(m.Name), Leader: opts.leader,
 	})
 	if err != nil {
-		return found{}, err
+		return rankReport{}, err
 	}
-	l := lookFrom(p, m.Endpoint)
-	l.counts = k.heard.join(m.Name, p)
-	return found{look: l, agent: m}, nil
+	report := reportFromProto(resp, m.Endpoint)
+	report.counts = p.counts.decode(m.Name, resp)
+	return rankReport{engineReport: report, agent: m}, nil
 }
 
-func (k *looker) silenceOf(agent string) silence {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.silent[agent]
+func (p *poller) failureOf(agent string) agentFailure {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.failures[agent]
 }
 
-// noteDark notes whether the engine of a silent agent didn't answer either.
-func (k *looker) noteDark(agent string, dark bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s := k.silent[agent]
-	s.dark = dark
-	k.silent[agent] = s
+// setEngineSilent records whether the engine of a failed agent also failed to answer.
+func (p *poller) setEngineSilent(agent string, silent bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	failure := p.failures[agent]
+	failure.engineSilent = silent
+	p.failures[agent] = failure
 }
 
-// expectDark begins a term after a leader that did not give its lease back: its
-// VM has most likely gone silent, so the first looks don't wait for it.
-func (k *looker) expectDark(agent string, now time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.silent[agent] = silence{until: now.Add(passOver), dark: true}
+// expectSilent records an agent and its engine as failed in advance. It is called for
+// a previous leader that did not release its lease: its VM is most likely
+// unreachable, and the first polls of the new term need not wait for it.
+func (p *poller) expectSilent(agent string, now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.failures[agent] = agentFailure{retryAt: now.Add(agentBackoff), engineSilent: true}
 }
 
-func (k *looker) passOver(m *fleet.Member, err error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.silent[m.Name] = silence{until: boottime.Now().Add(passOver)}
-	k.Ranker.conns.DropSilent(m.Address)
-	k.Ranker.Log.WithFields(logrus.Fields{"dependency": "agent", "agent": m.Name, "cause": err.Error()}).Warn("agent does not answer, its engine is asked directly")
+func (p *poller) backOff(m *fleet.Member, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.failures[m.Name] = agentFailure{retryAt: boottime.Now().Add(agentBackoff)}
+	p.Ranker.conns.DropSilent(m.Address)
+	p.Ranker.Log.WithFields(logrus.Fields{"dependency": "agent", "agent": m.Name, "cause": err.Error()}).Warn("agent does not answer, its engine is asked directly")
 }
 
-// engineAt returns the client of an engine elsewhere.
-func (k *looker) engineAt(addr string) *platform.Engine {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	e := k.direct[addr]
+// engineAt returns the client for an engine on another VM.
+func (p *poller) engineAt(addr string) *platform.Engine {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	e := p.engines[addr]
 	if e == nil {
-		e = &platform.Engine{Addr: addr, Timeout: max(engineTimeout, k.EngineTimeout)}
+		e = &platform.Engine{Addr: addr, Timeout: max(engineTimeout, p.EngineTimeout)}
 		e.Open()
-		k.direct[addr] = e
+		p.engines[addr] = e
 	}
 	return e
 }
--- a/internal/ranker/looker_test.go
+++ b/internal/ranker/looker_test.go
@@ -13,12 +13,12 @@
 	"github.com/hyssoprelay/hyssoprelay/platform/standin"
 )
 
-// patience bounds a call that hangs and measures nothing.
-const patience = 20 * time.Second
+// hangTimeout bounds a call that hangs; no test measures it.
+const hangTimeout = 20 * time.Second
 
-// silentAgents is a looker, and agents of a group of which none answers though all
-// engines do.
-func silentAgents(t *testing.T, n int) (*looker, []*fleet.Member) {
+// newUnreachableAgents returns a poller and the members of a group in which no agent
+// answers but all engines do.
+func newUnreachableAgents(t *testing.T, n int) (*poller, []*fleet.Member) {
 	t.Helper()
 	group := standin.StartGroup(n, 1, n, 2)
 	t.Cleanup(group.Close)
@@ -29,44 +29,44 @@
 	t.Cleanup(r.conns.Close)
 	members := make([]*fleet.Member, 0, n)
 	for i := range n {
-		// Nobody listens at port 1.
+		// No process listens on port 1.
 		members = append(members, &fleet.Member{Name: fmt.Sprint("agent", i), Address: "127.0.0.1:1", Endpoint: group.Addr(i)})
 	}
-	k := newLooker(r, patience, patience)
-	return &k, members
+	p := newPoller(r, hangTimeout, hangTimeout)
+	return &p, members
 }
 
-// looks returns how many of the engines were seen.
-func looks(k *looker, members []*fleet.Member) int {
+// countPolled returns how many of the engines were polled successfully.
+func countPolled(p *poller, members []*fleet.Member) int {
 	n := 0
-	for _, l := range k.lookAt(context.Background(), members, make([]wanted, len(members))) {
-		if l.err == nil {
+	for _, result := range p.poll(context.Background(), members, make([]pollOptions, len(members))) {
+		if result.err == nil {
 			n++
 		}
 	}
 	return n
 }
 
-// Guards against a full line that is filled further: all agents are silent at once, and
-// each of their engines is asked by a new connection.
+// Guards against adding load to a congested link: all agents fail at once, and each
+// of their engines is then polled over a new connection.
 func TestMostSilentConcludesNothingAtFirst(t *testing.T) {
-	k, members := silentAgents(t, 5)
-	if n := looks(k, members); n != 0 || len(k.silent) != 0 {
-		t.Errorf("%d engines were asked past their agents, %d passed over", n, len(k.silent))
+	p, members := newUnreachableAgents(t, 5)
+	if n := countPolled(p, members); n != 0 || len(p.failures) != 0 {
+		t.Errorf("%d engines were polled without their agents, %d agents backed off from", n, len(p.failures))
 	}
-	if n := looks(k, members); n != len(members) {
-		t.Errorf("%d of %d engines are seen when it happens again", n, len(members))
+	if n := countPolled(p, members); n != len(members) {
+		t.Errorf("%d of %d engines were polled in the second poll", n, len(members))
 	}
 }
 
-// Guards against a rank that isn't seen because its agent alone is lost.
-func TestOneSilentAgentIsPassedOver(t *testing.T) {
-	k, members := silentAgents(t, 5)
+// Guards against a rank without a report when only its agent is lost.
+func TestOneUnreachableAgentIsBypassed(t *testing.T) {
+	p, members := newUnreachableAgents(t, 5)
 	for _, m := range members[1:] {
-		m.Name = "own" // the own engine is asked without an agent
+		m.Name = "own" // its engine is polled without an agent
 	}
-	k.Ranker.engine = k.engineAt(members[1].Endpoint)
-	if n := looks(k, members); n != len(members) {
-		t.Errorf("%d of %d engines are seen", n, len(members))
+	p.Ranker.engine = p.engineAt(members[1].Endpoint)
+	if n := countPolled(p, members); n != len(members) {
+		t.Errorf("%d of %d engines were polled", n, len(members))
 	}
 }
--- a/internal/ranker/looks.go
+++ b/internal/ranker/looks.go
@@ -16,48 +16,48 @@
 )
 
 const (
-	// countsPerLook bounds how many counts are asked for in one look, as they
-	// come over the leader's own line, the narrowest of all: some 30 kB, ten
-	// times a second, are a third of 8 Mbit/s. A count since the last look takes
-	// a byte.
-	countsPerLook = 30_000
-	// sumsPerLook and sumsPerSecond bound the same where delegates tell sums, of
-	// a byte a count: a tenth of a line of 6 Mbit/s.
-	sumsPerLook   = 21_000
-	sumsPerSecond = 75_000
-	// directAgents is up to how many agents the leader asks each by itself, and
-	// bunchAgents how many a delegate answers for: with a hundred ranks leader
-	// and delegates have about as much to do.
-	directAgents = 16
-	bunchAgents  = 13
+	// maxCountsPerPoll bounds the counts requested in one poll, because they arrive
+	// over the leader's own link, the narrowest of all. A count since the last poll
+	// takes one byte: 30 kB ten times a second are a third of 8 Mbit/s.
+	maxCountsPerPoll = 30_000
+	// maxSumsPerPoll and maxSumsPerSecond are the corresponding bounds where
+	// delegates return sums of one byte per count. The rate is a tenth of a 6 Mbit/s
+	// link.
+	maxSumsPerPoll   = 21_000
+	maxSumsPerSecond = 75_000
+	// maxDirectAgents is the largest number of agents that the leader calls directly,
+	// and maxSubgroupAgents the number for which a delegate answers: with a hundred
+	// ranks, the leader and each delegate then have about the same amount of work.
+	maxDirectAgents   = 16
+	maxSubgroupAgents = 13
 )
 
-// mostCounted returns of how many agents the counts are asked for.
+// maxCountedAgents returns how many agents are asked for counts.
 //
-// Load: a group of 63 ranks with 8 sets of 252 experts behind lines of 8 Mbit/s.
-// Harm prevented: the counts of all ranks fill the leader's line, agents do not
-// answer in time, and a change of maps takes two seconds (18 maps in the time of 9,
-// a skew of 1.9 for 2.8). What the requests of one rank choose tells as much of
-// popularity as what those of another do, so a part of a large group is enough.
-func (t *term) mostCounted(agents int) int {
+// In a group of 63 ranks with 8 sets of 252 experts on 8 Mbit/s links, the counts of
+// all ranks fill the leader's link, agents do not answer in time, and a map change
+// takes two seconds: with fewer counts, 18 maps came into force in the time of 9, at
+// a skew of 1.9 instead of 2.8. The choices of one rank's requests say as much about
+// popularity as those of another's, so a part of a large group is sufficient.
+func (t *term) maxCountedAgents(agents int) int {
 	if t.engine == nil {
 		return 0
 	}
-	each := max(1, t.engine.Experts.Sets*t.engine.Experts.Count)
-	return min(agents, max(1, countsPerLook/each))
+	perRank := max(1, t.engine.Experts.Sets*t.engine.Experts.Count)
+	return min(agents, max(1, maxCountsPerPoll/perRank))
 }
 
-// mostSummed returns of how many bunches the sums of counts are asked for, always
-// the first ones, and how long after one look the next may ask for them.
-func mostSummed(x routing.Experts, bunches int) (n int, pause time.Duration) {
-	each := max(1, x.Sets*x.Count)
-	n = min(bunches, max(1, sumsPerLook/each))
-	return n, time.Duration(float64(n*each) / sumsPerSecond * float64(time.Second))
+// sumBudget returns how many subgroups, always the first ones, are asked for sums of
+// counts, and the minimum time between two such polls.
+func sumBudget(experts routing.Experts, subgroups int) (n int, pause time.Duration) {
+	perSubgroup := max(1, experts.Sets*experts.Count)
+	n = min(subgroups, max(1, maxSumsPerPoll/perSubgroup))
+	return n, time.Duration(float64(n*perSubgroup) / maxSumsPerSecond * float64(time.Second))
 }
 
-// lookAll looks at the engines of all agents. When that shows fewer ranks than
-// there are, the engines of agents that have lapsed are asked too.
-func (t *term) lookAll(ctx context.Context, agents []fleet.Member, want wanted) []found {
+// pollGroup polls the engines of all agents. If that yields fewer reports than the
+// group has ranks, it also polls the engines of agents whose keys have lapsed.
+func (t *term) pollGroup(ctx context.Context, agents []fleet.Member, opts pollOptions) []rankReport {
 	now := boottime.Now()
 	var own *fleet.Member
 	others := make([]fleet.Member, 0, len(agents))
@@ -68,125 +68,125 @@
 			others = append(others, agents[i])
 		}
 	}
-	bunches := t.tree.Bunches(others)
-	var out []found
-	if len(bunches) == len(others) {
-		out = t.lookSingly(ctx, agents, want)
+	subgroups := t.tree.Bunches(others)
+	var reports []rankReport
+	if len(subgroups) == len(others) {
+		reports = t.pollEach(ctx, agents, opts)
 	} else {
-		out = t.lookThrough(ctx, bunches, own, want, now)
+		reports = t.pollThroughDelegates(ctx, subgroups, own, opts, now)
 	}
-	if len(out) >= t.size {
-		return out
+	if len(reports) >= t.size {
+		return reports
 	}
-	return append(out, t.lookLapsed(ctx, now, want.lists)...)
+	return append(reports, t.pollLapsed(ctx, now, opts.lists)...)
 }
 
-// lookSingly looks at the engines of agents, each by its own. Counts are asked for
-// from the first ones by name, so that they are always the same.
-func (t *term) lookSingly(ctx context.Context, agents []fleet.Member, want wanted) []found {
+// pollEach polls every agent directly. Counts are requested from the first agents by
+// name, so that they always come from the same agents.
+func (t *term) pollEach(ctx context.Context, agents []fleet.Member, opts pollOptions) []rankReport {
 	slices.SortFunc(agents, func(a, b fleet.Member) int { return strings.Compare(a.Name, b.Name) })
-	most := t.mostCounted(len(agents))
+	counted := t.maxCountedAgents(len(agents))
 	members := make([]*fleet.Member, 0, len(agents))
-	wants := make([]wanted, 0, len(agents))
+	agentOpts := make([]pollOptions, 0, len(agents))
 	for i := range agents {
 		members = append(members, &agents[i])
-		wants = append(wants, wanted{counts: want.counts && i < most, lists: want.lists, leader: want.leader})
+		agentOpts = append(agentOpts, pollOptions{counts: opts.counts && i < counted, lists: opts.lists, leader: opts.leader})
 	}
-	t.counted = want.counts
-	return t.found(members, t.looker.lookAt(ctx, members, wants))
+	t.countsPolled = opts.counts
+	return t.successful(members, t.poller.poll(ctx, members, agentOpts))
 }
 
-// found returns the looks that came about, and logs the others.
-func (t *term) found(members []*fleet.Member, looks []seen) []found {
-	out := make([]found, 0, len(looks))
-	for i, l := range looks {
-		if l.err != nil {
-			t.ranker.Log.WithFields(logrus.Fields{"agent": members[i].Name, "cause": l.err.Error()}).Warn("rank not seen")
+// successful returns the reports of successful polls and logs the failed ones.
+func (t *term) successful(members []*fleet.Member, results []pollResult) []rankReport {
+	out := make([]rankReport, 0, len(results))
+	for i, result := range results {
+		if result.err != nil {
+			t.ranker.Log.WithFields(logrus.Fields{"agent": members[i].Name, "cause": result.err.Error()}).Warn("rank not seen")
 			continue
 		}
-		out = append(out, t.dated(l.found))
+		out = append(out, t.withReportLag(result.rankReport))
 	}
 	return out
 }
 
-// lookThrough looks at the engines of bunches of agents through their delegates,
-// and at the one beside own, unless that is nil.
-func (t *term) lookThrough(ctx context.Context, bunches []fanout.Bunch, own *fleet.Member, want wanted, now time.Time) []found {
-	experts, most := 0, 0
-	if want.counts {
-		n, pause := mostSummed(t.engine.Experts, len(bunches))
-		if now.Sub(t.summed) >= pause {
-			experts, most = t.engine.Experts.Count, n
-			t.counted, t.summed = true, now
+// pollThroughDelegates polls subgroups through their delegates, and concurrently the
+// engine of own, unless own is nil.
+func (t *term) pollThroughDelegates(ctx context.Context, subgroups []fanout.Bunch, own *fleet.Member, opts pollOptions, now time.Time) []rankReport {
+	experts, summed := 0, 0
+	if opts.counts {
+		n, pause := sumBudget(t.engine.Experts, len(subgroups))
+		if now.Sub(t.sumsPolledAt) >= pause {
+			experts, summed = t.engine.Experts.Count, n
+			t.countsPolled, t.sumsPolledAt = true, now
 		}
 	}
-	wants := make([]wanted, len(bunches))
-	for i := range wants {
-		wants[i] = wanted{lists: want.lists, leader: want.leader}
-		if i < most {
-			wants[i].experts = experts
+	subgroupOpts := make([]pollOptions, len(subgroups))
+	for i := range subgroupOpts {
+		subgroupOpts[i] = pollOptions{lists: opts.lists, leader: opts.leader}
+		if i < summed {
+			subgroupOpts[i].experts = experts
 		}
 	}
-	var beside []found
+	var local []rankReport
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		if own != nil {
-			mine := wanted{counts: experts > 0, lists: want.lists}
-			beside = t.found([]*fleet.Member{own}, t.looker.lookAt(ctx, []*fleet.Member{own}, []wanted{mine}))
+			localOpts := pollOptions{counts: experts > 0, lists: opts.lists}
+			local = t.successful([]*fleet.Member{own}, t.poller.poll(ctx, []*fleet.Member{own}, []pollOptions{localOpts}))
 		}
 	}()
-	out := t.lookBunches(ctx, bunches, wants)
+	reports := t.pollSubgroups(ctx, subgroups, subgroupOpts)
 	<-done
-	return append(out, beside...)
+	return append(reports, local...)
 }
 
-// lookLapsed looks at the engines of agents that have lapsed.
-func (t *term) lookLapsed(ctx context.Context, now time.Time, lists bool) []found {
+// pollLapsed polls the engines of agents whose keys have lapsed.
+func (t *term) pollLapsed(ctx context.Context, now time.Time, lists bool) []rankReport {
 	lapsed := t.ranker.lapsedMembers(t.group, now)
 	members := make([]*fleet.Member, 0, len(lapsed))
 	for i := range lapsed {
 		members = append(members, &lapsed[i])
 	}
-	looks := make([]seen, len(lapsed))
-	together(len(lapsed), func(i int) {
-		f, err := t.looker.lookDirectly(ctx, members[i], lists, darkTimeout)
-		looks[i] = seen{found: f, err: err}
+	results := make([]pollResult, len(lapsed))
+	parallel(len(lapsed), func(i int) {
+		report, err := t.poller.pollEngine(ctx, members[i], lists, unresponsiveTimeout)
+		results[i] = pollResult{rankReport: report, err: err}
 	})
-	return t.found(members, looks)
+	return t.successful(members, results)
 }
 
-// dated returns a look with the time that it is of. Engines report to other VMs
-// what they were some time ago.
-func (t *term) dated(f found) found {
-	if f.agent == nil {
-		f.state.AsOf = f.state.AsOf.Add(-t.reportLag())
+// withReportLag corrects the time of a report obtained without the engine's agent,
+// because engines report an older state to other VMs.
+func (t *term) withReportLag(report rankReport) rankReport {
+	if report.agent == nil {
+		report.state.AsOf = report.state.AsOf.Add(-t.reportLag())
 	}
-	return f
+	return report
 }
 
-// reportLag returns how old a report to another VM may be.
+// reportLag returns the largest assumed age of a report to another VM.
 func (t *term) reportLag() time.Duration {
 	if t.engine == nil || t.engine.ReportLag <= 0 {
-		return usualLag + lagMargin
+		return defaultReportLag + reportLagMargin
 	}
-	return t.engine.ReportLag + lagMargin
+	return t.engine.ReportLag + reportLagMargin
 }
 
-// arrange orders looks by rank and reports which ranks were seen.
-func (t *term) arrange(looks []found) (ranks []lockstep.State, byRank []found, seen []bool) {
+// indexByRank returns the reports by rank. seen reports which ranks have one.
+func (t *term) indexByRank(reports []rankReport) (ranks []lockstep.State, byRank []rankReport, seen []bool) {
 	ranks = make([]lockstep.State, t.size)
-	byRank = make([]found, t.size)
+	byRank = make([]rankReport, t.size)
 	seen = make([]bool, t.size)
-	for _, l := range looks {
-		i := l.state.Rank
-		if l.state.Group != t.group || i < 0 || i >= t.size || seen[i] {
+	for _, report := range reports {
+		i := report.state.Rank
+		if report.state.Group != t.group || i < 0 || i >= t.size || seen[i] {
 			continue
 		}
 		seen[i] = true
-		ranks[i], byRank[i] = l.state, l
-		if l.agent != nil {
-			t.rankOf[l.agent.Name] = i
+		ranks[i], byRank[i] = report.state, report
+		if report.agent != nil {
+			t.rankByAgent[report.agent.Name] = i
 		}
 	}
 	return ranks, byRank, seen
--- a/internal/ranker/maps.go
+++ b/internal/ranker/maps.go
@@ -12,97 +12,98 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/rank/lockstep"
 )
 
-// mapsKept is how many of its last maps an agent keeps: the one in force, the next
-// one, and two that were given up.
-const mapsKept = 4
+// maxCachedMaps is how many maps an agent keeps: the map in force, the next one, and
+// two that were given up.
+const maxCachedMaps = 4
 
-// mapLog is an agent's memory of the maps that it was told of, by version. No
-// version ever names two maps.
-type mapLog struct {
+// mapCache holds the maps that an agent has received, by version. A version never
+// identifies two different maps. It is safe for concurrent use.
+type mapCache struct {
 	mu   sync.Mutex
 	sets map[uint64][][][]int
 }
 
-// keep remembers a map and forgets the oldest.
-func (l *mapLog) keep(version uint64, sets [][][]int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.sets == nil {
-		l.sets = map[uint64][][][]int{}
+// add stores a map and drops those with the lowest versions beyond maxCachedMaps.
+func (c *mapCache) add(version uint64, sets [][][]int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.sets == nil {
+		c.sets = map[uint64][][][]int{}
 	}
-	l.sets[version] = sets
-	for len(l.sets) > mapsKept {
-		delete(l.sets, slices.Min(slices.Collect(maps.Keys(l.sets))))
+	c.sets[version] = sets
+	for len(c.sets) > maxCachedMaps {
+		delete(c.sets, slices.Min(slices.Collect(maps.Keys(c.sets))))
 	}
 }
 
-// read returns the map that a message tells, or false when it is told by changes
-// of one that isn't known.
+// decode returns the map in a message. It reports false if the map is encoded as
+// changes to one that is not cached, or if the changes do not yield the leader's map.
 //
-// Guard: were an agent's map to differ from the others' by a single place, the
-// group would run a step with two maps. So what is read by changes counts only if
-// its digest is that of the leader's map.
-func (l *mapLog) read(p *fleetpb.Prepare) ([][][]int, bool) {
-	if p.GetBase() == 0 && p.GetInTurn() == nil {
-		return setsFrom(p.GetSets()), true
+// If an agent's map differed from the others' in a single place, the group would run
+// a step with two maps. A map decoded from changes is therefore accepted only if its
+// digest equals that of the leader's map.
+func (c *mapCache) decode(msg *fleetpb.Prepare) ([][][]int, bool) {
+	if msg.GetBase() == 0 && msg.GetInTurn() == nil {
+		return setsFromProto(msg.GetSets()), true
 	}
-	base, ok := l.base(p)
+	base, ok := c.base(msg)
 	if !ok {
 		return nil, false
 	}
-	out, ok := apply(base, p)
-	return out, ok && digest(out) == p.GetDigest()
+	out, ok := applyChanges(base, msg)
+	return out, ok && digest(out) == msg.GetDigest()
 }
 
-// base returns the map of which a message tells changes.
-func (l *mapLog) base(p *fleetpb.Prepare) ([][][]int, bool) {
-	if t := p.GetInTurn(); t != nil {
-		return inTurn(t)
+// base returns the map to which a message's changes apply.
+func (c *mapCache) base(msg *fleetpb.Prepare) ([][][]int, bool) {
+	if shape := msg.GetInTurn(); shape != nil {
+		return roundRobinMap(shape)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	base, ok := l.sets[p.GetBase()]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	base, ok := c.sets[msg.GetBase()]
 	return base, ok
 }
 
-// apply returns a map with the changes of a message.
-func apply(base [][][]int, p *fleetpb.Prepare) ([][][]int, bool) {
+// applyChanges returns a copy of base with a message's changes, and false if they do
+// not fit.
+func applyChanges(base [][][]int, msg *fleetpb.Prepare) ([][][]int, bool) {
 	out := make([][][]int, len(base))
 	for s := range base {
 		out[s] = slices.Clone(base[s])
 	}
-	return out, changePlaces(out, p.GetChanges())
+	return out, setPlaces(out, msg.GetChanges())
 }
 
-// changePlaces puts the experts of changes into a map. It reports false for changes
-// that don't fit it.
-func changePlaces(sets [][][]int, c *fleetpb.Changes) bool {
-	counts, experts := c.GetCounts(), c.GetExperts()
-	if len(sets) == 0 || len(counts) != len(c.GetPlaces()) {
+// setPlaces applies changes to a map in place. It reports false for changes that do
+// not fit the map.
+func setPlaces(sets [][][]int, changes *fleetpb.Changes) bool {
+	counts, experts := changes.GetCounts(), changes.GetExperts()
+	if len(sets) == 0 || len(counts) != len(changes.GetPlaces()) {
 		return false
 	}
 	ranks, place := len(sets[0]), 0
-	for i, d := range c.GetPlaces() {
-		place += int(d)
+	for i, delta := range changes.GetPlaces() {
+		place += int(delta)
 		n := int(counts[i])
 		if place >= len(sets)*ranks || n > len(experts) {
 			return false
 		}
-		sets[place/ranks][place%ranks] = ints(experts[:n])
+		sets[place/ranks][place%ranks] = toInts(experts[:n])
 		experts = experts[n:]
 	}
 	return len(experts) == 0
 }
 
-// mostExperts bounds the experts of a map that is told by its shape alone, so that
-// a garbled message takes no memory.
-const mostExperts = 1 << 20
+// maxExperts bounds the size of a map that is encoded by its shape alone, so that a
+// malformed message cannot exhaust memory.
+const maxExperts = 1 << 20
 
-// inTurn returns the map of a shape in which each expert is on one rank, the first
-// on the first rank and so on in turn. It reports false for a shape that is none.
-func inTurn(t *fleetpb.InTurn) ([][][]int, bool) {
-	sets, ranks, experts := int(t.GetSets()), int(t.GetRanks()), int(t.GetExperts())
-	if ranks == 0 || experts == 0 || sets == 0 || experts > mostExperts/sets || ranks > experts {
+// roundRobinMap returns the map of a shape in which each expert is on one rank,
+// assigned to the ranks in round-robin order. It reports false for an invalid shape.
+func roundRobinMap(shape *fleetpb.InTurn) ([][][]int, bool) {
+	sets, ranks, experts := int(shape.GetSets()), int(shape.GetRanks()), int(shape.GetExperts())
+	if ranks == 0 || experts == 0 || sets == 0 || experts > maxExperts/sets || ranks > experts {
 		return nil, false
 	}
 	out := make([][][]int, sets)
@@ -115,9 +116,8 @@
 	return out, true
 }
 
-// shapeInTurn returns the shape of a map in which experts are in turn, or nil for
-// any other.
-func shapeInTurn(sets [][][]int) *fleetpb.InTurn {
+// roundRobinShape returns the shape of a round-robin map, or nil for any other map.
+func roundRobinShape(sets [][][]int) *fleetpb.InTurn {
 	if len(sets) == 0 {
 		return nil
 	}
@@ -125,42 +125,42 @@
 	for _, rank := range sets[0] {
 		experts += len(rank)
 	}
-	t := &fleetpb.InTurn{Sets: uint32(len(sets)), Ranks: uint32(len(sets[0])), Experts: uint32(experts)}
-	plain, ok := inTurn(t)
-	if !ok || digest(plain) != digest(sets) {
+	shape := &fleetpb.InTurn{Sets: uint32(len(sets)), Ranks: uint32(len(sets[0])), Experts: uint32(experts)}
+	roundRobin, ok := roundRobinMap(shape)
+	if !ok || digest(roundRobin) != digest(sets) {
 		return nil
 	}
-	return t
+	return shape
 }
 
-// prepareProto is the message that has an agent prepare a map: by what differs
-// from the map in force, or whole where that is not known. Nobody was told of the
-// map with which a group begins, but it follows from its shape.
+// prepareProto encodes the order to prepare a map: as changes to the map in force, or
+// in full if that is not known. The map with which a group begins was never sent to
+// any agent, but follows from its shape.
 //
-// Load: 63 to 72 ranks behind a line of 8 Mbit/s. Whole, a map for all takes 250 to
-// 500 kB, a quarter to half a second in which the group waits for it; the changes
-// of one copy a rank take a tenth of that. Harm prevented: while whole maps filled
-// the leader's line after a group had formed, agents did not answer in time and
-// were passed over, and the first change held the group for over a second.
-func prepareProto(o lockstep.Prepare, inForce *lockstep.Goal) *fleetpb.Prepare {
-	p := &fleetpb.Prepare{Version: o.Version, Digest: digest(o.Sets)}
-	if inForce != nil && sameShape(inForce.Sets, o.Sets) {
-		p.Base = inForce.Version
-		if p.Base == 0 {
-			p.InTurn = shapeInTurn(inForce.Sets)
+// For 63 to 72 ranks behind an 8 Mbit/s link, full maps for all agents take 250 to
+// 500 kB, which is a quarter to half a second for which the group waits; changes of
+// one copy per rank take a tenth of that. While full maps filled the leader's link
+// after a group had formed, agents did not answer in time and were no longer asked,
+// and the first change held the group for over a second.
+func prepareProto(order lockstep.Prepare, inForce *lockstep.Goal) *fleetpb.Prepare {
+	msg := &fleetpb.Prepare{Version: order.Version, Digest: digest(order.Sets)}
+	if inForce != nil && sameShape(inForce.Sets, order.Sets) {
+		msg.Base = inForce.Version
+		if msg.Base == 0 {
+			msg.InTurn = roundRobinShape(inForce.Sets)
 		}
 	}
-	if p.Base == 0 && p.InTurn == nil {
-		p.Sets = setsProto(o.Sets)
-		return p
+	if msg.Base == 0 && msg.InTurn == nil {
+		msg.Sets = setsProto(order.Sets)
+		return msg
 	}
-	p.Changes = changesProto(inForce.Sets, o.Sets)
-	return p
+	msg.Changes = changesProto(inForce.Sets, order.Sets)
+	return msg
 }
 
-// changesProto tells in what a map differs from another of the same shape.
+// changesProto encodes the differences between two maps of the same shape.
 func changesProto(before, after [][][]int) *fleetpb.Changes {
-	c := &fleetpb.Changes{}
+	changes := &fleetpb.Changes{}
 	last := 0
 	for s, ranks := range after {
 		for r, experts := range ranks {
@@ -168,32 +168,32 @@
 				continue
 			}
 			place := s*len(ranks) + r
-			c.Places = append(c.Places, uint32(place-last))
-			c.Counts = append(c.Counts, uint32(len(experts)))
-			c.Experts = append(c.Experts, uints(experts)...)
+			changes.Places = append(changes.Places, uint32(place-last))
+			changes.Counts = append(changes.Counts, uint32(len(experts)))
+			changes.Experts = append(changes.Experts, toUint32s(experts)...)
 			last = place
 		}
 	}
-	return c
+	return changes
 }
 
-// digest returns a hash of a map, of its sizes and the order of experts too.
+// digest returns a hash of a map that covers its dimensions and the order of experts.
 func digest(sets [][][]int) uint64 {
 	h := xxhash.New()
-	number := func(n int) {
+	writeInt := func(n int) {
 		var b [4]byte
 		binary.LittleEndian.PutUint32(b[:], uint32(n))
 		if _, err := h.Write(b[:]); err != nil {
 			panic(err) // hashes never fail
 		}
 	}
-	number(len(sets))
+	writeInt(len(sets))
 	for _, ranks := range sets {
-		number(len(ranks))
+		writeInt(len(ranks))
 		for _, experts := range ranks {
-			number(len(experts))
+			writeInt(len(experts))
 			for _, e := range experts {
-				number(e)
+				writeInt(e)
 			}
 		}
 	}
@@ -212,13 +212,13 @@
 	return true
 }
 
-// inOrder sorts the experts of each rank, in place, and returns the map.
+// sortExperts sorts the experts of each rank in place and returns the map.
 //
-// Guard: agents that are told a map by changes must have engines prepare the very
-// map that the others do, and engines compare the order of experts too. A leader
-// that learnt the map in force from the ranks has it in their order; so all maps
-// have one.
-func inOrder(sets [][][]int) [][][]int {
+// Engines compare maps including the order of experts, and agents that receive
+// changes must give their engines exactly the same map as the others. A leader that
+// has read the map in force from the ranks has it in their order, so all maps are
+// sorted.
+func sortExperts(sets [][][]int) [][][]int {
 	for _, ranks := range sets {
 		for _, experts := range ranks {
 			slices.Sort(experts)
@@ -232,26 +232,26 @@
 	for _, ranks := range sets {
 		set := &fleetpb.SetOfRanks{}
 		for _, experts := range ranks {
-			set.Ranks = append(set.Ranks, &fleetpb.Experts{Experts: uints(experts)})
+			set.Ranks = append(set.Ranks, &fleetpb.Experts{Experts: toUint32s(experts)})
 		}
 		out = append(out, set)
 	}
 	return out
 }
 
-func setsFrom(p []*fleetpb.SetOfRanks) [][][]int {
-	out := make([][][]int, 0, len(p))
-	for _, set := range p {
+func setsFromProto(msgs []*fleetpb.SetOfRanks) [][][]int {
+	out := make([][][]int, 0, len(msgs))
+	for _, set := range msgs {
 		ranks := make([][]int, 0, len(set.GetRanks()))
 		for _, experts := range set.GetRanks() {
-			ranks = append(ranks, ints(experts.GetExperts()))
+			ranks = append(ranks, toInts(experts.GetExperts()))
 		}
 		out = append(out, ranks)
 	}
 	return out
 }
 
-func uints(experts []int) []uint32 {
+func toUint32s(experts []int) []uint32 {
 	out := make([]uint32, 0, len(experts))
 	for _, e := range experts {
 		out = append(out, uint32(e))
@@ -259,7 +259,7 @@
 	return out
 }
 
-func ints(experts []uint32) []int {
+func toInts(experts []uint32) []int {
 	out := make([]int, 0, len(experts))
 	for _, e := range experts {
 		out = append(out, int(e))
--- a/internal/ranker/members.go
+++ b/internal/ranker/members.go
@@ -11,91 +11,93 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/platform/mirror"
 )
 
-// lapsedTime is how long the engine of an agent whose key has vanished is still
-// asked directly. Agents are restarted within a second or two, and VMs replaced
-// within some ten; an engine that is gone for good is another one's rank by then.
-const lapsedTime = 15 * time.Second
+// lapsedRetention is how long the engine of an agent whose key has vanished is still
+// polled directly. Agents are restarted within one or two seconds and VMs replaced
+// within about ten. By the end of this time, the rank of an engine that does not
+// return has been given to another engine.
+const lapsedRetention = 15 * time.Second
 
-// lapse is an agent whose key has vanished, and when that was seen.
-type lapse struct {
-	member fleet.Member
-	at     time.Time
+// lapsedMember is an agent whose key has vanished, with the time when that was
+// noticed.
+type lapsedMember struct {
+	member   fleet.Member
+	lapsedAt time.Time
 }
 
-// lapse remembers an agent whose key has vanished, with mu held.
+// markLapsed remembers an agent whose key has vanished. The caller holds mu.
 //
-// Guard: an agent is restarted, or the store lets its lease lapse in an outage.
-// Its engine goes on with the group and with what it holds or is armed for. A
-// leader that forgot the engine with the agent would not see that rank, and so
-// give no order to any: held steps stayed held for 5 s while agents were
-// restarted in turn.
-func (r *Ranker) lapse(name string, now time.Time) {
+// A key vanishes when its agent is restarted, or when its lease lapses during an
+// outage of the store. The agent's engine still belongs to the group and keeps what
+// it holds or is armed for. A leader that forgot the engine together with the agent
+// would not see that rank and would give no orders to any rank; steps stayed held for
+// 5 s that way while agents were restarted in turn.
+func (r *Ranker) markLapsed(name string, now time.Time) {
 	if m, ok := r.agents[name]; ok {
-		r.lapsed[name] = lapse{member: m, at: now}
+		r.lapsed[name] = lapsedMember{member: m, lapsedAt: now}
 	}
 }
 
-// followMembers follows the product's processes while this one leads a group, and
-// returns when it knows them once, or the store does not tell. The returned
-// function ends it.
-func (r *Ranker) followMembers(ctx context.Context) (end func()) {
+// watchMembers mirrors the fleet's members from the store while this agent leads a
+// group. It returns after the first update, or after storeTimeout if the store does
+// not answer. The returned function stops the mirror.
+func (r *Ranker) watchMembers(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	known := make(chan struct{})
+	ready := make(chan struct{})
 	var once sync.Once
 	m := &mirror.Mirror{
-		Reader: r.store, Prefix: fleet.Prefix, Wait: pollWait, Settle: pollSettle, Doubt: &r.returned, Now: boottime.Now,
+		Reader: r.store, Prefix: fleet.Prefix, Wait: memberPollWait, Settle: memberPollSettle, Doubt: &r.storeReturned, Now: boottime.Now,
 		Apply: func(u mirror.Update) {
 			r.applyMembers(u)
-			once.Do(func() { close(known) })
+			once.Do(func() { close(ready) })
 		},
-		Failed: r.storeFailed,
+		Failed: r.logStoreFailure,
 	}
 	done := make(chan error, 1)
 	go func() { done <- m.Run(ctx) }()
 	t := time.NewTimer(storeTimeout)
 	defer t.Stop()
 	select {
-	case <-known:
+	case <-ready:
 	case <-t.C:
 	case <-ctx.Done():
 	}
 	return func() {
 		cancel()
 		if err := <-done; err != nil {
-			r.storeFailed(err)
+			r.logStoreFailure(err)
 		}
 	}
 }
 
-// applyMembers takes in what the store told of the product's processes.
+// applyMembers applies an update of the fleet's members from the store.
 func (r *Ranker) applyMembers(u mirror.Update) {
 	now := boottime.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if u.Whole {
 		for name := range r.agents {
-			r.lapse(name, now)
+			r.markLapsed(name, now)
 		}
 		clear(r.agents)
 		clear(r.entries)
 	}
 	for _, item := range u.KVs {
-		r.put(item)
+		r.putMember(item)
 	}
 	for _, key := range u.Deleted {
-		r.remove(key, now)
+		r.removeMember(key, now)
 	}
 	if _, lapsed := r.lapsed[r.Settings.Name]; lapsed {
 		delete(r.lapsed, r.Settings.Name)
-		r.doubt.Raise()
+		r.leaseInDoubt.Raise()
 	}
 }
 
-func (r *Ranker) put(item kv.KeyValue) {
+func (r *Ranker) putMember(item kv.KeyValue) {
 	m, ok, err := fleet.Decode(item.Key(), item.Value())
 	switch {
 	case err != nil:
-		r.Log.WithField("cause", err.Error()).Warn("entry not readable, ignored")
+		r.Log.WithField("cause", err.Error()).Warn("cannot decode member key; ignored")
 	case ok && m.Kind == fleet.Agent:
 		r.agents[m.Name] = m
 		delete(r.lapsed, m.Name)
@@ -104,17 +106,17 @@
 	}
 }
 
-func (r *Ranker) remove(key string, now time.Time) {
+func (r *Ranker) removeMember(key string, now time.Time) {
 	switch kind, name, _ := fleet.KeyOf(key); kind {
 	case fleet.Agent:
-		r.lapse(name, now)
+		r.markLapsed(name, now)
 		delete(r.agents, name)
 	case fleet.Entry:
 		delete(r.entries, name)
 	}
 }
 
-// members returns the agents of a group and the entries.
+// members returns the agents of a group and all entries.
 func (r *Ranker) members(group string) (agents, entries []fleet.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -129,18 +131,18 @@
 	return agents, entries
 }
 
-// lapsedMembers returns the agents of a group whose keys have vanished a short
-// while ago.
+// lapsedMembers returns the agents of a group whose keys vanished no longer than
+// lapsedRetention ago, and forgets older ones.
 func (r *Ranker) lapsedMembers(group string, now time.Time) []fleet.Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []fleet.Member
-	for name, l := range r.lapsed {
+	for name, lapsed := range r.lapsed {
 		switch {
-		case now.Sub(l.at) > lapsedTime:
+		case now.Sub(lapsed.lapsedAt) > lapsedRetention:
 			delete(r.lapsed, name)
-		case l.member.Group == group:
-			out = append(out, l.member)
+		case lapsed.member.Group == group:
+			out = append(out, lapsed.member)
 		}
 	}
 	return out
--- a/internal/ranker/orders.go
+++ b/internal/ranker/orders.go
@@ -13,21 +13,21 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// mostFollows bounds how many orders follow one another without a look: hold,
-// arms in three parts, go.
-const mostFollows = 5
+// maxFollowUps bounds how many rounds of orders are given without a poll in between:
+// hold, arm in three parts, go.
+const maxFollowUps = 5
 
-// prepareTimeout bounds a call that hands a map on.
+// prepareTimeout bounds a call that has a delegate deliver a map.
 const prepareTimeout = 600 * time.Millisecond
 
-// giveAndFollow hands orders to their ranks, and those that next decides as long
-// as each was answered as done: then the ranks' state is known without another
-// look, and a held step goes on some milliseconds sooner.
-func (t *term) giveAndFollow(
-	ctx context.Context, directives []lockstep.Directive, ranks []lockstep.State, byRank []found,
+// giveAndContinue delivers orders to their ranks, then those that next returns, as
+// long as every order is answered as already carried out. The ranks' states are then
+// known without another poll, and a held step is released some milliseconds sooner.
+func (t *term) giveAndContinue(
+	ctx context.Context, directives []lockstep.Directive, ranks []lockstep.State, byRank []rankReport,
 	next func(now time.Time) []lockstep.Directive,
 ) {
-	for range mostFollows {
+	for range maxFollowUps {
 		outcomes := t.giveAll(ctx, directives, byRank)
 		for i, d := range directives {
 			if outcomes[i] != lockstep.Already || !lockstep.Apply(&ranks[d.Rank], d.Order) {
@@ -41,25 +41,25 @@
 	}
 }
 
-// giveAll hands orders to their ranks: those that were seen through a delegate
-// through that one, and the others one by one.
-func (t *term) giveAll(ctx context.Context, directives []lockstep.Directive, byRank []found) []lockstep.Outcome {
-	t.tellMap(directives)
+// giveAll delivers orders to their ranks: through the delegate by which the rank was
+// polled, or else one by one. It returns the outcome of each order.
+func (t *term) giveAll(ctx context.Context, directives []lockstep.Directive, byRank []rankReport) []lockstep.Outcome {
+	t.setPrepare(directives)
 	outcomes := make([]lockstep.Outcome, len(directives))
 	byDelegate := map[string][]int{}
-	var parts []func()
+	var calls []func()
 	for i, d := range directives {
-		to := byRank[d.Rank]
-		if to.via != nil && !stepOrder(d.Order) {
-			byDelegate[to.via.Name] = append(byDelegate[to.via.Name], i)
+		target := byRank[d.Rank]
+		if target.delegate != nil && !isStepOrder(d.Order) {
+			byDelegate[target.delegate.Name] = append(byDelegate[target.delegate.Name], i)
 			continue
 		}
-		parts = append(parts, func() { outcomes[i] = t.give(ctx, d, to) })
+		calls = append(calls, func() { outcomes[i] = t.giveOrder(ctx, d, target) })
 	}
-	for _, bunch := range byDelegate {
-		parts = append(parts, func() { t.giveBunch(ctx, bunch, directives, byRank, outcomes) })
+	for _, indices := range byDelegate {
+		calls = append(calls, func() { t.giveToSubgroup(ctx, indices, directives, byRank, outcomes) })
 	}
-	together(len(parts), func(i int) { parts[i]() })
+	parallel(len(calls), func(i int) { calls[i]() })
 	now := boottime.Now()
 	for i, d := range directives {
 		t.leader.Answered(d, outcomes[i], now)
@@ -67,146 +67,149 @@
 	return outcomes
 }
 
-// giveBunch hands the directives of some indices to their ranks through the
-// delegate that they were seen through, and notes the outcomes.
-func (t *term) giveBunch(
-	ctx context.Context, bunch []int, directives []lockstep.Directive, byRank []found, outcomes []lockstep.Outcome,
+// giveToSubgroup delivers the directives with the given indices through the delegate
+// by which their ranks were polled, and stores the outcomes under the same indices.
+func (t *term) giveToSubgroup(
+	ctx context.Context, indices []int, directives []lockstep.Directive, byRank []rankReport, outcomes []lockstep.Outcome,
 ) {
 	if !t.mayGive(boottime.Now()) {
 		return
 	}
-	via := byRank[directives[bunch[0]].Rank].via
-	q := &fleetpb.SpreadRequest{Token: t.token}
-	for _, i := range bunch {
+	delegate := byRank[directives[indices[0]].Rank].delegate
+	req := &fleetpb.SpreadRequest{Token: t.token}
+	for _, i := range indices {
 		d := directives[i]
 		if _, ok := d.Order.(lockstep.Prepare); ok {
-			q.Prepare = t.prepare
+			req.Prepare = t.prepareMsg
 		}
-		q.Orders = append(q.Orders, addressed(d, byRank[d.Rank]))
+		req.Orders = append(req.Orders, addressedProto(d, byRank[d.Rank]))
 	}
-	replies, err := t.spread(ctx, via, q)
+	replies, err := t.callSpread(ctx, delegate, req)
 	if err != nil {
-		t.tree.Failed(via.Name, boottime.Now())
-		t.logSilentDelegate(via.Name, err)
+		t.tree.Failed(delegate.Name, boottime.Now())
+		t.logDelegateFailure(delegate.Name, err)
 		return
 	}
-	for n, i := range bunch {
-		d, to := directives[i], byRank[directives[i].Rank]
-		if replies[n].GetUnknownBase() {
-			outcomes[i] = t.give(ctx, d, to)
+	for k, i := range indices {
+		d, target := directives[i], byRank[directives[i].Rank]
+		if replies[k].GetUnknownBase() {
+			outcomes[i] = t.giveOrder(ctx, d, target)
 			continue
 		}
-		outcomes[i] = lockstep.Outcome(replies[n].GetStatus())
-		t.logGiven(d, outcomes[i], nil)
+		outcomes[i] = lockstep.Outcome(replies[k].GetStatus())
+		t.logOrder(d, outcomes[i], nil)
 	}
 }
 
-// addressed is an order for a rank that was seen through a delegate.
-func addressed(d lockstep.Directive, to found) *fleetpb.Addressed {
-	a := &fleetpb.Addressed{Order: giveProto(0, d, &fleetpb.Prepare{}), Direct: to.agent == nil}
-	if a.Direct {
-		a.Target = &fleetpb.Target{Endpoint: to.address}
+// addressedProto encodes an order for a rank that was polled through a delegate.
+func addressedProto(d lockstep.Directive, target rankReport) *fleetpb.Addressed {
+	order := &fleetpb.Addressed{Order: giveRequestProto(0, d, &fleetpb.Prepare{}), Direct: target.agent == nil}
+	if order.Direct {
+		order.Target = &fleetpb.Target{Endpoint: target.address}
 	} else {
-		a.Target = targetOf(to.agent)
+		order.Target = targetProto(target.agent)
 	}
-	return a
+	return order
 }
 
-// orderTimeout bounds a call that hands orders on. One to prepare a map is larger
-// than others and holds nothing up.
+// orderTimeout bounds a call that delivers orders. A Prepare is larger than other
+// orders and is usually sent before a step is held, so it may take longer.
 func orderTimeout(prepare bool) time.Duration {
 	if prepare {
 		return prepareTimeout
 	}
-	return callTimeout
+	return agentCallTimeout
 }
 
-// spread has a delegate hand orders on. It returns a reply for each.
-func (t *term) spread(ctx context.Context, via *fleet.Member, q *fleetpb.SpreadRequest) ([]*fleetpb.GiveReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout(q.GetPrepare() != nil))
+// callSpread has a delegate deliver orders and returns one reply for each.
+func (t *term) callSpread(ctx context.Context, delegate *fleet.Member, req *fleetpb.SpreadRequest) ([]*fleetpb.GiveReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout(req.GetPrepare() != nil))
 	defer cancel()
-	conn, err := t.ranker.conns.Get(via.Address)
+	conn, err := t.ranker.conns.Get(delegate.Address)
 	if err != nil {
 		return nil, err
 	}
-	p, err := fleetpb.NewAgentClient(conn).Spread(ctx, q)
+	resp, err := fleetpb.NewAgentClient(conn).Spread(ctx, req)
 	if err != nil {
 		return nil, err
 	}
-	if len(p.GetReplies()) != len(q.GetOrders()) {
-		return nil, result.Newf(result.MalformedMsg, "%d replies to %d orders", len(p.GetReplies()), len(q.GetOrders()))
+	if len(resp.GetReplies()) != len(req.GetOrders()) {
+		return nil, result.Newf(result.MalformedMsg, "Spread returned %d replies to %d orders", len(resp.GetReplies()), len(req.GetOrders()))
 	}
-	return p.GetReplies(), nil
+	return resp.GetReplies(), nil
 }
 
-// tellMap makes the message of the map that ranks are to prepare, the same for all.
-func (t *term) tellMap(directives []lockstep.Directive) {
+// setPrepare encodes the map that ranks are to prepare, which is the same for all
+// ranks.
+func (t *term) setPrepare(directives []lockstep.Directive) {
 	for _, d := range directives {
 		if p, ok := d.Order.(lockstep.Prepare); ok {
-			t.prepare, t.prepared = prepareProto(p, t.leader.InForce()), p.Sets
+			t.prepareMsg, t.preparedSets = prepareProto(p, t.leader.InForce()), p.Sets
 			return
 		}
 	}
 }
 
-func (t *term) give(ctx context.Context, d lockstep.Directive, to found) lockstep.Outcome {
+func (t *term) giveOrder(ctx context.Context, d lockstep.Directive, target rankReport) lockstep.Outcome {
 	if !t.mayGive(boottime.Now()) {
 		return lockstep.Unknown
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, agentCallTimeout)
 	defer cancel()
-	o, err := t.send(ctx, d, to)
-	t.logGiven(d, o, err)
+	o, err := t.send(ctx, d, target)
+	t.logOrder(d, o, err)
 	return o
 }
 
-// mayGive reports whether orders may still be given. A leader that was frozen may
-// have decided them before another took over.
+// mayGive reports whether the term still allows orders to be given. A leader whose VM
+// was frozen may have decided on them before another agent took over; unless engines
+// check fencing tokens, such orders must not be sent after the lease has lapsed.
 func (t *term) mayGive(now time.Time) bool {
-	return t.ranker.Settings.FencingChecked || now.Before(t.until)
+	return t.ranker.Settings.FencingChecked || now.Before(t.leaseUntil)
 }
 
-// logGiven tells what became of an order. One line tells of a map as a whole.
-func (t *term) logGiven(d lockstep.Directive, o lockstep.Outcome, err error) {
+// logOrder logs the outcome of an order. A Prepare that an engine has begun is left
+// out, because the proposal of a map is logged once for all ranks.
+func (t *term) logOrder(d lockstep.Directive, o lockstep.Outcome, err error) {
 	if _, ok := d.Order.(lockstep.Prepare); ok && o == lockstep.Begun {
 		return
 	}
-	f := logrus.Fields{"group": t.group, "rank": d.Rank, "epoch": d.Epoch, "sequence": d.Sequence, "outcome": o.String()}
-	describe(f, d.Order)
+	fields := logrus.Fields{"group": t.group, "rank": d.Rank, "epoch": d.Epoch, "sequence": d.Sequence, "outcome": o.String()}
+	addOrderFields(fields, d.Order)
 	if err != nil {
-		f["cause"] = err.Error()
+		fields["cause"] = err.Error()
 	}
-	t.ranker.Log.WithFields(f).Info("order given")
+	t.ranker.Log.WithFields(fields).Info("order given")
 }
 
-func (t *term) send(ctx context.Context, d lockstep.Directive, to found) (lockstep.Outcome, error) {
+func (t *term) send(ctx context.Context, d lockstep.Directive, target rankReport) (lockstep.Outcome, error) {
 	r := t.ranker
 	switch {
-	case to.agent == nil || stepOrder(d.Order):
-		return giveAgain(ctx, t.looker.engineAt(to.address), t.token, d, t.tries)
-	case to.agent.Name == r.Settings.Name:
-		return r.giveOwn(ctx, t.token, d)
+	case target.agent == nil || isStepOrder(d.Order):
+		return giveWithRetries(ctx, t.poller.engineAt(target.address), t.token, d, t.retries)
+	case target.agent.Name == r.Settings.Name:
+		return r.giveLocal(ctx, t.token, d)
 	}
-	conn, err := r.conns.Get(to.agent.Address)
+	conn, err := r.conns.Get(target.agent.Address)
 	if err != nil {
 		return lockstep.Unknown, err
 	}
 	agent := fleetpb.NewAgentClient(conn)
-	p, err := agent.Give(ctx, giveProto(t.token, d, t.prepare))
-	if err == nil && p.GetUnknownBase() {
-		whole := &fleetpb.Prepare{Version: t.prepare.GetVersion(), Sets: setsProto(t.prepared)}
-		p, err = agent.Give(ctx, giveProto(t.token, d, whole))
+	resp, err := agent.Give(ctx, giveRequestProto(t.token, d, t.prepareMsg))
+	if err == nil && resp.GetUnknownBase() {
+		full := &fleetpb.Prepare{Version: t.prepareMsg.GetVersion(), Sets: setsProto(t.preparedSets)}
+		resp, err = agent.Give(ctx, giveRequestProto(t.token, d, full))
 	}
 	if err != nil {
 		return lockstep.Unknown, err
 	}
-	return lockstep.Outcome(p.GetStatus()), nil
+	return lockstep.Outcome(resp.GetStatus()), nil
 }
 
-// stepOrder reports whether an order holds a step or lets it go. These go to the
-// engine directly: the agent on the way may be the one whose VM freezes, and
-// then nobody would reach the rank that holds the group.
-func stepOrder(o lockstep.Order) bool {
+// isStepOrder reports whether an order holds or releases a step. Such orders go to
+// the engine directly: the VM of the agent in between may freeze, and then the rank
+// that holds up the group would be out of reach.
+func isStepOrder(o lockstep.Order) bool {
 	switch o.(type) {
 	case lockstep.Hold, lockstep.Go:
 		return true
@@ -215,20 +218,20 @@
 	}
 }
 
-// describe adds what an order says.
-func describe(f logrus.Fields, o lockstep.Order) {
+// addOrderFields adds the contents of an order to the fields of a log line.
+func addOrderFields(fields logrus.Fields, o lockstep.Order) {
 	switch o := o.(type) {
 	case lockstep.Fence:
-		f["order"] = "fence"
+		fields["order"] = "fence"
 	case lockstep.Prepare:
-		f["order"], f["map"] = "prepare", o.Version
+		fields["order"], fields["map"] = "prepare", o.Version
 	case lockstep.Arm:
-		f["order"], f["map"], f["step"] = "arm", o.Version, o.Step
+		fields["order"], fields["map"], fields["step"] = "arm", o.Version, o.Step
 	case lockstep.Disarm:
-		f["order"], f["map"] = "disarm", o.Version
+		fields["order"], fields["map"] = "disarm", o.Version
 	case lockstep.Hold:
-		f["order"], f["step"] = "hold", o.Step
+		fields["order"], fields["step"] = "hold", o.Step
 	case lockstep.Go:
-		f["order"], f["step"] = "go", o.Step
+		fields["order"], fields["step"] = "go", o.Step
 	}
 }
--- a/internal/ranker/planner.go
+++ b/internal/ranker/planner.go
@@ -9,45 +9,49 @@
 )
 
 const (
-	// copyBudget is for how long a rank copies experts in one change: about as
-	// long as the rest of a change takes.
+	// copyBudget is how long a rank may spend on copying experts in one change. It is
+	// about as long as the rest of a change takes.
 	copyBudget = 100 * time.Millisecond
-	// copyGain is the fall of the skew of one set that a copy has to bring.
-	copyGain = 0.02
-	// leastGain is the fall of the mean skew that a change has to bring: each
-	// holds the group for some milliseconds.
-	leastGain = 0.01
-	// easyPass is the part of the longest pause between events below which
-	// passes count as easy: nobody waits for the last hundredths of skew then,
-	// and copies are made only for easyTimes the usual gain.
-	easyPass  = 0.5
-	easyTimes = 3
+	// minCopyGain is the smallest reduction of one set's skew that justifies a copy.
+	minCopyGain = 0.02
+	// minMapGain is the smallest reduction of the mean skew that justifies a change,
+	// because each change holds the group for some milliseconds.
+	minMapGain = 0.01
+	// shortPassShare is the part of the longest acceptable pause between events below
+	// which a forward pass counts as short. The last hundredths of skew delay no
+	// stream then, and copies and changes must bring shortPassGainFactor times the
+	// usual gain.
+	shortPassShare      = 0.5
+	shortPassGainFactor = 3
 )
 
 // planner decides whether a group gets another expert map.
 type planner struct {
 	engine *routing.Engine
 	ranks  int
-	// gap is the longest pause between events that callers bear.
-	gap time.Duration
+	// maxGap is the shortest of the longest pauses between events that the service's
+	// routes allow, or 0 for a service without streams.
+	maxGap time.Duration
 }
 
-// planned is a map to propose.
-type planned struct {
-	sets          [][][]int
-	copies        int
-	before, after float64
+// proposal is a map to propose, with the number of expert copies that it needs and
+// the mean skew before and after the change.
+type proposal struct {
+	sets                  [][][]int
+	copies                int
+	skewBefore, skewAfter float64
 }
 
-// plan returns the next map, or nil when none is worth it.
+// plan returns the next map, or nil when no map is worth a change. loads holds the
+// experts' shares by set, slowdowns each rank's slowdown factor, and maxRunning is
+// the largest number of requests that a rank runs.
 //
-// Load: a calm group, whose passes are short whatever the skew, and one near its
-// limit, where each hundredth of skew makes streams late. Harm prevented: copies
-// that buy nothing, which are priced and lengthen passes while they last. Writers
-// is the largest number of requests that a rank runs.
-func (p *planner) plan(current [][][]int, loads [][]float64, slow []float64, writers int) (*planned, error) {
-	x := p.engine.Experts
-	shape := evenmap.Shape{Ranks: p.ranks, Slots: x.Slots, Experts: x.Count}
+// A lightly loaded group has short passes whatever the skew, whereas near the group's
+// limit each hundredth of skew delays streams. The required gain therefore depends on
+// the length of a pass: copies are charged for and lengthen passes while they last.
+func (p *planner) plan(current [][][]int, loads [][]float64, slowdowns []float64, maxRunning int) (*proposal, error) {
+	experts := p.engine.Experts
+	shape := evenmap.Shape{Ranks: p.ranks, Slots: experts.Slots, Experts: experts.Count}
 	sets := make([]*evenmap.Placement, 0, len(current))
 	for _, ranks := range current {
 		s, err := evenmap.NewPlacement(shape, ranks)
@@ -56,47 +60,48 @@
 		}
 		sets = append(sets, s)
 	}
-	limits := evenmap.Limits{PerRank: p.copies(), PerSet: x.Spare, Slow: slow, MinGain: copyGain}
-	least := leastGain
-	if p.easy(sets, loads, writers) {
-		limits.MinGain *= easyTimes
-		least *= easyTimes
+	limits := evenmap.Limits{PerRank: p.copiesPerRank(), PerSet: experts.Spare, Slow: slowdowns, MinGain: minCopyGain}
+	minGain := minMapGain
+	if p.hasShortPasses(sets, loads, maxRunning) {
+		limits.MinGain *= shortPassGainFactor
+		minGain *= shortPassGainFactor
 	}
 	plan := evenmap.NewPlan(sets, loads, limits)
-	if plan.Before()-plan.After() < least {
+	if plan.Before()-plan.After() < minGain {
 		return nil, nil
 	}
-	out := &planned{copies: plan.Copies(), before: plan.Before(), after: plan.After()}
+	next := &proposal{copies: plan.Copies(), skewBefore: plan.Before(), skewAfter: plan.After()}
 	for _, s := range plan.Next() {
-		out.sets = append(out.sets, s.Ranks())
+		next.sets = append(next.sets, s.Ranks())
 	}
-	inOrder(out.sets)
-	return out, nil
+	sortExperts(next.sets)
+	return next, nil
 }
 
-// copies returns how many experts a rank copies in one change.
+// copiesPerRank returns how many experts a rank may copy in one change.
 //
-// Load: popularity jumps in all sets at once. Experts of 2 GB take 0.1 s each, and
-// several make the change come late for all ranks. Those of 150 MB take 7 ms; with
-// one a change, 129 ranks with 16 sets need four changes for what one can bring,
-// and popularity has jumped again by then.
-func (p *planner) copies() int {
-	x := p.engine.Experts
-	if x.Bytes <= 0 || x.LinkRate <= 0 {
+// Popularity jumps in all sets at once. An expert of 2 GB takes 0.1 s to copy, and
+// several of them would delay the change for all ranks. One of 150 MB takes 7 ms;
+// with one copy per change, 129 ranks with 16 sets would need four changes to achieve
+// what one change can, and popularity would have jumped again by then.
+func (p *planner) copiesPerRank() int {
+	experts := p.engine.Experts
+	if experts.Bytes <= 0 || experts.LinkRate <= 0 {
 		return 1
 	}
-	each := x.Bytes / x.LinkRate * float64(time.Second)
-	return max(1, int(float64(copyBudget)/each))
+	copyTime := experts.Bytes / experts.LinkRate * float64(time.Second)
+	return max(1, int(float64(copyBudget)/copyTime))
 }
 
-// easy reports whether passes are short with the present map.
-func (p *planner) easy(sets []*evenmap.Placement, loads [][]float64, writers int) bool {
-	if p.gap <= 0 {
+// hasShortPasses reports whether passes with the current map are short, see
+// shortPassShare.
+func (p *planner) hasShortPasses(sets []*evenmap.Placement, loads [][]float64, maxRunning int) bool {
+	if p.maxGap <= 0 {
 		return false
 	}
 	skew := 0.0
 	for i, s := range sets {
 		skew += s.Skew(loads[i]) / float64(len(sets))
 	}
-	return float64(batch.Pass(p.engine, writers, skew)) < easyPass*float64(p.gap)
+	return float64(batch.Pass(p.engine, maxRunning, skew)) < shortPassShare*float64(p.maxGap)
 }
--- a/internal/ranker/popularity_test.go
+++ b/internal/ranker/popularity_test.go
@@ -12,194 +12,198 @@
 
 var start = time.Unix(1000, 0)
 
-// group counts choices on one rank as engines do: each request is about one of
-// few subjects, which chooses its own experts, so counts vary more than chance
-// alone explains.
-type group struct {
+// choiceSource counts choices on one rank as engines do: each request is about one of
+// few subjects and chooses that subject's experts, so counts vary more than by chance
+// alone.
+type choiceSource struct {
 	rng    *rand.Rand
-	share  []float64
+	shares []float64
 	counts []uint64
 }
 
-func newGroup(seed uint64, experts int) *group {
-	g := &group{rng: rand.New(rand.NewPCG(seed, 5)), counts: make([]uint64, experts), share: make([]float64, experts)}
-	g.jump()
-	return g
+func newChoiceSource(seed uint64, experts int) *choiceSource {
+	c := &choiceSource{rng: rand.New(rand.NewPCG(seed, 5)), counts: make([]uint64, experts), shares: make([]float64, experts)}
+	c.jump()
+	return c
 }
 
-func (g *group) jump() {
+func (c *choiceSource) jump() {
 	sum := 0.0
-	for i, e := range g.rng.Perm(len(g.share)) {
-		g.share[e] = 1 / math.Pow(float64(i+1), 0.9)
-		sum += g.share[e]
+	for i, e := range c.rng.Perm(len(c.shares)) {
+		c.shares[e] = 1 / math.Pow(float64(i+1), 0.9)
+		sum += c.shares[e]
 	}
-	for e := range g.share {
-		g.share[e] /= sum
+	for e := range c.shares {
+		c.shares[e] /= sum
 	}
 }
 
-// run adds a time's choices with 15 in 100 of spread on each expert.
-func (g *group) run(choices float64) {
-	for e, s := range g.share {
-		g.counts[e] += uint64(choices * s * math.Exp(0.15*g.rng.NormFloat64()))
+// addChoices adds the given number of choices, with a spread of 15% for each expert.
+func (c *choiceSource) addChoices(choices float64) {
+	for e, s := range c.shares {
+		c.counts[e] += uint64(choices * s * math.Exp(0.15*c.rng.NormFloat64()))
 	}
 }
 
-func (g *group) look() []look {
-	counts := append([]uint64(nil), g.counts...)
-	return []look{{counts: counts, state: lockstep.State{Born: 1}}}
+func (c *choiceSource) reports() []engineReport {
+	counts := append([]uint64(nil), c.counts...)
+	return []engineReport{{counts: counts, state: lockstep.State{Born: 1}}}
 }
 
-// error is the sum of the differences between estimate and truth.
-func (g *group) error(p *popularity) float64 {
+// estimateError is the sum of the absolute differences between estimated and true
+// shares.
+func (c *choiceSource) estimateError(p *popularity) float64 {
 	sum := 0.0
-	for e, s := range p.loads()[0] {
-		sum += math.Abs(s - g.share[e])
+	for e, s := range p.shares()[0] {
+		sum += math.Abs(s - c.shares[e])
 	}
 	return sum
 }
 
-// Popularity jumps every few seconds. The estimate follows within half a second,
-// and noise between the jumps is not taken for one.
-func TestPopularityFollowsJumpsAndNotNoise(t *testing.T) {
+// Popularity jumps every few seconds. Guards against an estimate that takes longer
+// than half a second to follow, and against noise that is taken for a jump.
+func TestPopularityFollowsJumpsNotNoise(t *testing.T) {
 	for seed := range uint64(20) {
-		g := newGroup(seed, 72)
+		source := newChoiceSource(seed, 72)
 		p := newPopularity(1, 72)
 		now := start
-		p.observe(g.look(), nil, now)
-		step := func() bool {
+		p.observe(source.reports(), nil, now)
+		poll := func() bool {
 			now = now.Add(250 * time.Millisecond)
-			g.run(100_000)
-			return p.observe(g.look(), nil, now)
+			source.addChoices(100_000)
+			return p.observe(source.reports(), nil, now)
 		}
-		step()
+		poll()
 		for i := range 12 {
-			if step() {
-				t.Fatalf("seed %d: noise was taken for a jump at look %d", seed, i)
+			if poll() {
+				t.Fatalf("seed %d: noise was taken for a jump in poll %d", seed, i)
 			}
 		}
-		g.jump()
-		seen := step()
-		if seen = step() || seen; !seen {
-			t.Fatalf("seed %d: the jump was not seen within two looks", seed)
+		source.jump()
+		seen := poll()
+		if seen = poll() || seen; !seen {
+			t.Fatalf("seed %d: the jump was not detected within two polls", seed)
 		}
-		step()
-		if e := g.error(p); e > 0.25 {
-			t.Fatalf("seed %d: the estimate is %.2f off three quarters of a second after a jump", seed, e)
+		poll()
+		if e := source.estimateError(p); e > 0.25 {
+			t.Fatalf("seed %d: the estimate is off by %.2f three quarters of a second after a jump", seed, e)
 		}
 	}
 }
 
-// choose adds single choices, drawn one by one.
-func (g *group) choose(n int) {
+// drawChoices adds n choices, each drawn independently.
+func (c *choiceSource) drawChoices(n int) {
 	for range n {
-		x := g.rng.Float64()
+		x := c.rng.Float64()
 		e := 0
-		for ; e < len(g.share)-1 && x >= g.share[e]; e++ {
-			x -= g.share[e]
+		for ; e < len(c.shares)-1 && x >= c.shares[e]; e++ {
+			x -= c.shares[e]
 		}
-		g.counts[e]++
+		c.counts[e]++
 	}
 }
 
-// Counts come from four of 63 ranks, as the leader's line bears no more, and
-// 1,600 choices a look are fewer than tell anything of 252 experts. They are put
-// together until they do, and a jump is followed within a second all the same.
-func TestCountsOfAPartTellAJump(t *testing.T) {
-	const experts, choices, look = 252, 1600, 100 * time.Millisecond
+// The leader's link has room for the counts of four of 63 ranks, and 1,600 choices
+// per poll are too few to estimate the popularity of 252 experts. Guards against
+// estimates from too few counts, and against a jump that is not followed within a
+// second.
+func TestPartialCountsDetectJump(t *testing.T) {
+	const experts, choices, interval = 252, 1600, 100 * time.Millisecond
 	for seed := range uint64(10) {
-		g := newGroup(seed, experts)
+		source := newChoiceSource(seed, experts)
 		p := newPopularity(1, experts)
 		now := start
-		p.observe(g.look(), nil, now)
+		p.observe(source.reports(), nil, now)
 		jumps := 0
-		run := func(looks int) {
-			for range looks {
-				now = now.Add(look)
-				g.choose(choices)
-				if p.observe(g.look(), nil, now) {
+		poll := func(polls int) {
+			for range polls {
+				now = now.Add(interval)
+				source.drawChoices(choices)
+				if p.observe(source.reports(), nil, now) {
 					jumps++
 				}
 			}
 		}
-		run(20)
+		poll(20)
 		if jumps != 0 || !p.known() {
-			t.Fatalf("seed %d: %d jumps seen without one, known is %v", seed, jumps, p.known())
+			t.Fatalf("seed %d: %d jumps detected although there was none, known is %v", seed, jumps, p.known())
 		}
-		g.jump()
-		run(10)
-		if e := g.error(p); jumps == 0 || e > 0.35 {
-			t.Fatalf("seed %d: %d jumps seen, the estimate is %.2f off a second after one", seed, jumps, e)
+		source.jump()
+		poll(10)
+		if e := source.estimateError(p); jumps == 0 || e > 0.35 {
+			t.Fatalf("seed %d: %d jumps detected, the estimate is off by %.2f a second after the jump", seed, jumps, e)
 		}
 	}
 }
 
-// Popularity jumps in the middle of an observation. What was counted is in part
-// of the old and in part of the new; a map planned by it took half a second to come into
-// force and levelled neither, and the right one came as much later.
+// Popularity jumps in the middle of an observation, so the counts mix the old and the
+// new popularity. Guards against planning from them: such a map took half a second to
+// come into force, balanced neither, and delayed the right one by that time.
 func TestNothingIsPlannedByAMixture(t *testing.T) {
-	const experts, choices, look = 252, 6000, 100 * time.Millisecond
+	const experts, choices, interval = 252, 6000, 100 * time.Millisecond
 	for seed := range uint64(10) {
-		g := newGroup(seed, experts)
+		source := newChoiceSource(seed, experts)
 		p := newPopularity(1, experts)
 		now := start
-		p.observe(g.look(), nil, now)
-		run := func(before, after int) bool {
-			now = now.Add(look)
-			g.choose(before)
+		p.observe(source.reports(), nil, now)
+		poll := func(before, after int) bool {
+			now = now.Add(interval)
+			source.drawChoices(before)
 			if after > 0 {
-				g.jump()
-				g.choose(after)
+				source.jump()
+				source.drawChoices(after)
 			}
-			return p.observe(g.look(), nil, now)
+			return p.observe(source.reports(), nil, now)
 		}
 		for range 10 {
-			run(choices, 0)
+			poll(choices, 0)
 		}
-		if !run(choices/4, 3*choices/4) {
-			t.Fatalf("seed %d: most of a jump is not seen", seed)
+		if !poll(choices/4, 3*choices/4) {
+			t.Fatalf("seed %d: a jump early in the observation is not detected", seed)
 		}
 		if p.known() {
-			t.Fatalf("seed %d: the mixture is planned by, %.2f off", seed, g.error(p))
+			t.Fatalf("seed %d: the mixture may be used for planning, off by %.2f", seed, source.estimateError(p))
 		}
-		run(choices, 0)
-		if e := g.error(p); !p.known() || e > 0.25 {
-			t.Fatalf("seed %d: known is %v and the estimate %.2f off one look later", seed, p.known(), e)
+		poll(choices, 0)
+		if e := source.estimateError(p); !p.known() || e > 0.25 {
+			t.Fatalf("seed %d: known is %v and the estimate is off by %.2f one poll later", seed, p.known(), e)
 		}
 	}
 }
 
-// A leader of 12 ranks asks all of them for their counts, one of 63 asks 14.
-func TestCountsFitTheLine(t *testing.T) {
+// Guards against requesting more counts than the leader's link has room for: all 12
+// ranks of a small group can be asked, but only 14 of 63.
+func TestCountsFitLinkBandwidth(t *testing.T) {
 	for _, c := range []struct{ ranks, sets, experts, want int }{
 		{ranks: 12, sets: 4, experts: 72, want: 12},
 		{ranks: 63, sets: 8, experts: 252, want: 14},
 		{ranks: 128, sets: 100, experts: 128, want: 2},
 	} {
-		x := &term{engine: &routing.Engine{Experts: routing.Experts{Sets: c.sets, Count: c.experts}}}
-		if n := x.mostCounted(c.ranks); n != c.want {
+		lead := &term{engine: &routing.Engine{Experts: routing.Experts{Sets: c.sets, Count: c.experts}}}
+		if n := lead.maxCountedAgents(c.ranks); n != c.want {
 			t.Errorf("%d of %d ranks are asked, want %d", n, c.ranks, c.want)
 		}
 	}
-	if n := (&term{}).mostCounted(12); n != 0 {
+	if n := (&term{}).maxCountedAgents(12); n != 0 {
 		t.Errorf("%d ranks are asked before the engines are known", n)
 	}
 }
 
-// An engine starts anew and counts from zero; the difference is no popularity.
-func TestCountsOfARestartedEngineAreLeftOut(t *testing.T) {
-	g := newGroup(1, 72)
+// Guards against the counts of a restarted engine, which begin at zero, being taken
+// for popularity.
+func TestRestartedEngineCountsAreIgnored(t *testing.T) {
+	source := newChoiceSource(1, 72)
 	p := newPopularity(1, 72)
-	p.observe(g.look(), nil, start)
-	g.run(100_000)
-	p.observe(g.look(), nil, start.Add(time.Second))
-	before := g.error(p)
-	restarted := []look{{counts: make([]uint64, 72), state: lockstep.State{Born: 2}}}
-	if p.observe(restarted, nil, start.Add(2*time.Second)) || g.error(p) != before {
+	p.observe(source.reports(), nil, start)
+	source.addChoices(100_000)
+	p.observe(source.reports(), nil, start.Add(time.Second))
+	before := source.estimateError(p)
+	restarted := []engineReport{{counts: make([]uint64, 72), state: lockstep.State{Born: 2}}}
+	if p.observe(restarted, nil, start.Add(2*time.Second)) || source.estimateError(p) != before {
 		t.Fatal("a restart changed the estimate")
 	}
-	short := []look{{counts: []uint64{1}, state: lockstep.State{Born: 2}}}
+	short := []engineReport{{counts: []uint64{1}, state: lockstep.State{Born: 2}}}
 	if p.observe(short, nil, start.Add(3*time.Second)) {
-		t.Fatal("an answer of another size was taken")
+		t.Fatal("a report of a different size was accepted")
 	}
 }
--- a/internal/ranker/predecessor.go
+++ b/internal/ranker/predecessor.go
@@ -10,27 +10,31 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/rank/lockstep"
 )
 
-// rankMark stands before the rank in the name of a lease's holder.
-const rankMark = "@"
+// rankSeparator separates the agent's name from its rank in the name of a lease
+// holder.
+const rankSeparator = "@"
 
-// holderName names a lease's holder so that others learn the rank beside it: a
-// successor that can't see that rank has to know that it was the leader's.
-func holderName(name string, rank int) string { return fmt.Sprintf("%s%s%d", name, rankMark, rank) }
+// holderName returns the name under which an agent holds a group's lease. It contains
+// the rank, because a successor that cannot poll that rank must know that it was the
+// leader's.
+func holderName(name string, rank int) string {
+	return fmt.Sprintf("%s%s%d", name, rankSeparator, rank)
+}
 
-// predecessor is who led a group last.
-type predecessor struct {
+// leaderInfo identifies an agent that leads or led a group.
+type leaderInfo struct {
 	lockstep.Predecessor
 
 	name string
 }
 
-// holderOf reads who holds a group's lease. It reports false for a lease that does
-// not tell its holder's rank.
-func holderOf(lease kv.KeyValue) (predecessor, bool) {
-	name, own, _ := strings.Cut(rank.LeaseHolder(lease.Value()), rankMark)
-	n, err := strconv.Atoi(own)
+// parseHolder decodes the holder of a group's lease. It reports false if the holder's
+// name has no rank.
+func parseHolder(lease kv.KeyValue) (leaderInfo, bool) {
+	name, suffix, _ := strings.Cut(rank.LeaseHolder(lease.Value()), rankSeparator)
+	n, err := strconv.Atoi(suffix)
 	if err != nil {
-		return predecessor{}, false
+		return leaderInfo{}, false
 	}
-	return predecessor{name: name, Predecessor: lockstep.Predecessor{Token: uint64(lease.Revision()), Rank: n}}, true
+	return leaderInfo{name: name, Predecessor: lockstep.Predecessor{Token: uint64(lease.Revision()), Rank: n}}, true
 }
--- a/internal/ranker/ranker.go
+++ b/internal/ranker/ranker.go
@@ -28,29 +28,31 @@
 const (
 	// storeTimeout bounds a call to the store, which answers in milliseconds.
 	storeTimeout = 700 * time.Millisecond
-	// pollWait is how long a leader's poll for the members waits at the store. What
-	// it knows of them may be old, as it sees itself which agents answer.
-	pollWait = 10 * time.Second
-	// pollSettle is how long changes of the members are let gather after some
-	// came, by the leader.
-	pollSettle = 200 * time.Millisecond
-	// callsPerSecond bounds this process's calls to the store; renewals of the
-	// lease are most of them.
-	callsPerSecond = 15
-	// leaseTime is how long a group's leader leads without renewing, near the
-	// shortest lease that the store grants: without a leader the maps grow old
-	// within seconds.
-	leaseTime = 1200 * time.Millisecond
-	// renewEvery leaves two further tries within the lease.
-	renewEvery = 350 * time.Millisecond
+	// memberPollWait is how long the store may hold a leader's long poll for fleet
+	// members. The answer may be old, because the leader's own polls show which
+	// agents respond.
+	memberPollWait = 10 * time.Second
+	// memberPollSettle is how long the leader waits after a change of members before
+	// it polls again, so that one poll returns several changes.
+	memberPollSettle = 200 * time.Millisecond
+	// storeCallsPerSecond bounds this process's calls to the store, most of which
+	// renew the lease.
+	storeCallsPerSecond = 15
+	// leaseTTL is how long an agent leads a group without renewing its lease. It is
+	// close to the shortest TTL that the store grants, because expert maps become
+	// outdated within seconds without a leader.
+	leaseTTL = 1200 * time.Millisecond
+	// renewInterval leaves time for two further renewal attempts within leaseTTL.
+	renewInterval = 350 * time.Millisecond
 	// engineTimeout bounds a call to the engine on the same VM.
 	engineTimeout = 150 * time.Millisecond
-	// ownEvery is how often an agent looks at its own engine to learn its
-	// group, and whether the group has a leader.
-	ownEvery = 250 * time.Millisecond
-	// leaveTime bounds the end of a lead: a change of maps that is under way.
-	leaveTime = 2 * time.Second
-	leaveTick = 10 * time.Millisecond
+	// ownPollInterval is how often an agent polls its own engine for the group it
+	// belongs to and checks whether the group has a leader.
+	ownPollInterval = 250 * time.Millisecond
+	// resignTimeout bounds the time that a stopping leader has to finish a map change
+	// in progress.
+	resignTimeout       = 2 * time.Second
+	resignCheckInterval = 10 * time.Millisecond
 )
 
 // Ranker is one agent. Set the exported fields, then Listen, then Run.
@@ -61,44 +63,46 @@
 	// Output receives the log lines; nil means standard output.
 	Output io.Writer
 
-	store  *platform.Store
-	engine *platform.Engine
-	peers  *peer.Server
-	conns  *peer.Conns
-	counts counters
-	// led is what is known of the group's leader.
-	led led
-	// told and maps are what was told to and by leaders.
-	told   *countLog
-	recent recent
-	maps   mapLog
+	store    *platform.Store
+	engine   *platform.Engine
+	peers    *peer.Server
+	conns    *peer.Conns
+	counters counters
+	// leader tracks which agent leads the group.
+	leader leaderTracker
+	// countHistory holds the counts reported to leaders, recentCounts the state of
+	// the sums reported to them, and mapCache the maps received from them.
+	countHistory *countHistory
+	recentCounts recentCounts
+	mapCache     mapCache
 	// delegate serves leaders that reach other agents through this one.
 	delegate *delegate
-	// leaving says that the process is about to end, and led that it leads no
+	// stopping is set when the process is about to end, leading while it leads a
 	// group.
-	leaving atomic.Bool
-	leads   atomic.Bool
-	// free is raised when the group's leader has ended, doubt when the own lease
-	// may have lapsed, and returned when the store answers again.
-	free, doubt, returned wake.Signal
-	// grouped is closed when the group of the own engine is known.
-	grouped     chan struct{}
-	groupedOnce sync.Once
+	stopping atomic.Bool
+	leading  atomic.Bool
+	// leaderGone is raised when the group's leader has resigned, leaseInDoubt when
+	// the lease of the agent's own key may have lapsed, and storeReturned when the
+	// store answers again after failures.
+	leaderGone, leaseInDoubt, storeReturned wake.Signal
+	// groupKnown is closed when the group of the agent's engine is known.
+	groupKnown     chan struct{}
+	groupKnownOnce sync.Once
 
 	mu      sync.Mutex // guards all below
 	agents  map[string]fleet.Member
 	entries map[string]fleet.Member
-	// lapsed holds the agents whose keys have vanished.
-	lapsed map[string]lapse
+	// lapsed holds the agents whose keys have vanished, by name.
+	lapsed map[string]lapsedMember
 	group  string
 }
 
-// counters counts what the agent did.
+// counters holds the agent's metrics.
 type counters struct {
-	orders, unanswered, unfit, changes, copies, leads metrics.Counter
+	orders, unanswered, unfit, changes, copies, terms metrics.Counter
 }
 
-// Listen opens the process's addresses.
+// Listen opens the process's listening addresses.
 func (r *Ranker) Listen() error {
 	s := r.Settings
 	if r.Registry == nil {
@@ -108,22 +112,22 @@
 		r.Output = os.Stdout
 	}
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("rank."+name, r.Registry) }
-	r.counts = counters{
+	r.counters = counters{
 		orders: counter("orders"), unanswered: counter("ordersUnanswered"), unfit: counter("ordersUnfit"),
-		changes: counter("mapChanges"), copies: counter("expertCopies"), leads: counter("terms"),
+		changes: counter("mapChanges"), copies: counter("expertCopies"), terms: counter("terms"),
 	}
 	r.agents, r.entries = map[string]fleet.Member{}, map[string]fleet.Member{}
-	r.lapsed = map[string]lapse{}
+	r.lapsed = map[string]lapsedMember{}
 	r.store = &platform.Store{
 		Addr: s.PlatformAddresses[0].String(), Timeout: storeTimeout,
-		Budget: kv.Budget{PerSecond: callsPerSecond}, Metrics: r.Registry,
+		Budget: kv.Budget{PerSecond: storeCallsPerSecond}, Metrics: r.Registry,
 	}
 	r.store.Open()
 	r.engine = &platform.Engine{Addr: s.EndpointAddress.String(), Timeout: engineTimeout}
 	r.engine.Open()
-	r.told = newCountLog(boottime.Now())
+	r.countHistory = newCountHistory(boottime.Now())
 	r.delegate = newDelegate(r)
-	r.grouped = make(chan struct{})
+	r.groupKnown = make(chan struct{})
 	r.conns = &peer.Conns{}
 	r.peers = &peer.Server{Addr: s.PeerAddress.String(), Register: func(g grpc.ServiceRegistrar) {
 		fleetpb.RegisterAgentServer(g, &service{ranker: r})
@@ -131,52 +135,53 @@
 	return r.peers.Listen()
 }
 
-// Run works until ctx ends.
+// Run serves until ctx ends or a part of the process does. A leader resigns before
+// Run returns.
 func (r *Ranker) Run(ctx context.Context) error {
 	parts := []process.Part{
-		r.peers.Run, r.register, r.follow,
+		r.peers.Run, r.register, r.watchEngine,
 		func(ctx context.Context) error { return r.Log.Run(ctx, r.Output) },
 	}
 	parts = append(parts, process.MetricsParts(r.Settings.MetricsAddress, r.Registry)...)
 	r.Log.WithField("endpoint", r.Settings.EndpointAddress.String()).Info("ranker serves")
 	return process.RunParts(ctx, parts, func(error) error {
-		r.leave()
+		r.resign()
 		return nil
 	})
 }
 
-// leave ends the lead of a group before the process ends, so that nothing stays
-// held and another agent leads at once.
-func (r *Ranker) leave() {
-	r.leaving.Store(true)
-	end := time.Now().Add(leaveTime)
-	for r.leads.Load() && time.Now().Before(end) {
-		time.Sleep(leaveTick)
+// resign waits until the term of a leader has ended, so that no step stays held and
+// another agent can lead at once. It waits for at most resignTimeout.
+func (r *Ranker) resign() {
+	r.stopping.Store(true)
+	deadline := time.Now().Add(resignTimeout)
+	for r.leading.Load() && time.Now().Before(deadline) {
+		time.Sleep(resignCheckInterval)
 	}
 	r.Log.Info("ranker stops")
 }
 
-func (r *Ranker) storeFailed(err error) {
+func (r *Ranker) logStoreFailure(err error) {
 	r.Log.WithFields(logrus.Fields{"dependency": "store", "cause": err.Error()}).Warn("call failed")
 }
 
-// register keeps the agent's own key, once its group is known.
+// register keeps the agent's key in the store once the agent's group is known.
 func (r *Ranker) register(ctx context.Context) error {
 	group := r.awaitGroup(ctx)
 	if group == "" {
 		return nil
 	}
-	registrar := &fleet.Registrar{Store: r.store, Failed: r.storeFailed, Doubt: &r.doubt, Returned: r.returned.Raise, Member: fleet.Member{
+	registrar := &fleet.Registrar{Store: r.store, Failed: r.logStoreFailure, Doubt: &r.leaseInDoubt, Returned: r.storeReturned.Raise, Member: fleet.Member{
 		Kind: fleet.Agent, Name: r.Settings.Name, DataCentre: r.Settings.DataCentre,
 		Address: r.peers.Address(), Endpoint: r.Settings.EndpointAddress.String(), Group: group,
 	}}
 	return registrar.Run(ctx)
 }
 
-// awaitGroup returns the group of the agent's engine, or "" when ctx ends.
+// awaitGroup returns the group of the agent's engine, or "" when ctx ends first.
 func (r *Ranker) awaitGroup(ctx context.Context) string {
 	select {
-	case <-r.grouped:
+	case <-r.groupKnown:
 	case <-ctx.Done():
 		return ""
 	}
@@ -185,84 +190,88 @@
 	return r.group
 }
 
-// follow looks at the own engine, and leads its group when nobody else does.
-func (r *Ranker) follow(ctx context.Context) error {
+// watchEngine polls the agent's own engine and campaigns for the lease of its group
+// when the group has no leader.
+func (r *Ranker) watchEngine(ctx context.Context) error {
 	for ctx.Err() == nil {
-		r.awaitLook(ctx)
+		r.awaitPoll(ctx)
 		s, err := r.engine.State(ctx)
 		if err != nil || s.Group == "" {
-			continue // an engine that starts has no group yet
+			continue // a starting engine has no group yet
 		}
 		r.mu.Lock()
 		r.group = s.Group
 		r.mu.Unlock()
-		r.groupedOnce.Do(func() { close(r.grouped) })
-		if !r.leaving.Load() && r.led.ask(s.Rank, s.Size, boottime.Now()) {
-			// Whoever doesn't look here may not see this agent's key any more.
-			r.doubt.Raise()
-			r.tryLead(ctx, s)
+		r.groupKnownOnce.Do(func() { close(r.groupKnown) })
+		if !r.stopping.Load() && r.leader.shouldAsk(s.Rank, s.Size, boottime.Now()) {
+			// A leader that does not poll this agent may no longer see its key.
+			r.leaseInDoubt.Raise()
+			r.campaign(ctx, s)
 		}
 	}
 	return nil
 }
 
-// awaitLook waits until it is time to look, or a group's leader is gone.
-func (r *Ranker) awaitLook(ctx context.Context) {
-	t := time.NewTimer(ownEvery)
+// awaitPoll waits until the next poll of the engine is due or the group's leader has
+// resigned.
+func (r *Ranker) awaitPoll(ctx context.Context) {
+	t := time.NewTimer(ownPollInterval)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-r.free.Raised():
+	case <-r.leaderGone.Raised():
 	case <-ctx.Done():
 	}
 }
 
-// tryLead takes the group's lease, if it is free, and leads until it is lost.
-func (r *Ranker) tryLead(ctx context.Context, s lockstep.State) {
-	lease := &rank.KVLease{KV: r.store, Prefix: fleet.Prefix, Group: s.Group, Holder: holderName(r.Settings.Name, s.Rank), TTL: leaseTime}
+// campaign takes the group's lease if it is free and leads the group until the term
+// ends.
+func (r *Ranker) campaign(ctx context.Context, s lockstep.State) {
+	lease := &rank.KVLease{KV: r.store, Prefix: fleet.Prefix, Group: s.Group, Holder: holderName(r.Settings.Name, s.Rank), TTL: leaseTTL}
 	now := boottime.Now()
-	if !r.isFree(ctx, lease) {
+	if !r.leaseIsFree(ctx, lease) {
 		return
 	}
-	before, known := r.led.last()
+	previous, known := r.leader.last()
 	token, until, err := lease.Acquire(ctx, now)
 	if err != nil {
 		r.Log.WithFields(logrus.Fields{"group": s.Group, "cause": err.Error()}).Info("group not led from here")
 		return
 	}
-	own := predecessor{name: r.Settings.Name, Predecessor: lockstep.Predecessor{Token: token, Rank: s.Rank}}
-	r.led.leads(own, now)
-	defer func() { r.led.leads(own, boottime.Now()) }()
-	r.counts.leads.Inc(1)
+	own := leaderInfo{name: r.Settings.Name, Predecessor: lockstep.Predecessor{Token: token, Rank: s.Rank}}
+	r.leader.observe(own, now)
+	defer func() { r.leader.observe(own, boottime.Now()) }()
+	r.counters.terms.Inc(1)
 	r.Log.WithFields(logrus.Fields{"group": s.Group, "token": token, "epoch": s.Epoch}).Info("group led from here")
-	r.leads.Store(true)
-	defer r.leads.Store(false)
+	r.leading.Store(true)
+	defer r.leading.Store(false)
 	t := newTerm(r, lease, s, token, until)
-	if known && before.name != r.Settings.Name {
-		t.leader.Before = &before.Predecessor
-		t.looker.expectDark(before.name, now)
-		t.tree.Failed(before.name, now)
+	if known && previous.name != r.Settings.Name {
+		t.leader.Before = &previous.Predecessor
+		t.poller.expectSilent(previous.name, now)
+		t.tree.Failed(previous.name, now)
 	}
-	endMembers := r.followMembers(ctx)
+	stopMembers := r.watchMembers(ctx)
 	t.run(ctx)
-	endMembers()
+	stopMembers()
 	r.Log.WithFields(logrus.Fields{"group": s.Group, "token": token}).Info("group no longer led from here")
 }
 
-// isFree reports whether nobody holds the group's lease, and notes who does.
-func (r *Ranker) isFree(ctx context.Context, lease *rank.KVLease) bool {
+// leaseIsFree reports whether no agent holds the group's lease. It records the holder
+// if there is one.
+func (r *Ranker) leaseIsFree(ctx context.Context, lease *rank.KVLease) bool {
 	held, ok, err := lease.Held(ctx)
 	if err != nil {
-		r.storeFailed(err)
+		r.logStoreFailure(err)
 		return false
 	}
 	if !ok {
 		return true
 	}
-	if by, ok := holderOf(held); ok {
-		r.led.holds(by)
+	if holder, ok := parseHolder(held); ok {
+		r.leader.setHolder(holder)
 	} else {
-		r.Log.WithField("group", lease.Group).Warn("the lease does not tell its holder's rank")
+		r.Log.WithField("group", lease.Group).Warn("holder name of the group's lease has no rank")
 	}
 	return false
 }
--- a/internal/ranker/ranker_test.go
+++ b/internal/ranker/ranker_test.go
@@ -22,8 +22,8 @@
 	os.Exit(m.Run())
 }
 
-// agents is a group of engines with an agent beside each.
-type agents struct {
+// testGroup is a group of engines with an agent beside each.
+type testGroup struct {
 	t     *testing.T
 	store *standin.Store
 	group *standin.Group
@@ -31,41 +31,41 @@
 	stops []func()
 }
 
-func startAgents(t *testing.T) *agents {
+func startSmallGroup(t *testing.T) *testGroup {
 	t.Helper()
 	return startGroup(t, 3, standin.StartGroup(3, 2, 9, 4))
 }
 
 // startGroup starts an agent beside each of n engines.
-func startGroup(t *testing.T, n int, group *standin.Group) *agents {
+func startGroup(t *testing.T, n int, group *standin.Group) *testGroup {
 	t.Helper()
-	a := &agents{t: t, store: standin.NewStore(), group: group}
-	t.Cleanup(a.store.Close)
-	t.Cleanup(a.group.Close)
+	g := &testGroup{t: t, store: standin.NewStore(), group: group}
+	t.Cleanup(g.store.Close)
+	t.Cleanup(g.group.Close)
 	experts := fmt.Sprintf(`"experts":%d`, group.Experts)
-	a.store.Put("op/config", []byte(strings.Replace(standin.GroupConfiguration, `"experts":9`, experts, 1)))
+	g.store.Put("op/config", []byte(strings.Replace(standin.GroupConfiguration, `"experts":9`, experts, 1)))
 	for i := range n {
-		a.start(i)
+		g.start(i)
 	}
-	return a
+	return g
 }
 
-func (a *agents) start(i int) {
-	a.t.Helper()
+func (g *testGroup) start(i int) {
+	g.t.Helper()
 	name := fmt.Sprint("agent", i)
 	log := &logs.Log{}
 	r := &Ranker{
 		Settings: &settings.Ranker{
 			Process: settings.Process{
 				Name: name, DataCentre: "a", PeerAddress: netip.MustParseAddrPort("127.0.0.1:0"),
-				PlatformAddresses: []netip.AddrPort{netip.MustParseAddrPort(a.store.Addr())},
+				PlatformAddresses: []netip.AddrPort{netip.MustParseAddrPort(g.store.Addr())},
 			},
-			EndpointAddress: netip.MustParseAddrPort(a.group.Addr(i)), Service: "s", FencingChecked: true,
+			EndpointAddress: netip.MustParseAddrPort(g.group.Addr(i)), Service: "s", FencingChecked: true,
 		},
 		Log: process.NewBoundedLog(name, "a"), Output: log,
 	}
 	if err := r.Listen(); err != nil {
-		a.t.Fatal(err)
+		g.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -75,32 +75,31 @@
 		once.Do(func() {
 			cancel()
 			if err := <-done; err != nil {
-				a.t.Errorf("%s: %v", name, err)
+				g.t.Errorf("%s: %v", name, err)
 			}
 		})
 	}
-	a.t.Cleanup(stop)
-	a.logs, a.stops = append(a.logs, log), append(a.stops, stop)
+	g.t.Cleanup(stop)
+	g.logs, g.stops = append(g.logs, log), append(g.stops, stop)
 }
 
-// eventually waits for something that must come to be; the time bounds a test
-// that hangs and measures nothing.
-func (a *agents) eventually(what string, is func() bool) {
-	a.t.Helper()
-	end := time.Now().Add(30 * time.Second)
-	for !is() {
-		if time.Now().After(end) {
-			a.t.Fatalf("not: %s (map %d, step %d)", what, a.group.Version(), a.group.Step())
+// eventually waits until cond is true. The deadline only bounds a test that hangs.
+func (g *testGroup) eventually(what string, cond func() bool) {
+	g.t.Helper()
+	deadline := time.Now().Add(30 * time.Second)
+	for !cond() {
+		if time.Now().After(deadline) {
+			g.t.Fatalf("timed out: %s (map %d, step %d)", what, g.group.Version(), g.group.Step())
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if n := a.group.Mixed(); n != 0 {
-		a.t.Fatalf("%d passes began with two maps", n)
+	if n := g.group.Mixed(); n != 0 {
+		g.t.Fatalf("%d passes began with two maps", n)
 	}
 }
 
-func (a *agents) leader() int {
-	for i, l := range a.logs {
+func (g *testGroup) leader() int {
+	for i, l := range g.logs {
 		if l.Has("group led from here") {
 			return i
 		}
@@ -108,128 +107,128 @@
 	return -1
 }
 
-// runsOn waits for some further passes: nothing is held for good.
-func (a *agents) runsOn() {
-	a.t.Helper()
-	step := a.group.Step()
-	a.eventually("the group runs on", func() bool { return a.group.Step() > step+5 })
+// awaitProgress waits for a few further passes, which shows that no step stays held.
+func (g *testGroup) awaitProgress() {
+	g.t.Helper()
+	step := g.group.Step()
+	g.eventually("the group makes progress", func() bool { return g.group.Step() > step+5 })
 }
 
-// Every stream waits for the one rank that holds both popular experts. The group
-// gets a map with more replicas of them, though orders are lost.
-func TestPopularExpertsAreSpread(t *testing.T) {
+// Every stream waits for the one rank that holds both popular experts. Guards against
+// a group that gets no map with more replicas of them, even if orders are lost.
+func TestPopularExpertsAreReplicated(t *testing.T) {
 	t.Parallel()
-	a := startAgents(t)
-	a.eventually("a leader is there", func() bool { return a.leader() >= 0 })
-	a.group.LoseOrders(20)
-	a.eventually("a map is in force", func() bool { return a.group.Version() > 0 })
-	a.eventually("the popular expert has replicas", func() bool { return a.group.Holds(0) != "[1 1]" })
-	a.runsOn()
+	g := startSmallGroup(t)
+	g.eventually("an agent leads the group", func() bool { return g.leader() >= 0 })
+	g.group.LoseOrders(20)
+	g.eventually("a map is in force", func() bool { return g.group.Version() > 0 })
+	g.eventually("the popular expert has replicas", func() bool { return g.group.Holds(0) != "[1 1]" })
+	g.awaitProgress()
 }
 
-// A group of 20 ranks is led through delegates, which stop one after the other.
-// Guards against a bunch that nobody sees or gives orders to, so that the group
-// keeps the map that popularity has left.
+// The delegates of a group of 20 ranks stop one after the other. Guards against a
+// subgroup that is no longer polled or given orders, so that the group keeps an
+// outdated map.
 func TestGroupIsLedThroughDelegates(t *testing.T) {
 	t.Parallel()
 	const ranks, slots = 20, 4
-	a := startGroup(t, ranks, standin.StartGroup(ranks, 2, 2*ranks, slots))
-	a.eventually("a map is in force", func() bool { return a.group.Version() > 0 })
-	a.group.LoseOrders(ranks)
-	leader := a.leader()
+	g := startGroup(t, ranks, standin.StartGroup(ranks, 2, 2*ranks, slots))
+	g.eventually("a map is in force", func() bool { return g.group.Version() > 0 })
+	g.group.LoseOrders(ranks)
+	leader := g.leader()
 	for i, stopped := 0, 0; stopped < 3; i++ {
 		if i == leader {
 			continue
 		}
 		stopped++
-		a.stops[i]()
-		before := a.group.Version()
-		a.group.Prefer(7 * stopped)
-		a.eventually("another map is in force", func() bool { return a.group.Version() > before })
-		a.runsOn()
+		g.stops[i]()
+		before := g.group.Version()
+		g.group.Prefer(7 * stopped)
+		g.eventually("another map is in force", func() bool { return g.group.Version() > before })
+		g.awaitProgress()
 	}
 }
 
-// The leader stops. Another one leads at once and nothing stays held.
-func TestAnotherLeadsWhenTheLeaderStops(t *testing.T) {
+// Guards against a group that stays held or without a leader when its leader stops.
+func TestAnotherAgentLeadsWhenLeaderStops(t *testing.T) {
 	t.Parallel()
-	a := startAgents(t)
-	a.eventually("a map is in force", func() bool { return a.group.Version() > 0 })
-	old := a.leader()
-	a.stops[old]()
-	a.eventually("another leads", func() bool {
-		for i, l := range a.logs {
+	g := startSmallGroup(t)
+	g.eventually("a map is in force", func() bool { return g.group.Version() > 0 })
+	old := g.leader()
+	g.stops[old]()
+	g.eventually("another agent leads the group", func() bool {
+		for i, l := range g.logs {
 			if i != old && l.Has("group led from here") {
 				return true
 			}
 		}
 		return false
 	})
-	a.runsOn()
+	g.awaitProgress()
 }
 
-// An agent is restarted in the moment in which a step is held, and its key
-// vanishes with it. Its engine is still there: the leader brings the change to its
-// end. Without a look at that engine it would see a rank too few, and the group
-// would stay held until the agent is back.
+// An agent is stopped at the moment in which a step is held, and its key vanishes.
+// Guards against a leader that no longer polls that agent's engine: it would lack a
+// rank, and the group would stay held until the agent is back.
 func TestAgentLeavesWhileAStepIsHeld(t *testing.T) {
 	t.Parallel()
-	a := startAgents(t)
-	a.eventually("a map is in force", func() bool { return a.group.Version() > 0 })
-	other := (a.leader() + 1) % 3
+	g := startSmallGroup(t)
+	g.eventually("a map is in force", func() bool { return g.group.Version() > 0 })
+	other := (g.leader() + 1) % 3
 	left := make(chan struct{})
-	a.group.LoseOrders(2)
-	a.group.OnHold(func() {
+	g.group.LoseOrders(2)
+	g.group.OnHold(func() {
 		go func() {
 			defer close(left)
-			a.stops[other]()
+			g.stops[other]()
 		}()
 	})
-	a.group.Prefer(1)
+	g.group.Prefer(1)
 	<-left
-	a.runsOn()
-	a.group.Prefer(5)
-	before := a.group.Version()
-	a.eventually("another map is in force", func() bool { return a.group.Version() > before })
-	a.runsOn()
+	g.awaitProgress()
+	g.group.Prefer(5)
+	before := g.group.Version()
+	g.eventually("another map is in force", func() bool { return g.group.Version() > before })
+	g.awaitProgress()
 }
 
-// The store is away for longer than the leader's lease. The group must not stay
-// held, and its leader goes on until another one has shown its token.
-func TestLeadOutlastsAnOutageOfTheStore(t *testing.T) {
+// The store is unreachable for longer than the leader's lease. Guards against a group
+// that stays held, and against a term that ends before another leader has shown its
+// token.
+func TestLeadershipOutlastsStoreOutage(t *testing.T) {
 	t.Parallel()
-	a := startAgents(t)
-	a.eventually("a map is in force", func() bool { return a.group.Version() > 0 })
-	a.store.SetFault(standin.Busy)
-	time.Sleep(2 * leaseTime)
-	a.runsOn()
-	if a.logs[a.leader()].Has("group no longer led from here") {
-		t.Fatal("the lead ended with the outage")
+	g := startSmallGroup(t)
+	g.eventually("a map is in force", func() bool { return g.group.Version() > 0 })
+	g.store.SetFault(standin.Busy)
+	time.Sleep(2 * leaseTTL)
+	g.awaitProgress()
+	if g.logs[g.leader()].Has("group no longer led from here") {
+		t.Fatal("the term ended during the outage")
 	}
-	a.store.SetFault(standin.Well)
-	a.runsOn()
+	g.store.SetFault(standin.Well)
+	g.awaitProgress()
 }
 
-// A hundred processes are restarted in turn. Each agent that followed them all
-// asked the store again after each change: most of the calls that the fleet pays
-// for, and the store takes no more calls as the fleet grows. Only the leader
-// hears of them.
+// Guards against every agent watching the fleet's members: during a restart of a
+// hundred processes, each agent queried the store after each change. That made most
+// of the calls that the fleet is charged for, and the store's capacity does not grow
+// with the fleet. Only the leader may watch them.
 func TestOnlyTheLeaderFollowsMembers(t *testing.T) {
 	t.Parallel()
-	a := startAgents(t)
-	a.eventually("a map is in force", func() bool { return a.group.Version() > 0 })
+	g := startSmallGroup(t)
+	g.eventually("a map is in force", func() bool { return g.group.Version() > 0 })
 	for _, name := range []string{"one", "two"} {
 		key := fleet.Member{Kind: fleet.Entry, Name: name}.Key()
-		a.store.Put(key, []byte(`{"address":"127.0.0.1:1"}`))
-		a.eventually("the leader knows "+name, func() bool { return a.store.Told(key) > 0 })
-		if n := a.store.Told(key); n != 1 {
-			t.Fatalf("%d processes were told of %s", n, name)
+		g.store.Put(key, []byte(`{"address":"127.0.0.1:1"}`))
+		g.eventually("the leader has received "+name, func() bool { return g.store.Told(key) > 0 })
+		if n := g.store.Told(key); n != 1 {
+			t.Fatalf("%d processes received %s", n, name)
 		}
 	}
 }
 
-// An operator looks a metric up in the night. Each one that a ranker shows is on
-// the page.
+// Guards against a metric that operators cannot look up because it is missing from
+// docs/METRICS.md.
 func TestMetricsPageIsComplete(t *testing.T) {
 	t.Parallel()
 	b, err := os.ReadFile("../../docs/METRICS.md")
@@ -254,7 +253,7 @@
 	}
 	r.Registry.Each(func(name string, _ any) {
 		if !strings.Contains(page, "`"+name+"`") {
-			t.Errorf("%s is not on the page", name)
+			t.Errorf("docs/METRICS.md lacks %s", name)
 		}
 	})
 }
--- a/internal/ranker/round.go
+++ b/internal/ranker/round.go
@@ -12,63 +12,63 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/rank/lockstep"
 )
 
-// round looks at all ranks, gives the orders that follow, and returns how long
-// to wait for the next round.
+// round polls all ranks, gives the orders that follow from their states, and returns
+// how long to wait before the next round.
 func (t *term) round(ctx context.Context) time.Duration {
 	agents, entries := t.ranker.members(t.group)
-	want := wanted{counts: t.engine != nil && !t.leader.Busy(), lists: t.engine != nil && t.leader.InForce() == nil, leader: t.self(false)}
-	t.counted = false
-	looks := t.lookAll(ctx, agents, want)
+	opts := pollOptions{counts: t.engine != nil && !t.leader.Busy(), lists: t.engine != nil && t.leader.InForce() == nil, leader: t.leaderProto(false)}
+	t.countsPolled = false
+	reports := t.pollGroup(ctx, agents, opts)
 	now := boottime.Now()
-	ranks, byRank, seen := t.arrange(looks)
-	t.tellEntries(ctx, entries, looks, !slices.Contains(seen, false), now)
+	ranks, byRank, seen := t.indexByRank(reports)
+	t.reportLoads(ctx, entries, reports, !slices.Contains(seen, false), now)
 	if slices.Contains(seen, false) {
 		return t.rescue(ctx, ranks, byRank, seen)
 	}
 	if t.engine == nil {
-		return lookEvery
+		return pollInterval
 	}
-	t.learnMap(byRank)
-	t.notePaces(paces(byRank))
-	if t.counted {
+	t.learnCurrentMap(byRank)
+	t.logSlowdowns(slowdowns(byRank))
+	if t.countsPolled {
 		t.plan(byRank, now)
 	}
-	was := t.leader.Busy()
+	wasBusy := t.leader.Busy()
 	directives := t.leader.Decide(ranks, t.mayBegin(now), now)
 	t.logHeld(ranks, now)
-	if was && !t.leader.Busy() {
-		return 0 // what was counted meanwhile may ask for the next change
+	if wasBusy && !t.leader.Busy() {
+		return 0 // counts gathered meanwhile may call for the next change
 	}
 	if len(directives) > 0 {
-		t.giveAndFollow(ctx, directives, ranks, byRank, func(now time.Time) []lockstep.Directive {
+		t.giveAndContinue(ctx, directives, ranks, byRank, func(now time.Time) []lockstep.Directive {
 			return t.leader.Decide(ranks, t.mayBegin(now), now)
 		})
 		t.logChange()
 		return 0
 	}
 	if t.leader.Busy() {
-		return workEvery
+		return copyPollInterval
 	}
-	return lookEvery
+	return pollInterval
 }
 
-// logHeld tells of a step that is held for longer than any change takes, and which
-// ranks keep it from being let go.
+// logHeld logs a step that has been held for longer than any change takes, with the
+// ranks that prevent its release. It logs at most once in maxChangeTime.
 func (t *term) logHeld(ranks []lockstep.State, now time.Time) {
 	held := t.leader.HeldFor(ranks, now)
-	if held < changeTime || now.Sub(t.heldLogged) < changeTime {
+	if held < maxChangeTime || now.Sub(t.heldLoggedAt) < maxChangeTime {
 		return
 	}
-	t.heldLogged = now
-	f := logrus.Fields{"group": t.group, "epoch": ranks[0].Epoch, "held": held.Milliseconds()}
+	t.heldLoggedAt = now
+	fields := logrus.Fields{"group": t.group, "epoch": ranks[0].Epoch, "held": held.Milliseconds()}
 	for _, i := range t.leader.Awaited(ranks) {
-		f[fmt.Sprint("rank", i)] = ranks[i].String()
+		fields[fmt.Sprint("rank", i)] = ranks[i].String()
 	}
-	t.ranker.Log.WithFields(f).Warn("a step stays held")
+	t.ranker.Log.WithFields(fields).Warn("a step stays held")
 }
 
-// logChange tells how a change of maps went: one that took longer than expected may
-// have kept the group waiting.
+// logChange logs a completed map change with its expected and actual duration: a
+// change that took longer than expected may have stalled the group.
 func (t *term) logChange() {
 	c, ok := t.leader.Changed()
 	if !ok {
@@ -77,34 +77,35 @@
 	t.ranker.Log.WithFields(logrus.Fields{
 		"group": t.group, "step": c.Step, "ahead": c.Ahead, "took": c.Took.Milliseconds(),
 		"expected": c.Expected.Milliseconds(), "stepTime": c.StepTime.Milliseconds(),
-	}).Info("expert map let go")
+	}).Info("expert map change completed")
 }
 
-// rescue lets a step go that the last leader left held, if its own rank alone
-// isn't seen, and returns how long to wait for the next round.
-func (t *term) rescue(ctx context.Context, ranks []lockstep.State, byRank []found, seen []bool) time.Duration {
+// rescue releases a step that the previous leader left held, provided that leader's
+// rank is the only one not polled. It returns how long to wait before the next round.
+func (t *term) rescue(ctx context.Context, ranks []lockstep.State, byRank []rankReport, seen []bool) time.Duration {
 	directives := t.leader.Rescue(ranks, seen)
 	if len(directives) == 0 {
-		return lookEvery
+		return pollInterval
 	}
-	t.giveAndFollow(ctx, directives, ranks, byRank, func(time.Time) []lockstep.Directive { return t.leader.Rescue(ranks, seen) })
+	t.giveAndContinue(ctx, directives, ranks, byRank, func(time.Time) []lockstep.Directive { return t.leader.Rescue(ranks, seen) })
 	return 0
 }
 
-// learnMap learns the map in force from the ranks' lists, if all are of one.
-func (t *term) learnMap(byRank []found) {
+// learnCurrentMap derives the map in force from the ranks' expert lists, if all ranks
+// report the same version.
+func (t *term) learnCurrentMap(byRank []rankReport) {
 	if t.leader.InForce() != nil {
 		return
 	}
-	x := t.engine.Experts
-	sets := make([][][]int, x.Sets)
-	for _, l := range byRank {
-		if l.lists == nil || len(l.lists) != x.Sets || l.state.Map != byRank[0].state.Map {
+	experts := t.engine.Experts
+	sets := make([][][]int, experts.Sets)
+	for _, report := range byRank {
+		if report.lists == nil || len(report.lists) != experts.Sets || report.state.Map != byRank[0].state.Map {
 			return
 		}
 		for s := range sets {
-			sets[s] = append(sets[s], l.lists[s])
+			sets[s] = append(sets[s], report.lists[s])
 		}
 	}
-	t.leader.Current(byRank[0].state.Map, inOrder(sets))
+	t.leader.Current(byRank[0].state.Map, sortExperts(sets))
 }
--- a/internal/ranker/service.go
+++ b/internal/ranker/service.go
@@ -11,19 +11,19 @@
 	"github.com/hyssoprelay/hyssoprelay/platform"
 )
 
-// look is what one look at an engine brought.
-type look struct {
+// engineReport is the result of one poll of an engine.
+type engineReport struct {
 	state lockstep.State
-	// counts and lists are nil when they were not asked for.
+	// counts and lists are nil when the poll did not ask for them.
 	counts []uint64
 	lists  [][]int
-	// sums is what was counted since the last look, if it was asked for.
+	// sums holds the counts since the last poll, if the poll asked for them.
 	sums []*fleetpb.CountSum
 	// address is the engine's IP:port.
 	address string
 }
 
-// service answers the leader of the group.
+// service implements the gRPC service that the group's leader and delegates call.
 type service struct {
 	fleetpb.UnimplementedAgentServer
 
@@ -31,161 +31,165 @@
 }
 
 // Look implements fleetpb.AgentServer.
-func (s *service) Look(ctx context.Context, q *fleetpb.LookRequest) (*fleetpb.LookReply, error) {
-	s.ranker.heardOf(q.GetLeader(), boottime.Now())
-	want := wanted{counts: q.GetCounts(), experts: int(q.GetExperts()), lists: q.GetLists()}
-	l, err := lookEngine(ctx, s.ranker.engine, want)
+func (s *service) Look(ctx context.Context, req *fleetpb.LookRequest) (*fleetpb.LookReply, error) {
+	s.ranker.noteLeader(req.GetLeader(), boottime.Now())
+	opts := pollOptions{counts: req.GetCounts(), experts: int(req.GetExperts()), lists: req.GetLists()}
+	report, err := queryEngine(ctx, s.ranker.engine, opts)
 	if err != nil {
 		return nil, err
 	}
-	p := replyFrom(l)
+	resp := lookReplyProto(report)
 	switch {
-	case want.experts > 0:
-		p.Sums = s.ranker.ownSums(l, want.experts, boottime.Now())
-	case want.counts:
-		s.ranker.told.tell(p, l.counts, q.GetCounted())
+	case opts.experts > 0:
+		resp.Sums = s.ranker.localSums(report, opts.experts, boottime.Now())
+	case opts.counts:
+		s.ranker.countHistory.encode(resp, report.counts, req.GetCounted())
 	}
-	return p, nil
+	return resp, nil
 }
 
-// ownSums tells what the own engine has counted since the last time.
-func (r *Ranker) ownSums(l look, experts int, now time.Time) []*fleetpb.CountSum {
-	return sumsProto(r.recent.tell(l, now), experts, rankBits)
+// localSums returns what the agent's own engine has counted since the previous call,
+// for sets of the given number of experts.
+func (r *Ranker) localSums(report engineReport, experts int, now time.Time) []*fleetpb.CountSum {
+	return sumsProto(r.recentCounts.sinceLast(report, now), experts, rankLevelBits)
 }
 
-// lookEngine looks at one engine.
-func lookEngine(ctx context.Context, e *platform.Engine, want wanted) (look, error) {
-	l := look{address: e.Addr}
+// queryEngine reads the state of one engine, and its counts and expert lists if opts
+// asks for them.
+func queryEngine(ctx context.Context, e *platform.Engine, opts pollOptions) (engineReport, error) {
+	report := engineReport{address: e.Addr}
 	var err error
-	if want.counts || want.experts > 0 {
-		if l.counts, err = e.Counts(ctx); err != nil {
-			return l, err
+	if opts.counts || opts.experts > 0 {
+		if report.counts, err = e.Counts(ctx); err != nil {
+			return report, err
 		}
 	}
-	if want.lists {
-		if l.lists, err = e.Lists(ctx); err != nil {
-			return l, err
+	if opts.lists {
+		if report.lists, err = e.Lists(ctx); err != nil {
+			return report, err
 		}
 	}
-	l.state, err = e.State(ctx)
-	return l, err
+	report.state, err = e.State(ctx)
+	return report, err
 }
 
 // Give implements fleetpb.AgentServer.
-func (s *service) Give(ctx context.Context, q *fleetpb.GiveRequest) (*fleetpb.GiveReply, error) {
-	d, known, err := s.read(q)
+func (s *service) Give(ctx context.Context, req *fleetpb.GiveRequest) (*fleetpb.GiveReply, error) {
+	d, known, err := s.decodeOrder(req)
 	if err != nil {
 		return nil, err
 	}
 	if !known {
 		return &fleetpb.GiveReply{UnknownBase: true}, nil
 	}
-	o, err := s.ranker.giveOwn(ctx, q.GetToken(), d)
+	o, err := s.ranker.giveLocal(ctx, req.GetToken(), d)
 	if err != nil && o != lockstep.Unknown {
 		return nil, err
 	}
 	return &fleetpb.GiveReply{Status: uint32(o)}, nil
 }
 
-// read reads an order. It reports false for a map that is told by changes of one
-// that isn't known.
-func (s *service) read(q *fleetpb.GiveRequest) (d lockstep.Directive, known bool, err error) {
-	if d, err = directiveFrom(q); err != nil {
+// decodeOrder decodes an order. known is false when the order's map is encoded as
+// changes to a map that this agent does not have.
+func (s *service) decodeOrder(req *fleetpb.GiveRequest) (d lockstep.Directive, known bool, err error) {
+	if d, err = directiveFromProto(req); err != nil {
 		return d, false, err
 	}
-	p := q.GetPrepare()
-	if p == nil {
+	prepare := req.GetPrepare()
+	if prepare == nil {
 		return d, true, nil
 	}
-	sets, ok := s.ranker.maps.read(p)
-	d.Order = lockstep.Prepare{Version: p.GetVersion(), Sets: sets}
+	sets, ok := s.ranker.mapCache.decode(prepare)
+	d.Order = lockstep.Prepare{Version: prepare.GetVersion(), Sets: sets}
 	return d, ok, nil
 }
 
-// giveOwn hands an order to the agent's own engine.
-func (r *Ranker) giveOwn(ctx context.Context, token uint64, d lockstep.Directive) (lockstep.Outcome, error) {
+// giveLocal delivers an order to the agent's own engine.
+func (r *Ranker) giveLocal(ctx context.Context, token uint64, d lockstep.Directive) (lockstep.Outcome, error) {
 	if p, ok := d.Order.(lockstep.Prepare); ok {
-		r.maps.keep(p.Version, p.Sets)
+		r.mapCache.add(p.Version, p.Sets)
 	}
-	o, err := giveAgain(ctx, r.engine, token, d, ownTries)
-	r.counts.orders.Inc(1)
+	o, err := giveWithRetries(ctx, r.engine, token, d, localRetries)
+	r.counters.orders.Inc(1)
 	switch o {
 	case lockstep.Unknown:
-		r.counts.unanswered.Inc(1)
+		r.counters.unanswered.Inc(1)
 	case lockstep.Unfit, lockstep.Fenced:
-		r.counts.unfit.Inc(1)
+		r.counters.unfit.Inc(1)
 	}
 	return o, err
 }
 
-func replyFrom(l look) *fleetpb.LookReply {
-	s := l.state
-	p := &fleetpb.LookReply{
+func lookReplyProto(report engineReport) *fleetpb.LookReply {
+	s := report.state
+	resp := &fleetpb.LookReply{
 		Group: s.Group, Epoch: s.Epoch, Rank: uint32(s.Rank), Size: uint32(s.Size), Open: s.Open,
 		Step: s.Step, Sequence: s.Sequence, Busy: s.Busy, Map: s.Map, Prepared: s.Prepared,
 		HasPrepared: s.HasPrepared, Running: uint32(s.Running), Queued: uint32(s.Queued), Born: s.Born,
 		Pace: uint32(100 * s.Pace),
 	}
 	if s.Armed != nil {
-		p.Armed, p.ArmedStep, p.ArmedVersion = true, s.Armed.Step, s.Armed.Version
+		resp.Armed, resp.ArmedStep, resp.ArmedVersion = true, s.Armed.Step, s.Armed.Version
 	}
 	if s.Held != nil {
-		p.Held, p.HeldStep = true, *s.Held
+		resp.Held, resp.HeldStep = true, *s.Held
 	}
-	for _, experts := range l.lists {
-		p.Lists = append(p.Lists, &fleetpb.Experts{Experts: uints(experts)})
+	for _, experts := range report.lists {
+		resp.Lists = append(resp.Lists, &fleetpb.Experts{Experts: toUint32s(experts)})
 	}
-	return p
+	return resp
 }
 
-func lookFrom(p *fleetpb.LookReply, address string) look {
-	l := look{address: address, sums: p.GetSums(), state: lockstep.State{
-		Group: p.GetGroup(), Epoch: p.GetEpoch(), Rank: int(p.GetRank()), Size: int(p.GetSize()), Open: p.GetOpen(),
-		Step: p.GetStep(), Sequence: p.GetSequence(), Busy: p.GetBusy(), Map: p.GetMap(), Prepared: p.GetPrepared(),
-		HasPrepared: p.GetHasPrepared(), Running: int(p.GetRunning()), Queued: int(p.GetQueued()), Born: p.GetBorn(),
-		Pace: float64(p.GetPace()) / 100,
+func reportFromProto(resp *fleetpb.LookReply, address string) engineReport {
+	report := engineReport{address: address, sums: resp.GetSums(), state: lockstep.State{
+		Group: resp.GetGroup(), Epoch: resp.GetEpoch(), Rank: int(resp.GetRank()), Size: int(resp.GetSize()), Open: resp.GetOpen(),
+		Step: resp.GetStep(), Sequence: resp.GetSequence(), Busy: resp.GetBusy(), Map: resp.GetMap(), Prepared: resp.GetPrepared(),
+		HasPrepared: resp.GetHasPrepared(), Running: int(resp.GetRunning()), Queued: int(resp.GetQueued()), Born: resp.GetBorn(),
+		Pace: float64(resp.GetPace()) / 100,
 	}}
-	if p.GetArmed() {
-		l.state.Armed = &lockstep.Arming{Step: p.GetArmedStep(), Version: p.GetArmedVersion()}
+	if resp.GetArmed() {
+		report.state.Armed = &lockstep.Arming{Step: resp.GetArmedStep(), Version: resp.GetArmedVersion()}
 	}
-	if p.GetHeld() {
-		step := p.GetHeldStep()
-		l.state.Held = &step
+	if resp.GetHeld() {
+		step := resp.GetHeldStep()
+		report.state.Held = &step
 	}
-	for _, e := range p.GetLists() {
-		l.lists = append(l.lists, ints(e.GetExperts()))
+	for _, e := range resp.GetLists() {
+		report.lists = append(report.lists, toInts(e.GetExperts()))
 	}
-	return l
+	return report
 }
 
-// giveProto is the message of an order; m is that of a Prepare, see prepareProto.
-func giveProto(token uint64, d lockstep.Directive, m *fleetpb.Prepare) *fleetpb.GiveRequest {
-	p := &fleetpb.GiveRequest{Token: token, Epoch: d.Epoch, Sequence: d.Sequence}
+// giveRequestProto encodes an order. prepare is the encoded map of a Prepare order,
+// see prepareProto.
+func giveRequestProto(token uint64, d lockstep.Directive, prepare *fleetpb.Prepare) *fleetpb.GiveRequest {
+	req := &fleetpb.GiveRequest{Token: token, Epoch: d.Epoch, Sequence: d.Sequence}
 	switch o := d.Order.(type) {
 	case lockstep.Fence:
-		p.Order = &fleetpb.GiveRequest_Fence{Fence: &fleetpb.Fence{}}
+		req.Order = &fleetpb.GiveRequest_Fence{Fence: &fleetpb.Fence{}}
 	case lockstep.Prepare:
-		p.Order = &fleetpb.GiveRequest_Prepare{Prepare: m}
+		req.Order = &fleetpb.GiveRequest_Prepare{Prepare: prepare}
 	case lockstep.Arm:
-		p.Order = &fleetpb.GiveRequest_Arm{Arm: &fleetpb.Arm{Version: o.Version, Step: o.Step}}
+		req.Order = &fleetpb.GiveRequest_Arm{Arm: &fleetpb.Arm{Version: o.Version, Step: o.Step}}
 	case lockstep.Disarm:
-		p.Order = &fleetpb.GiveRequest_Disarm{Disarm: &fleetpb.Disarm{Version: o.Version}}
+		req.Order = &fleetpb.GiveRequest_Disarm{Disarm: &fleetpb.Disarm{Version: o.Version}}
 	case lockstep.Hold:
-		p.Order = &fleetpb.GiveRequest_Hold{Hold: &fleetpb.Hold{Step: o.Step}}
+		req.Order = &fleetpb.GiveRequest_Hold{Hold: &fleetpb.Hold{Step: o.Step}}
 	case lockstep.Go:
-		p.Order = &fleetpb.GiveRequest_Go{Go: &fleetpb.Go{Step: o.Step}}
+		req.Order = &fleetpb.GiveRequest_Go{Go: &fleetpb.Go{Step: o.Step}}
 	}
-	return p
+	return req
 }
 
-// directiveFrom reads an order but for the map of a Prepare.
-func directiveFrom(p *fleetpb.GiveRequest) (lockstep.Directive, error) {
-	d := lockstep.Directive{Epoch: p.GetEpoch(), Sequence: p.GetSequence()}
-	switch o := p.GetOrder().(type) {
+// directiveFromProto decodes an order except for the map of a Prepare. It returns an
+// error for an order of unknown kind.
+func directiveFromProto(req *fleetpb.GiveRequest) (lockstep.Directive, error) {
+	d := lockstep.Directive{Epoch: req.GetEpoch(), Sequence: req.GetSequence()}
+	switch o := req.GetOrder().(type) {
 	case *fleetpb.GiveRequest_Fence:
 		d.Order = lockstep.Fence{}
 	case *fleetpb.GiveRequest_Prepare:
-		// The caller reads the map, which may be told by changes.
+		// The caller decodes the map, which may be encoded as changes.
 	case *fleetpb.GiveRequest_Arm:
 		d.Order = lockstep.Arm{Version: o.Arm.GetVersion(), Step: o.Arm.GetStep()}
 	case *fleetpb.GiveRequest_Disarm:
@@ -195,7 +199,7 @@
 	case *fleetpb.GiveRequest_Go:
 		d.Order = lockstep.Go{Step: o.Go.GetStep()}
 	default:
-		return d, result.New(result.MalformedMsg, "an order of an unknown kind")
+		return d, result.New(result.MalformedMsg, "order is of an unknown kind")
 	}
 	return d, nil
 }
--- a/internal/ranker/sums.go
+++ b/internal/ranker/sums.go
@@ -10,82 +10,88 @@
 )
 
 const (
-	// rankBits and sumBits are how many bits a count takes that is told as a part
-	// of the largest, of one rank and of a bunch. Parts go by the square root, as
-	// the chance in a count does: what is rounded of a rank's is less than that.
-	rankBits = 4
-	sumBits  = 8
-	// sumStale is from when on counts since the last look are no more told: they
-	// are of a popularity that may have passed.
-	sumStale = time.Second
+	// rankLevelBits and subgroupLevelBits are how many bits encode one count, of one
+	// rank and of a subgroup. A count is encoded as a level proportional to the
+	// square root of its share of the largest count, because the random error of a
+	// count grows with its square root; the rounding error of a rank's count is
+	// smaller than that. A subgroup's level takes a whole byte, so subgroupLevelBits
+	// is also the number of bits in a byte.
+	rankLevelBits     = 4
+	subgroupLevelBits = 8
+	// maxCountAge is the longest time since the previous poll after which the counts
+	// in between are still reported. Older counts may stem from a popularity that no
+	// longer applies.
+	maxCountAge = time.Second
 )
 
-// differences turns counts since an engine's start into counts since it was looked
-// at last.
-type differences struct {
+// incrementTracker converts counts since an engine's start into increments since the
+// previous poll.
+type incrementTracker struct {
 	// ranks holds the last counts of each rank.
-	ranks map[int]counted
+	ranks map[int]engineCounts
 }
 
-// counted is what a rank had counted when it was looked at.
-type counted struct {
+// engineCounts holds the counts of an engine at a poll, and the engine's start.
+type engineCounts struct {
 	counts []uint64
 	born   uint64
 }
 
-// add adds what a rank has counted since its last look. The counts of an engine
-// that has started anew begin at zero, so there is nothing to compare with.
-func (d *differences) add(fresh []float64, l look) {
-	if len(l.counts) != len(fresh) {
+// add adds a rank's increments since its previous report to sum. It adds nothing
+// after a restart of the engine, whose counts then begin at zero.
+func (t *incrementTracker) add(sum []float64, report engineReport) {
+	if len(report.counts) != len(sum) {
 		return
 	}
-	if d.ranks == nil {
-		d.ranks = map[int]counted{}
+	if t.ranks == nil {
+		t.ranks = map[int]engineCounts{}
 	}
-	old, ok := d.ranks[l.state.Rank]
-	d.ranks[l.state.Rank] = counted{counts: l.counts, born: l.state.Born}
-	if !ok || old.born != l.state.Born || len(old.counts) != len(l.counts) {
+	previous, ok := t.ranks[report.state.Rank]
+	t.ranks[report.state.Rank] = engineCounts{counts: report.counts, born: report.state.Born}
+	if !ok || previous.born != report.state.Born || len(previous.counts) != len(report.counts) {
 		return
 	}
-	for i, n := range l.counts {
-		if n >= old.counts[i] {
-			fresh[i] += float64(n - old.counts[i])
+	for i, n := range report.counts {
+		if n >= previous.counts[i] {
+			sum[i] += float64(n - previous.counts[i])
 		}
 	}
 }
 
-// recent tells what an engine has counted since it was asked last.
+// recentCounts computes what an engine has counted since the previous query. It is
+// safe for concurrent use.
 //
-// Load: 129 ranks with 16 sets of 258 experts, behind lines of 6 Mbit/s. The counts
-// of each rank, ten times a second, take seven times the leader's line. Harm
-// prevented: with those of a few ranks, which run six requests each, what these
-// happen to be about is taken for popularity. Told as sums, those of thirteen ranks
-// are 27 kB on their delegate's line, and 4 kB on the leader's.
-type recent struct {
-	mu    sync.Mutex // guards all below
-	since differences
-	last  time.Time
+// With 129 ranks and 16 sets of 258 experts behind 6 Mbit/s links, the counts of all
+// ranks ten times a second take seven times the leader's link. With the counts of
+// only a few ranks, which run six requests each, the subjects of these requests are
+// mistaken for popularity. Encoded as sums, the counts of thirteen ranks take 27 kB
+// on their delegate's link and 4 kB on the leader's.
+type recentCounts struct {
+	mu         sync.Mutex // guards all below
+	increments incrementTracker
+	lastAsked  time.Time
 }
 
-// tell returns what was counted since the last call, or nil if that was too long
-// ago.
-func (r *recent) tell(l look, now time.Time) []float64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if now.Sub(r.last) > sumStale {
-		r.since = differences{}
+// sinceLast returns what was counted since the previous call. It returns nil if
+// nothing was counted or if that call was more than maxCountAge ago.
+func (c *recentCounts) sinceLast(report engineReport, now time.Time) []float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if now.Sub(c.lastAsked) > maxCountAge {
+		c.increments = incrementTracker{}
 	}
-	r.last = now
-	fresh := make([]float64, len(l.counts))
-	r.since.add(fresh, l)
-	if len(fresh) == 0 || slices.Max(fresh) == 0 {
+	c.lastAsked = now
+	counts := make([]float64, len(report.counts))
+	c.increments.add(counts, report)
+	if len(counts) == 0 || slices.Max(counts) == 0 {
 		return nil
 	}
-	return fresh
+	return counts
 }
 
-// addUp adds counts to a sum, which takes the size of the first.
-func addUp(sum, counts []float64) []float64 {
+// addCounts adds counts to sum and returns the result. A nil sum takes the length of
+// counts; counts of another length are ignored.
+func addCounts(sum, counts []float64) []float64 {
 	if sum == nil {
 		return slices.Clone(counts)
 	}
@@ -98,45 +104,47 @@
 	return sum
 }
 
-// sumsProto tells counts, set after set, of so many experts each, in parts of so many
-// bits.
+// sumsProto encodes counts as one message per set, with the given number of experts
+// per set and bits per count. It returns nil if the counts do not divide into sets.
 func sumsProto(counts []float64, experts, bits int) []*fleetpb.CountSum {
 	if experts <= 0 || len(counts)%experts != 0 {
 		return nil
 	}
 	var out []*fleetpb.CountSum
 	for set := range slices.Chunk(counts, experts) {
-		most := slices.Max(set)
-		parts := make([]byte, partsSize(experts, bits))
+		largest := slices.Max(set)
+		levels := make([]byte, levelsSize(experts, bits))
 		for i, n := range set {
-			if most > 0 {
-				part := byte(math.Round(math.Sqrt(n/most) * largestPart(bits)))
-				parts[i*bits/sumBits] |= part << (i * bits % sumBits)
+			if largest > 0 {
+				level := byte(math.Round(math.Sqrt(n/largest) * maxLevel(bits)))
+				levels[i*bits/subgroupLevelBits] |= level << (i * bits % subgroupLevelBits)
 			}
 		}
-		out = append(out, &fleetpb.CountSum{Most: uint64(most), Parts: parts})
+		out = append(out, &fleetpb.CountSum{Most: uint64(largest), Parts: levels})
 	}
 	return out
 }
 
-// partsSize returns how many bytes parts of so many bits take.
-func partsSize(experts, bits int) int { return (experts*bits + sumBits - 1) / sumBits }
+// levelsSize returns the size in bytes of the levels of one set.
+func levelsSize(experts, bits int) int {
+	return (experts*bits + subgroupLevelBits - 1) / subgroupLevelBits
+}
 
-// largestPart returns the part that stands for the largest count.
-func largestPart(bits int) float64 { return float64(int(1)<<bits - 1) }
+// maxLevel returns the level that represents the largest count.
+func maxLevel(bits int) float64 { return float64(int(1)<<bits - 1) }
 
-// countsFrom reads counts of so many experts in each set, in parts of so many bits. It
-// reports false when they are of another number.
-func countsFrom(sums []*fleetpb.CountSum, experts, bits int) ([]float64, bool) {
+// countsFromProto decodes counts with the given number of experts per set and bits
+// per count. It reports false if a set has another number of experts.
+func countsFromProto(sums []*fleetpb.CountSum, experts, bits int) ([]float64, bool) {
 	out := make([]float64, 0, len(sums)*experts)
 	for _, s := range sums {
-		if len(s.GetParts()) != partsSize(experts, bits) {
+		if len(s.GetParts()) != levelsSize(experts, bits) {
 			return nil, false
 		}
 		for i := range experts {
-			bare := int(s.GetParts()[i*bits/sumBits]) >> (i * bits % sumBits) & (1<<bits - 1)
-			part := float64(bare) / largestPart(bits)
-			out = append(out, part*part*float64(s.GetMost()))
+			level := int(s.GetParts()[i*bits/subgroupLevelBits]) >> (i * bits % subgroupLevelBits) & (1<<bits - 1)
+			root := float64(level) / maxLevel(bits)
+			out = append(out, root*root*float64(s.GetMost()))
 		}
 	}
 	return out, true
