--- a/internal/ranker/sums_test.go
+++ b/internal/ranker/sums_test.go
@@ -17,216 +17,216 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/routing"
 )
 
-// countedLook is a look at a rank that has counted so much of each expert.
-func countedLook(rank int, born uint64, counts ...uint64) look {
-	return look{state: lockstep.State{Rank: rank, Born: born}, counts: counts}
+// reportWithCounts is the report of a rank with the given counts.
+func reportWithCounts(rank int, born uint64, counts ...uint64) engineReport {
+	return engineReport{state: lockstep.State{Rank: rank, Born: born}, counts: counts}
 }
 
-func checkSum(t *testing.T, step string, got []float64, want ...float64) {
+func checkCounts(t *testing.T, step string, got []float64, want ...float64) {
 	t.Helper()
 	if !slices.Equal(got, want) {
 		t.Errorf("%s: %v, want %v", step, got, want)
 	}
 }
 
-// Guards against counts that are told twice, of an engine that started anew, or of
-// a time when nobody asked.
+// Guards against counts that are reported twice, that stem from before an engine's
+// restart, or that are too old.
 func TestSumsAreOfWhatWasCountedSince(t *testing.T) {
-	r := &recent{}
+	r := &recentCounts{}
 	now := start
-	checkSum(t, "first", r.tell(countedLook(0, 1, 10, 20), now))
-	now = now.Add(sumStale / 2)
-	checkSum(t, "second", r.tell(countedLook(0, 1, 11, 22), now), 1, 2)
-	now = now.Add(sumStale / 2)
-	checkSum(t, "nothing new", r.tell(countedLook(0, 1, 11, 22), now))
-	now = now.Add(sumStale / 2)
-	checkSum(t, "started anew", r.tell(countedLook(0, 2, 3, 3), now))
-	now = now.Add(sumStale / 2)
-	checkSum(t, "after that", r.tell(countedLook(0, 2, 4, 3), now), 1, 0)
-	now = now.Add(2 * sumStale)
-	checkSum(t, "asked again after long", r.tell(countedLook(0, 2, 90, 90), now))
-	sum := addUp(addUp(nil, []float64{1, 2}), []float64{3, 4})
-	checkSum(t, "of two ranks", addUp(sum, []float64{1}), 4, 6)
+	checkCounts(t, "first", r.sinceLast(reportWithCounts(0, 1, 10, 20), now))
+	now = now.Add(maxCountAge / 2)
+	checkCounts(t, "second", r.sinceLast(reportWithCounts(0, 1, 11, 22), now), 1, 2)
+	now = now.Add(maxCountAge / 2)
+	checkCounts(t, "nothing new", r.sinceLast(reportWithCounts(0, 1, 11, 22), now))
+	now = now.Add(maxCountAge / 2)
+	checkCounts(t, "engine restarted", r.sinceLast(reportWithCounts(0, 2, 3, 3), now))
+	now = now.Add(maxCountAge / 2)
+	checkCounts(t, "after the restart", r.sinceLast(reportWithCounts(0, 2, 4, 3), now), 1, 0)
+	now = now.Add(2 * maxCountAge)
+	checkCounts(t, "counts too old", r.sinceLast(reportWithCounts(0, 2, 90, 90), now))
+	sum := addCounts(addCounts(nil, []float64{1, 2}), []float64{3, 4})
+	checkCounts(t, "of two ranks", addCounts(sum, []float64{1}), 4, 6)
 }
 
-// Ten delegates tell what twelve ranks each have counted, told to them in the same
-// way. Guards against a jump that is seen where half a byte a count only rounds, and
-// against counts that are read for another set.
+// Ten delegates report the sums of twelve ranks each. Guards against a rounding
+// error, with half a byte per count, that looks like a jump, and against counts
+// decoded for the wrong set.
 func TestSumsAreReadAsTold(t *testing.T) {
-	const sets, experts, bunches, ranks = 16, 258, 10, 12
+	const sets, experts, subgroups, ranks = 16, 258, 10, 12
 	rng := rand.New(rand.NewPCG(1, 2))
-	popular := make([]float64, sets*experts)
-	for i := range popular {
-		popular[i] = 20 * math.Exp(rng.NormFloat64())
+	means := make([]float64, sets*experts)
+	for i := range means {
+		means[i] = 20 * math.Exp(rng.NormFloat64())
 	}
-	truth, got := make([]float64, len(popular)), make([]float64, len(popular))
-	for range bunches {
-		sum := make([]float64, len(popular))
+	truth, got := make([]float64, len(means)), make([]float64, len(means))
+	for range subgroups {
+		sum := make([]float64, len(means))
 		for range ranks {
-			counts := make([]float64, len(popular))
-			for i, n := range popular {
+			counts := make([]float64, len(means))
+			for i, n := range means {
 				counts[i] = max(0, math.Floor(n+math.Sqrt(n)*rng.NormFloat64()))
 			}
-			sum = addUp(sum, readBack(t, counts, experts, rankBits))
-			truth = addUp(truth, counts)
+			sum = addCounts(sum, roundTrip(t, counts, experts, rankLevelBits))
+			truth = addCounts(truth, counts)
 		}
-		got = addUp(got, readBack(t, sum, experts, sumBits))
+		got = addCounts(got, roundTrip(t, sum, experts, subgroupLevelBits))
 	}
 	for set := range sets {
 		from, to := set*experts, (set+1)*experts
-		off, all := 0.0, 0.0
+		deviation, total := 0.0, 0.0
 		for i := from; i < to; i++ {
-			off += math.Abs(got[i] - truth[i])
-			all += truth[i]
+			deviation += math.Abs(got[i] - truth[i])
+			total += truth[i]
 		}
-		if off/all > 0.05 {
-			t.Errorf("set %d is read %.3f off", set, off/all)
+		if deviation/total > 0.05 {
+			t.Errorf("set %d is off by %.3f after decoding", set, deviation/total)
 		}
 	}
-	counts := popular
-	if _, ok := countsFrom(sumsProto(counts, experts, rankBits), experts+2, rankBits); ok {
-		t.Error("sums of another shape were read")
+	counts := means
+	if _, ok := countsFromProto(sumsProto(counts, experts, rankLevelBits), experts+2, rankLevelBits); ok {
+		t.Error("sums of another shape were decoded")
 	}
-	odd, ok := countsFrom(sumsProto([]float64{4, 0, 1}, 3, rankBits), 3, rankBits)
-	if !ok || len(odd) != 3 || odd[0] != 4 || odd[1] != 0 || math.Abs(odd[2]-1) > 0.15 {
-		t.Errorf("an odd number of experts is read as %v", odd)
+	decoded, ok := countsFromProto(sumsProto([]float64{4, 0, 1}, 3, rankLevelBits), 3, rankLevelBits)
+	if !ok || len(decoded) != 3 || decoded[0] != 4 || decoded[1] != 0 || math.Abs(decoded[2]-1) > 0.15 {
+		t.Errorf("an odd number of experts is decoded as %v", decoded)
 	}
-	if sumsProto(counts, 0, sumBits) != nil || sumsProto(counts[1:], experts, sumBits) != nil {
-		t.Error("sums of no shape were told")
+	if sumsProto(counts, 0, subgroupLevelBits) != nil || sumsProto(counts[1:], experts, subgroupLevelBits) != nil {
+		t.Error("counts that do not divide into sets were encoded")
 	}
 }
 
-// readBack returns counts as they are read when they were told.
-func readBack(t *testing.T, counts []float64, experts, bits int) []float64 {
+// roundTrip returns counts after encoding and decoding.
+func roundTrip(t *testing.T, counts []float64, experts, bits int) []float64 {
 	t.Helper()
-	out, ok := countsFrom(sumsProto(counts, experts, bits), experts, bits)
+	out, ok := countsFromProto(sumsProto(counts, experts, bits), experts, bits)
 	if !ok {
-		t.Fatal("counts are not read")
+		t.Fatal("counts cannot be decoded")
 	}
 	return out
 }
 
-// A leader of 129 ranks has a line of 6 Mbit/s. Guards against looks, counts and
-// loads that take more than a quarter of it while no change is under way: at 42
-// Mbit/s for the loads alone no rank was seen in time.
+// The leader of 129 ranks has a 6 Mbit/s link. Guards against polls, counts and load
+// reports that take more than a quarter of it while no change is in progress: when
+// load reports alone took 42 Mbit/s, no rank was polled in time.
 func TestLeaderLineBearsAGroupOf129Ranks(t *testing.T) {
-	const line = 6e6 / 8 // bytes a second
+	const bandwidth = 6e6 / 8 // bytes a second
 	for _, ranks := range []int{16, 72, 129, 258} {
-		if used := leaderBytes(ranks); used > line/4*max(1, float64(ranks)/129) {
-			t.Errorf("%d ranks take %.0f kB/s, the line has %.0f", ranks, used/1e3, line/1e3)
+		if used := leaderBytesPerSecond(ranks); used > bandwidth/4*max(1, float64(ranks)/129) {
+			t.Errorf("%d ranks take %.0f kB/s, the link has %.0f", ranks, used/1e3, bandwidth/1e3)
 		}
 	}
 }
 
-// A delegate answers for 12 others. Guards against counts that fill its line each time
-// that they are asked for, so that all its ranks count as silent.
+// A delegate answers for 12 other agents. Guards against counts that fill its link at
+// each poll, so that all its ranks count as unreachable.
 func TestDelegateLineBearsTheCountsOfItsBunch(t *testing.T) {
-	const line = 6e6 / 8 // bytes a second
-	sums := &fleetpb.LookReply{Sums: sumsProto(slices.Repeat([]float64{1}, 16*258), 258, rankBits)}
-	if took := float64((bunchAgents-1)*proto.Size(sums)) / line; took > memberTimeout.Seconds()/2 {
-		t.Errorf("the counts of a bunch take %.0f ms of the line", 1000*took)
+	const bandwidth = 6e6 / 8 // bytes a second
+	sums := &fleetpb.LookReply{Sums: sumsProto(slices.Repeat([]float64{1}, 16*258), 258, rankLevelBits)}
+	if took := float64((maxSubgroupAgents-1)*proto.Size(sums)) / bandwidth; took > delegateAgentTimeout.Seconds()/2 {
+		t.Errorf("the counts of a subgroup take %.0f ms of the link", 1000*took)
 	}
 }
 
-// A change of 200 copies is told to 12 agents by their delegate. Guards against a map
-// that fills the delegate's line for longer than its ranks are waited for.
+// A delegate sends a change of 200 copies to 12 agents. Guards against a map that
+// fills its link for longer than the ranks are waited for.
 func TestDelegateLineBearsAMap(t *testing.T) {
-	const line, ranks, sets, experts = 6e6 / 8, 129, 16, 258
-	begin, _ := inTurn(&fleetpb.InTurn{Sets: sets, Ranks: ranks, Experts: experts})
+	const bandwidth, ranks, sets, experts = 6e6 / 8, 129, 16, 258
+	initial, _ := roundRobinMap(&fleetpb.InTurn{Sets: sets, Ranks: ranks, Experts: experts})
 	next := lockstep.Prepare{Version: 1}
-	for _, set := range begin {
+	for _, set := range initial {
 		next.Sets = append(next.Sets, slices.Clone(set))
 	}
 	for i := range 200 {
 		s, r := i%sets, i*7%ranks
 		next.Sets[s][r] = append(slices.Clone(next.Sets[s][r]), (r+1)%experts)
 	}
-	p := prepareProto(next, &lockstep.Goal{Sets: begin})
-	if took := float64((bunchAgents-1)*proto.Size(p)) / line; took > memberTimeout.Seconds()/2 {
-		t.Errorf("a map takes %.0f ms of the line, %d bytes each", 1000*took, proto.Size(p))
+	msg := prepareProto(next, &lockstep.Goal{Sets: initial})
+	if took := float64((maxSubgroupAgents-1)*proto.Size(msg)) / bandwidth; took > delegateAgentTimeout.Seconds()/2 {
+		t.Errorf("a map takes %.0f ms of the link, %d bytes each", 1000*took, proto.Size(msg))
 	}
 }
 
-// leaderBytes returns what a leader sends and receives in a second of looks, sums
-// and loads, for ranks in five data centres with 16 sets of 258 experts.
-func leaderBytes(ranks int) float64 {
+// leaderBytesPerSecond returns what a leader sends and receives per second for polls,
+// sums and load reports, with ranks in five data centres and 16 sets of 258 experts.
+func leaderBytesPerSecond(ranks int) float64 {
 	const sets, experts, dataCentres, overhead = 16, 258, 5, 80
-	bunches := max(dataCentres, (ranks+bunchAgents-1)/bunchAgents)
-	each := (ranks + bunches - 1) / bunches
-	var bunch fanout.Bunch
-	p := &fleetpb.GatherReply{}
-	for i := range each {
-		bunch = append(bunch, fleet.Member{Name: "side-alm-a-12", Address: "10.1.10.140:7340", Endpoint: "10.1.64.140:8029"})
-		p.Gathered = append(p.Gathered, &fleetpb.Gathered{Target: uint32(i), Look: replyFrom(look{state: lockstep.State{
-			Group: "g1", Epoch: 2, Rank: 99, Size: ranks, Open: true, Step: 99999, Sequence: 200, Map: 7 << versionRoom,
-			Prepared: 7 << versionRoom, HasPrepared: true, Running: 4, Queued: 1, Born: 1 << 40, Pace: 1,
+	subgroups := max(dataCentres, (ranks+maxSubgroupAgents-1)/maxSubgroupAgents)
+	perSubgroup := (ranks + subgroups - 1) / subgroups
+	var subgroup fanout.Bunch
+	resp := &fleetpb.GatherReply{}
+	for i := range perSubgroup {
+		subgroup = append(subgroup, fleet.Member{Name: "side-alm-a-12", Address: "10.1.10.140:7340", Endpoint: "10.1.64.140:8029"})
+		resp.Gathered = append(resp.Gathered, &fleetpb.Gathered{Target: uint32(i), Look: lookReplyProto(engineReport{state: lockstep.State{
+			Group: "g1", Epoch: 2, Rank: 99, Size: ranks, Open: true, Step: 99999, Sequence: 200, Map: 7 << versionBits,
+			Prepared: 7 << versionBits, HasPrepared: true, Running: 4, Queued: 1, Born: 1 << 40, Pace: 1,
 		}})})
 	}
-	q := gatherRequest(bunch)
-	q.Targets = nil
+	req := gatherRequestProto(subgroup)
+	req.Targets = nil
 	loads := &fleetpb.LoadsRequest{List: 1 << 63, Forward: true}
 	for range ranks {
 		loads.Running, loads.Queued = append(loads.Running, 4), append(loads.Queued, 1)
 	}
-	sums := &fleetpb.GatherReply{Sums: sumsProto(slices.Repeat([]float64{1}, sets*experts), experts, sumBits)}
-	n, pause := mostSummed(routing.Experts{Sets: sets, Count: experts}, bunches)
-	perSecond := float64(time.Second / lookEvery)
-	looks := perSecond * float64(bunches*(proto.Size(q)+proto.Size(p)+overhead))
-	counts := min(perSecond, 1/pause.Seconds()) * float64(n*proto.Size(sums))
-	told := float64(time.Second/loadsEvery) * float64(dataCentres*(proto.Size(loads)+overhead))
-	return looks + counts + told
+	sums := &fleetpb.GatherReply{Sums: sumsProto(slices.Repeat([]float64{1}, sets*experts), experts, subgroupLevelBits)}
+	n, pause := sumBudget(routing.Experts{Sets: sets, Count: experts}, subgroups)
+	perSecond := float64(time.Second / pollInterval)
+	pollBytes := perSecond * float64(subgroups*(proto.Size(req)+proto.Size(resp)+overhead))
+	countBytes := min(perSecond, 1/pause.Seconds()) * float64(n*proto.Size(sums))
+	loadBytes := float64(time.Second/loadReportInterval) * float64(dataCentres*(proto.Size(loads)+overhead))
+	return pollBytes + countBytes + loadBytes
 }
 
-// versionRoom is how many bits of a version count a leader's maps.
-const versionRoom = 20
+// versionBits is how many bits of a version number count the maps of one leader.
+const versionBits = 20
 
-// BenchmarkLeaderLook is the leader's work for one look at all ranks, without the
-// network: to read what the delegates tell, and to sum up their counts.
+// BenchmarkLeaderLook measures the leader's work for one poll of all ranks without
+// the network: decoding the delegates' reports and adding up their counts.
 func BenchmarkLeaderLook(b *testing.B) {
 	const sets, experts = 16, 258
 	for _, ranks := range []int{16, 72, 129, 258} {
 		b.Run(fmt.Sprint(ranks), func(b *testing.B) {
-			x := &term{
-				ranker: &Ranker{}, group: "g", size: ranks, rankOf: map[string]int{},
+			lead := &term{
+				ranker: &Ranker{}, group: "g", size: ranks, rankByAgent: map[string]int{},
 				engine: &routing.Engine{Experts: routing.Experts{Sets: sets, Count: experts}},
 				pop:    newPopularity(sets, experts),
 			}
-			sums, err := proto.Marshal(&fleetpb.GatherReply{Sums: sumsProto(slices.Repeat([]float64{9}, sets*experts), experts, sumBits)})
+			sums, err := proto.Marshal(&fleetpb.GatherReply{Sums: sumsProto(slices.Repeat([]float64{9}, sets*experts), experts, subgroupLevelBits)})
 			if err != nil {
 				b.Fatal(err)
 			}
-			bunches := (ranks + bunchAgents - 1) / bunchAgents
-			summed, _ := mostSummed(x.engine.Experts, bunches)
+			subgroups := (ranks + maxSubgroupAgents - 1) / maxSubgroupAgents
+			summed, _ := sumBudget(lead.engine.Experts, subgroups)
 			now := start
 			for b.Loop() {
-				var looks []found
-				for first := 0; first < ranks; first += bunchAgents {
-					looks = append(looks, benchBunch(x, first, min(bunchAgents, ranks-first), now)...)
+				var reports []rankReport
+				for first := 0; first < ranks; first += maxSubgroupAgents {
+					reports = append(reports, benchSubgroup(lead, first, min(maxSubgroupAgents, ranks-first), now)...)
 				}
 				for range summed {
-					p := &fleetpb.GatherReply{}
-					if err := proto.Unmarshal(sums, p); err != nil {
+					resp := &fleetpb.GatherReply{}
+					if err := proto.Unmarshal(sums, resp); err != nil {
 						b.Fatal(err)
 					}
-					x.takeSums(p.GetSums())
+					lead.addSums(resp.GetSums())
 				}
-				now = now.Add(lookEvery)
-				x.arrange(looks)
-				x.pop.observe(nil, x.takenSums(), now)
+				now = now.Add(pollInterval)
+				lead.indexByRank(reports)
+				lead.pop.observe(nil, lead.drainSums(), now)
 			}
 		})
 	}
 }
 
-// benchBunch reads the looks at n ranks from a delegate.
-func benchBunch(x *term, first, n int, now time.Time) []found {
+// benchSubgroup decodes the reports of n ranks from a delegate.
+func benchSubgroup(lead *term, first, n int, now time.Time) []rankReport {
 	members := make(fanout.Bunch, 0, n)
-	p := &fleetpb.GatherReply{}
+	resp := &fleetpb.GatherReply{}
 	for i := range n {
 		members = append(members, fleet.Member{Name: "agent", Endpoint: "10.1.64.140:8029"})
-		p.Gathered = append(p.Gathered, &fleetpb.Gathered{Target: uint32(i), Look: replyFrom(look{state: lockstep.State{
-			Group: "g", Rank: first + i, Size: x.size, Open: true,
+		resp.Gathered = append(resp.Gathered, &fleetpb.Gathered{Target: uint32(i), Look: lookReplyProto(engineReport{state: lockstep.State{
+			Group: "g", Rank: first + i, Size: lead.size, Open: true,
 		}})})
 	}
-	return x.foundBy(&members[0], members, p, now)
+	return lead.reportsFromDelegate(&members[0], members, resp, now)
 }
--- a/internal/ranker/term.go
+++ b/internal/ranker/term.go
@@ -16,130 +16,134 @@
 )
 
 const (
-	// lookEvery is how often the leader looks at all ranks while no change is
-	// under way. Popularity jumps every few seconds; a quarter second is a
-	// small part of that, and its counts are enough to tell a jump by.
-	lookEvery = 100 * time.Millisecond
-	// workEvery is the pause while ranks copy experts, 100 ms each.
-	workEvery = 25 * time.Millisecond
-	// callTimeout bounds a call to an agent. It is some forty times the delay
-	// between data centres; while a step is held, a slow call stalls streams.
-	callTimeout = 200 * time.Millisecond
-	// changeTime is what a change takes from its hold to its end, given up or
-	// not, with room.
-	changeTime = 600 * time.Millisecond
+	// pollInterval is the time between two polls of all ranks while no change is in
+	// progress. Popularity jumps every few seconds; the interval is a small part of
+	// that time, and the counts of one interval suffice to detect a jump.
+	pollInterval = 100 * time.Millisecond
+	// copyPollInterval is the time between two polls while ranks copy experts, which
+	// takes 100 ms each.
+	copyPollInterval = 25 * time.Millisecond
+	// agentCallTimeout bounds a call to an agent. It is about forty times the delay
+	// between data centres. While a step is held, a slow call stalls streams.
+	agentCallTimeout = 200 * time.Millisecond
+	// maxChangeTime is an upper bound of the time from a change's hold until its end,
+	// whether it succeeds or is given up.
+	maxChangeTime = 600 * time.Millisecond
 )
 
-// term is the time for which this agent leads a group.
+// term is the time for which this agent leads a group, with the leader's state.
 type term struct {
-	ranker *Ranker
-	lease  *rank.KVLease
-	group  string
-	size   int
-	token  uint64
-	until  time.Time
-	// lost says that the store has ended the lease.
-	lost bool
+	ranker     *Ranker
+	lease      *rank.KVLease
+	group      string
+	size       int
+	token      uint64
+	leaseUntil time.Time
+	// leaseLost reports that the store has ended the lease.
+	leaseLost bool
 
 	leader  lockstep.Leader
 	engine  *routing.Engine
 	pop     *popularity
 	planner planner
-	looker  looker
-	// tree says which agents are reached through which delegates.
+	poller  poller
+	// tree selects the delegates through which agents are reached.
 	tree fanout.Tree
-	// known is which bunches delegates have been told of.
-	known fleet.Told
-	// summed is when delegates were last asked for the sums of counts, and counted
-	// that the last look asked for counts.
-	summed  time.Time
-	counted bool
-	// prepare tells agents the map that they prepare now, which is prepared.
-	prepare  *fleetpb.Prepare
-	prepared [][][]int
-	mu       sync.Mutex // guards sums
-	// sums holds what delegates have counted since it was last planned by.
-	sums [][]float64
-	// tries is how often orders are given to engines elsewhere.
-	tries tries
-	loads loadTeller
-	// jumped says that popularity has jumped since a map was last proposed.
+	// knownLists records which target lists delegates have received.
+	knownLists fleet.Told
+	// sumsPolledAt is when delegates were last asked for sums of counts. countsPolled
+	// reports whether the last poll asked for counts.
+	sumsPolledAt time.Time
+	countsPolled bool
+	// prepareMsg is the encoded map that ranks are preparing, preparedSets the map
+	// itself.
+	prepareMsg   *fleetpb.Prepare
+	preparedSets [][][]int
+	mu           sync.Mutex // guards pendingSums
+	// pendingSums holds the counts from delegates that no plan has used yet.
+	pendingSums [][]float64
+	// retries applies to orders that are given to engines on other VMs.
+	retries retryPolicy
+	loads   loadReporter
+	// jumped reports whether popularity has jumped since the last map was proposed.
 	jumped bool
-	// rankOf is the rank beside each agent, as last seen.
-	rankOf map[string]int
-	// paces is how much slower than usual each rank was at the last look.
-	paces []float64
-	// heldLogged is when a step that stays held was last told of.
-	heldLogged time.Time
-	renew      chan renewal
-	renewAt    time.Time
-	renews     bool
+	// rankByAgent is the rank of each agent's engine when it was last polled.
+	rankByAgent map[string]int
+	// slowdowns is each rank's slowdown factor at the last poll.
+	slowdowns []float64
+	// heldLoggedAt is when a step held for too long was last logged.
+	heldLoggedAt time.Time
+	renewals     chan renewal
+	nextRenewal  time.Time
+	renewing     bool
 }
 
 func newTerm(r *Ranker, lease *rank.KVLease, s lockstep.State, token uint64, until time.Time) *term {
 	return &term{
-		ranker: r, lease: lease, group: s.Group, size: s.Size, token: token, until: until,
+		ranker: r, lease: lease, group: s.Group, size: s.Size, token: token, leaseUntil: until,
 		leader: lockstep.Leader{Own: s.Rank, Holder: (s.Rank + 1) % s.Size, Token: token},
-		looker: newLooker(r, callTimeout, engineTimeout),
-		tree:   fanout.Tree{Direct: directAgents, Most: bunchAgents},
-		loads:  newLoadTeller(), rankOf: map[string]int{},
-		renew: make(chan renewal, 1), tries: directTries,
+		poller: newPoller(r, agentCallTimeout, engineTimeout),
+		tree:   fanout.Tree{Direct: maxDirectAgents, Most: maxSubgroupAgents},
+		loads:  newLoadReporter(), rankByAgent: map[string]int{},
+		renewals: make(chan renewal, 1), retries: remoteRetries,
 	}
 }
 
-// run leads until another agent does, or the process leaves and nothing is held.
+// run leads the group until another agent leads it, or until the process stops and no
+// step is held.
 //
-// A lease that can't be renewed because the store is away does not end the term
-// where engines check fencing tokens: no other agent can take the lease then,
-// and one that takes it later shows its token to every rank before it does
-// anything else, from when on this leader's orders are refused. Without that the
-// group would stay held, or on an old map, for as long as the store is away.
+// Where engines check fencing tokens, a lease that cannot be renewed because the
+// store is unreachable does not end the term. No other agent can take the lease
+// during the outage, and one that takes it later first shows its token to every rank,
+// after which this leader's orders are refused. Otherwise a step would stay held, or
+// an old map in force, for the whole outage.
 func (t *term) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := boottime.Now()
 		t.keepLease(ctx, now)
-		if t.over(now) {
+		if t.ended(now) {
 			break
 		}
 		if t.engine == nil {
-			t.readShape(ctx)
+			t.readEngineConfig(ctx)
 		}
 		pause.For(ctx, t.round(ctx))
 	}
-	if t.renews {
-		<-t.renew
+	if t.renewing {
+		<-t.renewals
 	}
-	if t.ranker.leaving.Load() {
-		t.giveBack()
+	if t.ranker.stopping.Load() {
+		t.releaseLease()
 	}
 }
 
-// over reports whether the term has ended.
-func (t *term) over(now time.Time) bool {
+// ended reports whether the term has ended.
+func (t *term) ended(now time.Time) bool {
 	switch {
-	case t.lost || t.leader.Deposed():
+	case t.leaseLost || t.leader.Deposed():
 		return true
-	case t.ranker.leaving.Load():
+	case t.ranker.stopping.Load():
 		return !t.leader.Holding()
 	default:
-		return !now.Before(t.until) && !t.ranker.Settings.FencingChecked
+		return !now.Before(t.leaseUntil) && !t.ranker.Settings.FencingChecked
 	}
 }
 
-// mayBegin reports whether a change may be begun. One that is begun must come to
-// its end before the lease does, where engines do not check tokens.
+// mayBegin reports whether a map change may begin. Where engines do not check fencing
+// tokens, a change must end before the lease does.
 func (t *term) mayBegin(now time.Time) bool {
-	if t.ranker.leaving.Load() {
+	if t.ranker.stopping.Load() {
 		return false
 	}
-	return t.ranker.Settings.FencingChecked || now.Before(t.until.Add(-changeTime))
+	return t.ranker.Settings.FencingChecked || now.Before(t.leaseUntil.Add(-maxChangeTime))
 }
 
-// readShape reads from the configuration what the group's engines are like.
-func (t *term) readShape(ctx context.Context) {
+// readEngineConfig reads the group's engine parameters from the configuration. The
+// term's engine stays nil until the configuration contains them.
+func (t *term) readEngineConfig(ctx context.Context) {
 	table, err := t.ranker.store.Table(ctx)
 	if err != nil {
-		t.ranker.storeFailed(err)
+		t.ranker.logStoreFailure(err)
 		return
 	}
 	s := table.Service(t.ranker.Settings.Service)
@@ -148,5 +152,5 @@
 	}
 	t.engine = s.Engine
 	t.pop = newPopularity(s.Engine.Experts.Sets, s.Engine.Experts.Count)
-	t.planner = planner{engine: s.Engine, ranks: t.size, gap: table.Gaps()[s.Name]}
+	t.planner = planner{engine: s.Engine, ranks: t.size, maxGap: table.Gaps()[s.Name]}
 }
--- a/internal/ranker/tries.go
+++ b/internal/ranker/tries.go
@@ -8,40 +8,41 @@
 	"github.com/hyssoprelay/hyssoprelay/platform"
 )
 
-// tries says how often an order is given that gets no answer. Engines may lose
-// four in ten orders for some seconds, and while a step is held every stream of
-// the group waits for the order to be given again.
-type tries struct {
-	most int
-	// each bounds one try, and last the last one, for an engine that is slower
-	// to answer than it was thought to be.
-	each, last time.Duration
+// retryPolicy states how often an unanswered order is given again. Engines may lose
+// four in ten orders for some seconds, and while a step is held every stream of the
+// group waits for the retry.
+type retryPolicy struct {
+	attempts int
+	// timeout bounds each attempt but the last. lastTimeout bounds the last attempt,
+	// for an engine that answers more slowly than expected.
+	timeout, lastTimeout time.Duration
 }
 
-// ownTries are for the engine on the same VM, which answers in a millisecond or
-// not at all. With twelve ranks to arm, single tries would hold a step for
-// several rounds.
-var ownTries = tries{most: 4, each: 8 * time.Millisecond, last: 8 * time.Millisecond}
+// localRetries applies to the engine on the same VM, which answers within a
+// millisecond or not at all. With a single attempt each and twelve ranks to arm, a
+// step would be held for several rounds.
+var localRetries = retryPolicy{attempts: 4, timeout: 8 * time.Millisecond, lastTimeout: 8 * time.Millisecond}
 
-// directTries are for an engine elsewhere, some milliseconds away and as long
-// again for a new connection. In all they take what one call to an engine may.
+// remoteRetries applies to an engine on another VM, some milliseconds away, and as
+// long again for a new connection. All attempts together take no longer than
+// engineTimeout.
 //
-// Load: a group whose leader froze with a step held, on engines that lose four in
-// ten orders. Harm prevented: with single tries of 150 ms, each followed by a look
-// that waits for the frozen VM, the go of the successor was lost three times
-// running and the step stayed held for 2.6 s, in place of 1.4 s; callers leave
-// after 2 s without an event.
-var directTries = tries{most: 5, each: 20 * time.Millisecond, last: engineTimeout - 4*20*time.Millisecond}
+// When a leader froze with a step held, on engines that lose four in ten orders,
+// single attempts of 150 ms, each followed by a poll that waits for the frozen VM,
+// lost the successor's go order three times in a row. The step stayed held for 2.6 s
+// instead of 1.4 s, and callers leave after 2 s without an event.
+var remoteRetries = retryPolicy{attempts: 5, timeout: 20 * time.Millisecond, lastTimeout: engineTimeout - 4*20*time.Millisecond}
 
-// giveAgain gives an order until it is answered, a few times. Orders say what the
-// state shall be, so that one which is carried out twice does no more than once.
-func giveAgain(ctx context.Context, e *platform.Engine, token uint64, d lockstep.Directive, n tries) (lockstep.Outcome, error) {
-	for range n.most - 1 {
-		if o, err := giveOnce(ctx, e, token, d, n.each); o != lockstep.Unknown {
+// giveWithRetries gives an order until it is answered, or the attempts are used up.
+// Orders state the wanted result, so carrying one out twice has the same effect as
+// once.
+func giveWithRetries(ctx context.Context, e *platform.Engine, token uint64, d lockstep.Directive, retries retryPolicy) (lockstep.Outcome, error) {
+	for range retries.attempts - 1 {
+		if o, err := giveOnce(ctx, e, token, d, retries.timeout); o != lockstep.Unknown {
 			return o, err
 		}
 	}
-	return giveOnce(ctx, e, token, d, n.last)
+	return giveOnce(ctx, e, token, d, retries.lastTimeout)
 }
 
 func giveOnce(ctx context.Context, e *platform.Engine, token uint64, d lockstep.Directive, timeout time.Duration) (lockstep.Outcome, error) {
