--- a/internal/platform/mirror/copy.go
+++ b/internal/platform/mirror/copy.go
@@ -7,46 +7,50 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/platform"
 )
 
-// eventsKept is how many changes a Copy keeps: those of some seconds in which a
-// fleet of hundreds starts. Who is further behind is told all there is.
-const eventsKept = 1024
+// maxEvents is the number of changes that a Copy keeps: those of several seconds
+// while a fleet of hundreds of processes starts. A reader that is further behind
+// gets the complete state.
+const maxEvents = 1024
 
-// Copy keeps what a Mirror is told, so that other processes can be told the same.
-// It is safe for concurrent use.
+// Copy keeps the state and the recent changes received by a Mirror, so that they
+// can be served to other processes. It is safe for concurrent use.
 //
-// Load: 150 processes that each ask the service for what is new, several times
-// each second while changes come. Harm prevented: the calls grow with the fleet,
-// and in an outage all of them ask again and again.
+// If all processes polled the service (150 of them, several times a second while
+// changes come), the calls would grow with the fleet, and in an outage all
+// processes would retry continuously.
 type Copy struct {
-	// Apart is a key that is not told with the others, as its value is large.
+	// Apart is a key left out of the copy because its large value is transferred
+	// separately.
 	Apart string
 
 	mu    sync.Mutex // guards all below
 	items map[string]platform.KeyValue
-	// events are the changes after the revision floor, oldest first.
-	events          []event
-	floor, revision int64
-	asked, returned time.Time
-	// apart is the revision of the value of Apart that the process holds.
-	apart int64
-	taken chan struct{}
+	// events are the changes after the revision compacted, oldest first.
+	events               []event
+	compacted, revision  int64
+	knownAt, recoveredAt time.Time
+	// separateRevision is the revision of the value of Apart that the process holds.
+	separateRevision int64
+	// updated, unless nil, is closed by the next update.
+	updated chan struct{}
 }
 
-// event is a change of one key. Of a deletion the revision is not known; it is at
-// most the one given.
+// event is a change of one key. For a deletion, whose own revision isn't known,
+// revision is an upper bound.
 type event struct {
 	item     platform.KeyValue
 	deleted  bool
 	revision int64
 }
 
-// Take takes in an update in the order in which Apply gets them. If it says that the
-// service has returned, it did so at returned.
-func (c *Copy) Take(u Update, returned time.Time) {
+// Take applies an update. Updates must come in the order in which Mirror.Apply gets
+// them. If u.Returned is set, recoveredAt is the time at which the service became
+// reachable again.
+func (c *Copy) Take(u Update, recoveredAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if u.Whole {
-		c.items, c.events, c.floor = map[string]platform.KeyValue{}, nil, u.Revision
+		c.items, c.events, c.compacted = map[string]platform.KeyValue{}, nil, u.Revision
 	}
 	for _, item := range u.KVs {
 		if item.Key() == c.Apart {
@@ -64,58 +68,58 @@
 		delete(c.items, key)
 		c.events = append(c.events, event{item: platform.NewKeyValue(key, nil, u.Revision, 0), deleted: true, revision: u.Revision})
 	}
-	c.forget()
+	c.compact()
 	c.revision = max(c.revision, u.Revision)
 	if u.Returned {
-		c.returned = returned
+		c.recoveredAt = recoveredAt
 	}
 	if u.Lacking {
 		u.Asked = time.Time{}
 	}
-	c.catchUp(u.Asked, u.Apart)
+	c.advance(u.Asked, u.Apart)
 }
 
-// CatchUp notes that the process holds the value of Apart of a revision, and with it
-// knows all that was changed before asked.
-func (c *Copy) CatchUp(asked time.Time, apart int64) {
+// CatchUp records that the process holds the value of Apart at a revision and
+// therefore knows every change made before knownAt.
+func (c *Copy) CatchUp(knownAt time.Time, separateRevision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.catchUp(asked, apart)
+	c.advance(knownAt, separateRevision)
 }
 
-func (c *Copy) catchUp(asked time.Time, apart int64) {
-	if asked.After(c.asked) {
-		c.asked = asked
+func (c *Copy) advance(knownAt time.Time, separateRevision int64) {
+	if knownAt.After(c.knownAt) {
+		c.knownAt = knownAt
 	}
-	c.apart = max(c.apart, apart)
-	if c.taken != nil {
-		close(c.taken)
-		c.taken = nil
+	c.separateRevision = max(c.separateRevision, separateRevision)
+	if c.updated != nil {
+		close(c.updated)
+		c.updated = nil
 	}
 }
 
-// forget drops the oldest events.
-func (c *Copy) forget() {
-	for len(c.events) > eventsKept {
-		c.floor = max(c.floor, c.events[0].revision)
+// compact drops the oldest events beyond maxEvents.
+func (c *Copy) compact() {
+	for len(c.events) > maxEvents {
+		c.compacted = max(c.compacted, c.events[0].revision)
 		c.events = c.events[1:]
 	}
 }
 
-// Since returns what has changed after a revision, or all there is if that is not
-// known or too long ago. It reports false before anything was taken in.
+// Since returns the changes after a revision, or the complete state if known is
+// false or the changes are no longer kept. It reports false before the first update.
 //
-// A reader that is ahead of the copy is told nothing new. The time of asking is
-// still true for it: what was changed before that has a revision up to the copy's,
-// and so up to the reader's.
+// A reader that is ahead of the copy gets no changes. Asked still holds for it: all
+// changes made before Asked have revisions up to that of the copy, and so up to that
+// of the reader.
 func (c *Copy) Since(after int64, known bool) (Update, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.items == nil {
 		return Update{}, false
 	}
-	u := Update{Revision: c.revision, Asked: c.asked, Apart: c.apart}
-	if !known || after < c.floor {
+	u := Update{Revision: c.revision, Asked: c.knownAt, Apart: c.separateRevision}
+	if !known || after < c.compacted {
 		u.Whole = true
 		for _, item := range c.items {
 			u.KVs = append(u.KVs, item)
@@ -132,19 +136,20 @@
 	return u, true
 }
 
-// Returned returns when the service was last known to come back, or zero.
+// Returned returns the time at which the service last became reachable again after
+// failed calls, or the zero time.
 func (c *Copy) Returned() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.returned
+	return c.recoveredAt
 }
 
-// Taken returns a channel that is closed when the next update is taken in.
+// Taken returns a channel that is closed by the next call of Take or CatchUp.
 func (c *Copy) Taken() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.taken == nil {
-		c.taken = make(chan struct{})
+	if c.updated == nil {
+		c.updated = make(chan struct{})
 	}
-	return c.taken
+	return c.updated
 }
--- a/internal/platform/mirror/copy_test.go
+++ b/internal/platform/mirror/copy_test.go
@@ -11,11 +11,11 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/platform"
 )
 
-// history is a service that remembers all that ever happened to a few keys.
+// history is a service that keeps all changes of a few keys.
 type history struct {
-	// events holds the change of each revision, and at when it was made.
-	events []event
-	at     []time.Time
+	// events holds the change of each revision, and changedAt its time.
+	events    []event
+	changedAt []time.Time
 }
 
 func (h *history) revision() int64 { return int64(len(h.events)) }
@@ -27,7 +27,7 @@
 	h.events = append(h.events, event{
 		item: platform.NewKeyValue(key, []byte(fmt.Sprint(r)), r, 0), deleted: rng.IntN(3) == 0, revision: r,
 	})
-	h.at = append(h.at, now)
+	h.changedAt = append(h.changedAt, now)
 }
 
 // stateAt returns the values of all keys at a revision.
@@ -43,7 +43,7 @@
 	return out
 }
 
-// since is what a poll or a list of the service tells.
+// since returns the answer of the service to a poll, or to a list if known is false.
 func (h *history) since(after int64, known bool, now time.Time) Update {
 	u := Update{Whole: !known, Revision: h.revision(), Asked: now}
 	if !known {
@@ -59,16 +59,16 @@
 	return u
 }
 
-// follower knows what it was told by anyone.
+// follower is a process that applies updates from the service and from others.
 type follower struct {
 	copy     Copy
 	state    map[string]string
 	revision int64
 	known    bool
-	asked    time.Time
+	knownAt  time.Time
 }
 
-func (f *follower) take(u Update, now time.Time) {
+func (f *follower) apply(u Update, now time.Time) {
 	if u.Whole {
 		f.state = map[string]string{}
 	}
@@ -80,27 +80,27 @@
 	}
 	u.Revision = max(u.Revision, f.revision)
 	f.revision, f.known = u.Revision, true
-	if u.Asked.After(f.asked) {
-		f.asked = u.Asked
+	if u.Asked.After(f.knownAt) {
+		f.knownAt = u.Asked
 	}
 	f.copy.Take(u, now)
 }
 
-// check checks that the follower knows what was so at its revision, and all that was
-// changed before the time that it claims.
+// check verifies that the state of the follower is that of its revision, and that it
+// includes all changes made before knownAt.
 func (f *follower) check(t *testing.T, seed uint64, h *history) {
 	t.Helper()
 	if want := h.stateAt(f.revision); fmt.Sprint(f.state) != fmt.Sprint(want) {
-		t.Fatalf("seed %d: at revision %d it knows %v, want %v", seed, f.revision, f.state, want)
+		t.Fatalf("seed %d: at revision %d its state is %v, want %v", seed, f.revision, f.state, want)
 	}
-	if i := int(f.revision); i < len(h.at) && h.at[i].Before(f.asked) {
-		t.Fatalf("seed %d: revision %d was made before what is claimed to be known", seed, i+1)
+	if i := int(f.revision); i < len(h.changedAt) && h.changedAt[i].Before(f.knownAt) {
+		t.Fatalf("seed %d: revision %d is missing though made before knownAt", seed, i+1)
 	}
 }
 
-// Processes hear from the service and from each other, in any order, of which some
-// are behind or ahead. Guards against a change that is lost or comes back, and
-// against knowledge that is claimed to be newer than it is.
+// Processes get updates from the service and from each other in random order, also
+// from processes that are behind or ahead. Guards against a change that is lost or
+// undone, and against a knownAt later than the last change that is known.
 func TestCopiesTellWhatTheServiceTold(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -116,13 +116,13 @@
 				h.change(rng, now)
 				continue
 			case rng.IntN(3) == 0 || f == from:
-				f.take(h.since(f.revision, f.known, now), now)
+				f.apply(h.since(f.revision, f.known, now), now)
 			case rng.IntN(20) == 0:
 				*f = follower{}
 				continue
 			default:
 				if u, ok := from.copy.Since(f.revision, f.known); ok {
-					f.take(u, now)
+					f.apply(u, now)
 				}
 			}
 			if f.known {
@@ -132,117 +132,117 @@
 	}
 }
 
-// Guards against a copy that grows for as long as its process runs, and against a
-// process that is far behind and misses what was forgotten.
+// Guards against a copy that grows without bound, and against a reader far behind that
+// misses changes which were dropped.
 func TestWhoIsFarBehindIsToldAll(t *testing.T) {
 	c := &Copy{}
 	if _, ok := c.Since(0, false); ok {
-		t.Fatal("a copy that knows nothing tells something")
+		t.Fatal("an empty copy returns an update")
 	}
 	now := time.Unix(1000, 0)
 	c.Take(Update{Whole: true, Revision: 1}, now)
-	for r := int64(2); r < 3*eventsKept; r++ {
+	for r := int64(2); r < 3*maxEvents; r++ {
 		c.Take(Update{KVs: []platform.KeyValue{platform.NewKeyValue(fmt.Sprint(r%7), nil, r, 0)}, Revision: r}, now)
 	}
-	if len(c.events) > eventsKept {
+	if len(c.events) > maxEvents {
 		t.Errorf("%d changes are kept", len(c.events))
 	}
 	if u, ok := c.Since(1, true); !ok || !u.Whole || len(u.KVs) != 7 {
-		t.Errorf("one that is far behind is told whole %v, %d items", u.Whole, len(u.KVs))
+		t.Errorf("a reader far behind gets whole %v, %d items", u.Whole, len(u.KVs))
 	}
-	if u, ok := c.Since(3*eventsKept-2, true); !ok || u.Whole || len(u.KVs) != 1 {
-		t.Errorf("one that lacks one change is told whole %v, %d items", u.Whole, len(u.KVs))
+	if u, ok := c.Since(3*maxEvents-2, true); !ok || u.Whole || len(u.KVs) != 1 {
+		t.Errorf("a reader that lacks one change gets whole %v, %d items", u.Whole, len(u.KVs))
 	}
 }
 
-// Guards against a process that waits for its turn though something new was heard.
-func TestTakenIsTold(t *testing.T) {
+// Guards against a request that keeps waiting although an update has arrived.
+func TestUpdateClosesTakenChannel(t *testing.T) {
 	c := &Copy{}
 	taken := c.Taken()
 	if again := c.Taken(); again != taken {
-		t.Error("two waits are told differently")
+		t.Error("two waiters get different channels")
 	}
 	c.Take(Update{Whole: true, Revision: 1}, time.Unix(1000, 0))
 	select {
 	case <-taken:
 	default:
-		t.Error("nobody was told")
+		t.Error("the channel was not closed")
 	}
 }
 
-// A process begins to ask the service in place of another, with old knowledge.
-// Guards against keys that count for nothing while its first answer waits for a
-// change.
-func TestOldKnowledgeIsRenewedAtOnce(t *testing.T) {
+// A process starts to read the service in place of another while its own state is old.
+// Guards against account keys that are no longer accepted because the first poll waits
+// for a change.
+func TestPollWaitShrinksWithAge(t *testing.T) {
 	m := &Mirror{Wait: time.Second}
 	ages := []time.Duration{0, time.Second, 1700 * time.Millisecond, 2 * time.Second, 3 * time.Second, time.Hour}
-	want := []time.Duration{time.Second, time.Second, 300 * time.Millisecond, agedWait, agedWait, agedWait}
+	want := []time.Duration{time.Second, time.Second, 300 * time.Millisecond, minPollWait, minPollWait, minPollWait}
 	for i, age := range ages {
-		if got := m.waitFor(age, false); got != want[i] {
-			t.Errorf("a poll waits %v when knowledge is %v old, want %v", got, age, want[i])
+		if got := m.pollWait(age, false); got != want[i] {
+			t.Errorf("a poll waits %v when the state is %v old, want %v", got, age, want[i])
 		}
 	}
 }
 
-// The service did not answer the last call. Guards against a process that waits at a
-// service which is silent, and hears of nothing from others meanwhile.
+// The service did not answer the last call. Guards against a process that waits for an
+// unreachable service and gets no updates from its neighbours meanwhile.
 func TestSilentServiceIsTriedAndNotWaitedAt(t *testing.T) {
 	m := &Mirror{Wait: time.Second}
-	if got := m.waitFor(0, true); got != agedWait {
-		t.Errorf("a poll waits %v, want %v", got, agedWait)
+	if got := m.pollWait(0, true); got != minPollWait {
+		t.Errorf("a poll waits %v, want %v", got, minPollWait)
 	}
 }
 
-// apartFollower knows what it was told, but for the values of a key that is told apart,
-// which it is given later.
-type apartFollower struct {
+// separateFollower is a follower to which the value of Copy.Apart is transferred
+// separately and later than the update that announces it.
+type separateFollower struct {
 	follower
 
-	lacks bool
-	asked time.Time // of the update that lacks
-	wants int64
-	held  int64
+	lacking         bool
+	pendingKnownAt  time.Time // of the update that announced pendingRevision
+	pendingRevision int64
+	heldRevision    int64
 }
 
-// hear takes in what another one tells of everything else.
-func (f *apartFollower) hear(u Update, now time.Time) {
-	u.Lacking = u.Apart > f.held
+// receive applies an update, which contains no value of Copy.Apart.
+func (f *separateFollower) receive(u Update, now time.Time) {
+	u.Lacking = u.Apart > f.heldRevision
 	if u.Lacking {
-		f.lacks, f.asked, f.wants = true, u.Asked, u.Apart
+		f.lacking, f.pendingKnownAt, f.pendingRevision = true, u.Asked, u.Apart
 	}
-	u.Apart = f.held
-	told := u
+	u.Apart = f.heldRevision
+	accepted := u
 	if u.Lacking {
-		told.Asked = time.Time{}
+		accepted.Asked = time.Time{}
 	}
 	f.copy.Take(u, now)
 	f.revision, f.known = max(f.revision, u.Revision), true
-	if told.Asked.After(f.follower.asked) {
-		f.follower.asked = told.Asked
+	if accepted.Asked.After(f.follower.knownAt) {
+		f.follower.knownAt = accepted.Asked
 	}
 }
 
-// give gives it the value that another one holds.
-func (f *apartFollower) give(from *apartFollower) {
-	f.held = max(f.held, from.held)
-	if !f.lacks || f.held < f.wants {
+// transferFrom copies the value of Copy.Apart from another follower.
+func (f *separateFollower) transferFrom(from *separateFollower) {
+	f.heldRevision = max(f.heldRevision, from.heldRevision)
+	if !f.lacking || f.heldRevision < f.pendingRevision {
 		return
 	}
-	f.lacks = false
-	if f.asked.After(f.follower.asked) {
-		f.follower.asked = f.asked
+	f.lacking = false
+	if f.pendingKnownAt.After(f.follower.knownAt) {
+		f.follower.knownAt = f.pendingKnownAt
 	}
-	f.copy.CatchUp(f.asked, f.held)
+	f.copy.CatchUp(f.pendingKnownAt, f.heldRevision)
 }
 
-// A large value is told apart from all others, later, by processes of which some are
-// behind. Guards against one that claims to know all of a time though it lacks the
-// value that was in force by then: a key that was taken away would count for longer.
+// A large value is transferred separately and later, also by processes that are behind.
+// Guards against a process whose knownAt is later than a value that it lacks: an
+// account key that the value revokes would be accepted for longer.
 func TestWhatIsToldApartIsNotClaimed(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 4))
 		h := &history{}
-		followers := []*apartFollower{{}, {}, {}, {}}
+		followers := []*separateFollower{{}, {}, {}, {}}
 		for _, f := range followers {
 			f.copy.Apart = "key0"
 		}
@@ -258,63 +258,63 @@
 					u := h.since(f.revision, f.known, now)
 					for _, item := range u.KVs {
 						if item.Key() == "key0" {
-							f.held = max(f.held, item.Revision())
+							f.heldRevision = max(f.heldRevision, item.Revision())
 						}
 					}
-					u.Apart = f.held
-					f.hear(u, now)
+					u.Apart = f.heldRevision
+					f.receive(u, now)
 				}
 			case 2:
 				if u, ok := from.copy.Since(f.revision, f.known); ok && f != from && f != followers[0] {
-					f.hear(u, now)
+					f.receive(u, now)
 				}
 			default:
-				f.give(from)
+				f.transferFrom(from)
 			}
-			f.checkApart(t, seed, h)
+			f.checkSeparate(t, seed, h)
 		}
 	}
 }
 
-// checkApart checks that it holds the value that was in force at the time that it
-// claims.
-func (f *apartFollower) checkApart(t *testing.T, seed uint64, h *history) {
+// checkSeparate verifies that the follower holds the value that was in force at its
+// knownAt.
+func (f *separateFollower) checkSeparate(t *testing.T, seed uint64, h *history) {
 	t.Helper()
 	inForce := int64(0)
 	for i, e := range h.events {
 		switch {
-		case e.item.Key() != "key0" || !h.at[i].Before(f.follower.asked):
+		case e.item.Key() != "key0" || !h.changedAt[i].Before(f.follower.knownAt):
 		case e.deleted:
 			inForce = 0
 		default:
 			inForce = e.revision
 		}
 	}
-	if inForce > f.held {
-		t.Fatalf("seed %d: it claims to know all of a time at which revision %d was in force, and holds %d", seed, inForce, f.held)
+	if inForce > f.heldRevision {
+		t.Fatalf("seed %d: revision %d was in force at its knownAt, but it holds %d", seed, inForce, f.heldRevision)
 	}
 }
 
-// A process hears from a neighbour of a large value, and asks the service before it was
-// given it. Guards against a value that it never hears of, as the service is asked only
-// for what came after.
+// A neighbour announces a large value, and the process polls the service before the
+// value was transferred. Guards against a poll from after the announcement, which would
+// never return the value.
 func TestServiceIsAskedFromWhereNothingLacked(t *testing.T) {
 	var polled []int64
-	told := []Update{
+	updates := []Update{
 		{Whole: true, Revision: 10},
 		{Revision: 20, Lacking: true},
-		{Revision: 15}, // another neighbour, which is behind
+		{Revision: 15}, // from another neighbour, which is behind
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	m := &Mirror{
 		Reader: pollRecorder{polled: &polled, end: cancel}, Wait: time.Second, Now: time.Now, Apply: func(Update) {},
 		Neighbour: func(context.Context, int64, bool) (Update, bool) {
-			if len(told) == 0 {
+			if len(updates) == 0 {
 				return Update{}, false
 			}
-			u := told[0]
-			told = told[1:]
+			u := updates[0]
+			updates = updates[1:]
 			return u, true
 		},
 	}
@@ -322,11 +322,11 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(polled, []int64{15}) {
-		t.Errorf("the service is asked for what came after %v", polled)
+		t.Errorf("the service is polled from revisions %v", polled)
 	}
 }
 
-// pollRecorder notes from where on it is asked, and ends the run.
+// pollRecorder records the revisions from which it is polled, and ends the run.
 type pollRecorder struct {
 	polled *[]int64
 	end    func()
--- a/internal/platform/mirror/doc.go
+++ b/internal/platform/mirror/doc.go
@@ -1,8 +1,8 @@
-// Package mirror keeps a process's copy of the keys under one prefix of the
+// Package mirror maintains a local copy of the keys under one prefix of the
 // platform's key-value service.
 //
-// It reads all keys once and then asks for changes by polls that wait at the
-// service. Each answer carries when it was asked for, which is the newest
-// moment of which the process can be sure to know every change: a poll that
-// hears nothing may be deaf.
+// It lists all keys once and then follows the changes by long polls. Each update
+// carries the time at which its request was sent, which is the latest time up to
+// which the process is known to have seen every change: a poll without an answer
+// proves nothing, since its connection may be dead.
 package mirror
--- a/internal/platform/mirror/mirror.go
+++ b/internal/platform/mirror/mirror.go
@@ -6,258 +6,266 @@
 	"time"
 
 	"github.com/hyssoprelay/hyssoprelay/internal/pause"
-
 	"github.com/hyssoprelay/hyssoprelay/internal/platform"
 	"github.com/hyssoprelay/hyssoprelay/internal/wake"
 )
 
-// ErrCompacted says that the service no longer keeps the changes asked for.
-var ErrCompacted = errors.New("mirror: the history asked for is gone")
+// ErrCompacted reports that the service no longer keeps the requested changes.
+var ErrCompacted = errors.New("mirror: requested revision has been compacted")
 
-// Reader is what a Mirror needs of the key-value service.
+// Reader is the part of the key-value service that a Mirror uses.
 type Reader interface {
-	// List reads a page of the keys with the prefix, from key after on.
+	// List returns a page of the keys with the prefix, starting behind the key
+	// after. The service may use a page size of its own instead of limit.
 	List(ctx context.Context, prefix, after string, limit int) (platform.RangeReply, error)
-	// Poll returns what happened to the keys with the prefix after a revision,
-	// as soon as something did, or nothing after wait. It returns ErrCompacted
-	// when the service has dropped that history.
+	// Poll returns the changes made to the keys with the prefix after a revision,
+	// as soon as there are any, or no changes once wait has passed. It returns
+	// ErrCompacted if the service no longer keeps these changes.
 	Poll(ctx context.Context, prefix string, after int64, wait time.Duration) (platform.Changed, error)
 }
 
 const (
-	// pageLimit is the number of keys asked for at a time.
+	// pageLimit is the number of keys requested per call of List.
 	pageLimit = 500
-	// leastPause and mostPause bound the pause after a failed call: a service
-	// that is back is noticed within the second that configuration leaves for
-	// it, and an outage of 10 s costs each process some 25 calls.
-	leastPause = 100 * time.Millisecond
-	mostPause  = 450 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the delay after a failed call, which
+	// doubles with each further failure. The recovery of the service is noticed
+	// within the second that the configuration allows for it, and an outage of
+	// 10 s costs each process about 25 calls.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 450 * time.Millisecond
 )
 
-// Update is what one answer of the service told.
+// Update holds the content of one answer of the service or of a neighbour.
 type Update struct {
-	// Whole says that KVs is all that there is, and Deleted is empty.
+	// Whole reports that KVs is the complete state and Deleted is empty.
 	Whole    bool
 	KVs      []platform.KeyValue
 	Deleted  []string
 	Revision int64
-	// Asked is when the answer was asked for: the process knows every change
-	// that was made before.
+	// Asked is the time at which the request was sent. After the update the process
+	// knows every change made before it.
 	Asked time.Time
-	// Returned says that calls failed before this answer.
+	// Returned reports that calls to the service failed before this answer.
 	Returned bool
-	// Neighbour says that another process has told this, in place of the service.
+	// Neighbour reports that the update comes from another process instead of the
+	// service.
 	Neighbour bool
-	// Apart is the revision of the value of the key that is told apart: of the one
-	// that the process holds, or in what a neighbour tells, of the neighbour's.
+	// Apart is the revision of the value of Copy.Apart, which is transferred
+	// separately: the revision that the process holds or, in an update from a
+	// neighbour, that the neighbour holds.
 	Apart int64
-	// Lacking says that the process doesn't hold that value yet. It knows what was
-	// changed before Asked only once it does.
+	// Lacking reports that the process doesn't hold that value yet. Only once it
+	// does, it knows every change made before Asked.
 	Lacking bool
 }
 
-// position is up to where a process knows all changes.
+// position is the revision up to which a process knows all changes. If known is
+// false, the complete state has to be read first.
 type position struct {
 	revision int64
 	known    bool
 }
 
-// reach notes that all changes up to a revision are known.
-func (p *position) reach(revision int64) {
+// advance records that all changes up to a revision are known.
+func (p *position) advance(revision int64) {
 	p.revision, p.known = max(p.revision, revision), true
 }
 
-// Mirror follows one prefix. Set the exported fields before Run.
+// Mirror follows the keys under one prefix. Set the exported fields before Run.
 type Mirror struct {
 	Reader Reader
 	Prefix string
-	// Wait is how long a poll may wait for a change. It bounds the age of what
-	// the process knows while nothing changes.
+	// Wait is the longest time that a poll waits for a change. It bounds the age
+	// of the process's knowledge while nothing changes.
 	Wait time.Duration
-	// Settle is the pause after an answer that told changes. Changes come in
-	// bursts (a fleet starts, a data centre returns), and each call is priced:
-	// without the pause each change of a burst costs each process a call.
+	// Settle is the pause after an answer of the service with changes. Changes
+	// come in bursts, as when a fleet starts or a data centre recovers, and calls
+	// are billed: without the pause each change of a burst costs each process a
+	// call.
 	Settle time.Duration
-	// MostSettle is up to what that pause doubles while one answer after the
-	// other tells changes, in the first StartTime of Run; 0 means that it stays
-	// the same.
+	// MostSettle is the limit up to which the pause doubles with each consecutive
+	// answer with changes, during the first StartTime of Run. If it is 0, the
+	// pause is always Settle.
 	MostSettle, StartTime time.Duration
-	// Doubt, when set and raised, has a poll that waits be asked anew at once.
+	// Doubt, if set, aborts the pending poll and sends it again when raised. Raise
+	// it when other calls show that the service is reachable again.
 	//
-	// Guard: a poll that was under way when the service fell silent may never be
-	// answered. Where few keys change under the prefix, nothing shows that before
-	// its wait is over: a group of ranks had no leader for 5 s after an outage of
-	// 6 s, since nobody saw that the last one's lease had lapsed in it. Whoever
-	// sees by other calls that the service is back raises this.
+	// A poll that was pending when the service became unreachable may never be
+	// answered. Where few keys change under the prefix, this shows only at the end
+	// of its wait: after an outage of 6 s a group of ranks had no leader for 5 s
+	// more, since no process saw that the last leader's lease had expired.
 	Doubt *wake.Signal
-	// Neighbour, when set, is asked before the service: it returns what another
-	// process has heard from it, or false to ask the service. It says itself in
-	// the update whether the service has returned.
+	// Neighbour, if set, is called before the service. It returns the changes that
+	// another process received from the service after a revision, or the complete
+	// state if known is false, and sets Returned of the update itself. If it
+	// returns false, the service is called instead.
 	//
-	// The service is asked from where nothing was lacking: what another process has
-	// told of and not yet passed on would else never be told.
+	// The service is polled from the last update that wasn't Lacking. Otherwise a
+	// value that a neighbour announced but did not transfer would never arrive.
 	Neighbour func(ctx context.Context, revision int64, known bool) (Update, bool)
-	// Asking, when set, is told before each call to the service when the answer is
-	// due.
+	// Asking, if set, is called before each call to the service with the time at
+	// which the answer is due.
 	Asking func(due time.Time)
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
-	// Apply takes in each update, in order, from one goroutine.
+	// Apply is called with each update, in order, from one goroutine.
 	Apply func(Update)
-	// Failed, when set, is told of each failed call.
+	// Failed, if set, is called with the error of each failed call.
 	Failed func(error)
 }
 
-// Run follows the prefix until ctx ends.
+// Run follows the prefix until ctx ends. It always returns nil.
 func (m *Mirror) Run(ctx context.Context) error {
-	rest, settle := leastPause, m.Settle
-	// heard goes up to what neighbours told, and whole up to where nothing lacks.
-	heard, whole, failed := position{}, position{}, false
-	// doubtful says that the service did not answer the last call, or another process told
-	// the last update in its place.
-	asked, doubtful := time.Time{}, false
-	started := m.Now().Add(m.StartTime)
+	retryDelay, settle := minRetryDelay, m.Settle
+	// received includes the updates from neighbours, complete only those updates
+	// after which the process lacked no value.
+	received, complete, failed := position{}, position{}, false
+	// knownAt is the time before which all changes are known. unconfirmed reports
+	// that the service did not answer the last call, or that the last update came
+	// from a neighbour.
+	knownAt, unconfirmed := time.Time{}, false
+	startEnd := m.Now().Add(m.StartTime)
 	for ctx.Err() == nil {
-		u, err := m.next(ctx, heard, whole, m.waitFor(m.Now().Sub(asked), doubtful))
+		u, err := m.fetch(ctx, received, complete, m.pollWait(m.Now().Sub(knownAt), unconfirmed))
 		switch {
 		case err == nil:
 			if !u.Neighbour {
 				u.Returned = failed
 			}
-			doubtful = u.Neighbour
-			failed, rest = false, leastPause
-			heard.reach(u.Revision)
+			unconfirmed = u.Neighbour
+			failed, retryDelay = false, minRetryDelay
+			received.advance(u.Revision)
 			if !u.Lacking {
-				whole.reach(u.Revision)
+				complete.advance(u.Revision)
 			}
-			if u.Asked.After(asked) && !u.Lacking {
-				asked = u.Asked
+			if u.Asked.After(knownAt) && !u.Lacking {
+				knownAt = u.Asked
 			}
 			m.Apply(u)
 			if u.Neighbour {
 				settle = m.Settle
-				continue // changes have gathered at the neighbour
+				continue // the neighbour has already coalesced changes
 			}
 			if len(u.KVs)+len(u.Deleted) == 0 {
 				settle = m.Settle
 				continue
 			}
 			pause.For(ctx, settle)
-			if settle = max(settle, min(2*settle, m.MostSettle)); m.Now().After(started) {
+			if settle = max(settle, min(2*settle, m.MostSettle)); m.Now().After(startEnd) {
 				settle = m.Settle
 			}
 		case errors.Is(err, ErrCompacted):
-			whole.known = false
-		case errors.Is(err, errDoubted):
+			complete.known = false
+		case errors.Is(err, errPollAborted):
 			failed = true
 		default:
-			failed, doubtful = true, true
-			m.fail(ctx, err)
-			pause.For(ctx, rest)
-			rest = min(2*rest, mostPause)
+			failed, unconfirmed = true, true
+			m.reportFailure(ctx, err)
+			pause.For(ctx, retryDelay)
+			retryDelay = min(2*retryDelay, maxRetryDelay)
 		}
 	}
 	return nil
 }
 
-// agedWait is how long a poll waits at least, however old what is known has grown.
-const agedWait = 50 * time.Millisecond
+// minPollWait is the shortest wait of a poll, whatever the age of the known state.
+const minPollWait = 50 * time.Millisecond
 
-// waitFor returns how long a poll waits when knowledge is of so long ago: so that it
-// is at most two waits old when the answer comes. A service is tried, and not waited at,
-// if it did not answer the last call or this process begins to ask in place of another.
+// pollWait returns the wait of a poll when the known state has the given age. It is
+// shortened so that the state is at most two waits old when the answer comes, and
+// is minPollWait if unconfirmed.
 //
-// Guard: after an outage, or when this process begins to ask in place of another,
-// an answer that waits for a change as usual would leave what is known as old as it
-// is for as long again, and it would count for nothing. And a process that tries a service
-// which may be silent hears of nothing from others meanwhile.
-func (m *Mirror) waitFor(age time.Duration, doubtful bool) time.Duration {
-	if doubtful {
-		return agedWait
+// After an outage, or when this process starts to read the service in place of
+// another, a poll of the full wait would let a state that is already old grow older
+// by that wait, beyond the age up to which it is used. While a process waits for a
+// service that may be unreachable, it also receives nothing from its neighbours.
+func (m *Mirror) pollWait(age time.Duration, unconfirmed bool) time.Duration {
+	if unconfirmed {
+		return minPollWait
 	}
-	return min(m.Wait, max(agedWait, 2*m.Wait-age))
+	return min(m.Wait, max(minPollWait, 2*m.Wait-age))
 }
 
-func (m *Mirror) fail(ctx context.Context, err error) {
+func (m *Mirror) reportFailure(ctx context.Context, err error) {
 	if m.Failed != nil && ctx.Err() == nil {
 		m.Failed(err)
 	}
 }
 
-func (m *Mirror) next(ctx context.Context, heard, whole position, wait time.Duration) (Update, error) {
+func (m *Mirror) fetch(ctx context.Context, received, complete position, wait time.Duration) (Update, error) {
 	if m.Neighbour != nil {
-		if u, ok := m.Neighbour(ctx, heard.revision, heard.known); ok {
+		if u, ok := m.Neighbour(ctx, received.revision, received.known); ok {
 			u.Neighbour = true
 			return u, nil
 		}
 	}
-	asked := m.Now()
-	if !whole.known {
-		m.asking(asked)
+	sentAt := m.Now()
+	if !complete.known {
+		m.reportRequest(sentAt)
 		u, err := m.list(ctx)
-		u.Asked = asked
+		u.Asked = sentAt
 		return u, err
 	}
-	m.asking(asked.Add(wait))
-	c, err := m.poll(ctx, whole.revision, wait)
+	m.reportRequest(sentAt.Add(wait))
+	c, err := m.poll(ctx, complete.revision, wait)
 	if err != nil {
 		return Update{}, err
 	}
-	// Guard: an answer that was overtaken on its way tells an older revision.
-	// Going on from there would repeat changes, so the newest one stays.
-	return Update{KVs: c.KVs, Deleted: c.Deleted, Revision: max(c.Revision, whole.revision), Asked: asked}, nil
+	// A reordered answer carries an older revision, and polling from there would
+	// repeat changes.
+	return Update{KVs: c.KVs, Deleted: c.Deleted, Revision: max(c.Revision, complete.revision), Asked: sentAt}, nil
 }
 
-func (m *Mirror) asking(due time.Time) {
+func (m *Mirror) reportRequest(due time.Time) {
 	if m.Asking != nil {
 		m.Asking(due)
 	}
 }
 
-// errDoubted says that a poll was given up to be asked anew.
-var errDoubted = errors.New("mirror: the poll was given up")
+// errPollAborted reports that a poll was aborted by Doubt and is to be repeated.
+var errPollAborted = errors.New("mirror: poll aborted")
 
-// poll asks for changes, until it is answered or doubted.
+// poll polls the service until it answers or Doubt is raised.
 func (m *Mirror) poll(ctx context.Context, revision int64, wait time.Duration) (platform.Changed, error) {
 	if m.Doubt == nil {
 		return m.Reader.Poll(ctx, m.Prefix, revision, wait)
 	}
-	asked, cancel := context.WithCancelCause(ctx)
-	watched := make(chan struct{})
+	pollCtx, cancel := context.WithCancelCause(ctx)
+	watcherDone := make(chan struct{})
 	go func() {
-		defer close(watched)
+		defer close(watcherDone)
 		select {
 		case <-m.Doubt.Raised():
-			cancel(errDoubted)
-		case <-asked.Done():
+			cancel(errPollAborted)
+		case <-pollCtx.Done():
 		}
 	}()
-	c, err := m.Reader.Poll(asked, m.Prefix, revision, wait)
+	c, err := m.Reader.Poll(pollCtx, m.Prefix, revision, wait)
 	cancel(nil)
-	<-watched
-	if err != nil && errors.Is(context.Cause(asked), errDoubted) {
-		err = errDoubted
+	<-watcherDone
+	if err != nil && errors.Is(context.Cause(pollCtx), errPollAborted) {
+		err = errPollAborted
 	}
 	return c, err
 }
 
-// list reads all keys, page after page. Pages are no snapshot, so the changes
-// are asked for from the revision of the first page on: what a later page
-// already showed is told again, and what it missed is told then.
+// list reads all keys page by page and returns them with the revision of the first
+// page. The pages aren't one snapshot: polling from that revision repeats changes
+// that later pages already contained, and delivers those that they missed.
 func (m *Mirror) list(ctx context.Context) (Update, error) {
 	u := Update{Whole: true}
 	after := ""
 	for {
-		p, err := m.Reader.List(ctx, m.Prefix, after, pageLimit)
+		page, err := m.Reader.List(ctx, m.Prefix, after, pageLimit)
 		if err != nil {
 			return u, err
 		}
 		if u.Revision == 0 {
-			u.Revision = p.Revision()
+			u.Revision = page.Revision()
 		}
-		kvs := p.KVs()
+		kvs := page.KVs()
 		u.KVs = append(u.KVs, kvs...)
-		if !p.More() || len(kvs) == 0 {
+		if !page.More() || len(kvs) == 0 {
 			return u, nil
 		}
 		after = kvs[len(kvs)-1].Key()
