--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,5 +1,5 @@
-// Package fleet tells the product's own processes of each other where entries
-// speak to endpoints directly: each process writes one key into the platform's
-// store, attached to a lease that it keeps, and hears of the others through its
-// copy of the store.
+// Package fleet implements the discovery of the product's own processes where
+// entries call endpoints directly. Each process writes one key into the platform's
+// store, attached to a lease that it renews, and finds the others in its copy of the
+// store.
 package fleet
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -9,36 +9,37 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/fleet/fleetpb"
 )
 
-// listsKept is how many lists of targets a process remembers: those of the groups
-// that it hears of, before and after their members changed.
-const listsKept = 16
+// maxLists is the number of lists of targets that a process caches: those of the
+// groups that send to it, before and after their members changed.
+const maxLists = 16
 
-// Lists remembers lists of targets by name, so that messages which come several
-// times a second need not tell them. It is safe for concurrent use.
+// Lists caches lists of targets by name, so that messages sent several times a second
+// need not contain them. It is safe for concurrent use.
 type Lists struct {
 	mu     sync.Mutex
 	byName map[uint64][]*fleetpb.Target
 }
 
-// Learn returns the targets of a message: those that it tells, which are remembered
-// by the name, or else those that were told by that name before, or nil.
-func (l *Lists) Learn(name uint64, told []*fleetpb.Target) []*fleetpb.Target {
+// Learn returns the targets of a message that names its list by id. Targets contained
+// in the message are cached under id; a message without targets gets those cached
+// under id, or nil if there are none.
+func (l *Lists) Learn(id uint64, targets []*fleetpb.Target) []*fleetpb.Target {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(told) == 0 {
-		return l.byName[name]
+	if len(targets) == 0 {
+		return l.byName[id]
 	}
-	if l.byName == nil || len(l.byName) >= listsKept {
+	if l.byName == nil || len(l.byName) >= maxLists {
 		l.byName = map[uint64][]*fleetpb.Target{}
 	}
-	l.byName[name] = told
-	return told
+	l.byName[id] = targets
+	return targets
 }
 
-// ListName returns a name that follows from the targets.
+// ListName returns a hash of the targets, in their order, which names the list.
 func ListName(targets []*fleetpb.Target) uint64 {
 	h := xxhash.New()
-	text := func(s string) {
+	writeString := func(s string) {
 		var size [4]byte
 		binary.LittleEndian.PutUint32(size[:], uint32(len(s)))
 		// Writes to a hash never fail.
@@ -46,21 +47,22 @@
 		_, _ = h.WriteString(s)
 	}
 	for _, t := range targets {
-		text(t.GetAgent())
-		text(t.GetAddress())
-		text(t.GetEndpoint())
+		writeString(t.GetAgent())
+		writeString(t.GetAddress())
+		writeString(t.GetEndpoint())
 	}
 	return h.Sum64()
 }
 
-// Told remembers which list each process has been told. It is safe for concurrent
+// Told records the list that was last sent to each process. It is safe for concurrent
 // use.
 type Told struct {
 	mu    sync.Mutex
 	lists map[string]uint64
 }
 
-// Knows reports whether a process has a list, and notes that it will.
+// Knows reports whether the list was the last one sent to a process, and records it as
+// sent.
 func (t *Told) Knows(process string, list uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,7 +74,7 @@
 	return ok && known == list
 }
 
-// Forget notes that a process may not have its list.
+// Forget records that a process may not have the list that was sent to it.
 func (t *Told) Forget(process string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/fleet/lists_test.go
+++ b/internal/fleet/lists_test.go
@@ -6,41 +6,41 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/fleet/fleetpb"
 )
 
-// Guards against figures that are read for other engines than they are of, and
-// against a process that asks for a list again and again.
-func TestListsAreKnownByTheirNames(t *testing.T) {
+// Guards against loads that are attributed to the wrong engines, and against a process
+// that requests the same list repeatedly.
+func TestListsAreRememberedByName(t *testing.T) {
 	one := []*fleetpb.Target{{Agent: "a", Address: "1:1", Endpoint: "1:2"}}
 	two := []*fleetpb.Target{{Agent: "a1", Address: ":1", Endpoint: "1:2"}}
 	if ListName(one) == ListName(two) || ListName(one) != ListName(one[:1]) {
-		t.Fatal("the name of a list doesn't follow from its targets")
+		t.Fatal("the name of a list isn't a function of its targets")
 	}
 	l := &Lists{}
 	name := ListName(one)
 	if l.Learn(name, nil) != nil {
-		t.Error("a list is known that was never told")
+		t.Error("a list that was never received is found")
 	}
 	if got := l.Learn(name, one); len(got) != 1 {
-		t.Error("a list isn't known as it is told")
+		t.Error("a received list isn't returned")
 	}
 	if got := l.Learn(name, nil); len(got) != 1 || got[0] != one[0] {
-		t.Error("a list that was told isn't known")
+		t.Error("a list received earlier isn't found")
 	}
-	for i := range uint64(2 * listsKept) {
+	for i := range uint64(2 * maxLists) {
 		l.Learn(i, one)
 	}
-	if len(l.byName) > listsKept {
-		t.Errorf("%d lists are remembered", len(l.byName))
+	if len(l.byName) > maxLists {
+		t.Errorf("%d lists are cached", len(l.byName))
 	}
 }
 
-// Guards against targets that are told each time, or never to a process that has
-// started anew.
-func TestListsAreToldOnce(t *testing.T) {
+// Guards against targets that are sent with each message, or never to a process that
+// has restarted.
+func TestListsAreSentOncePerProcess(t *testing.T) {
 	told := &Told{}
 	if told.Knows("p", 0) || !told.Knows("p", 0) || told.Knows("p", 8) {
-		t.Error("a list is not told once")
+		t.Error("a list is not sent exactly once")
 	}
 	if told.Forget("p"); told.Knows("p", 8) {
-		t.Error("a list is not told again to a process that lacks it")
+		t.Error("a list is not sent again to a process that lacks it")
 	}
 }
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -11,10 +11,10 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Prefix begins all keys of the product's own processes.
+// Prefix is the prefix of the keys of the product's own processes.
 const Prefix = "hyssoprelay/"
 
-// Kind is what a process does.
+// Kind is the role of a process.
 type Kind string
 
 // The kinds of processes.
@@ -23,12 +23,12 @@
 	Agent Kind = "agent"
 )
 
-// Member is one process.
+// Member describes one process of the fleet.
 type Member struct {
 	Kind       Kind   `json:"kind"`
 	Name       string `json:"name"`
 	DataCentre string `json:"dataCentre"`
-	// Address is the IP:port at which it meets the others.
+	// Address is the IP:port at which it serves the other processes.
 	Address string `json:"address"`
 	// Endpoint is the IP:port of an agent's endpoint, and Group its group of
 	// ranks.
@@ -39,8 +39,9 @@
 // Key returns the member's key in the store.
 func (m Member) Key() string { return Prefix + string(m.Kind) + "/" + m.Name }
 
-// Decode reads a member from its key and value. It reports false for keys that
-// are not a member's.
+// Decode decodes a member from its key and value. It reports false if the key isn't
+// that of a member, and fails with result.DocumentUnreadable if the value isn't valid
+// JSON.
 func Decode(key string, value []byte) (Member, bool, error) {
 	kind, name, ok := KeyOf(key)
 	if !ok {
@@ -54,20 +55,21 @@
 	return m, true, nil
 }
 
-// KeyOf reads which member a key is of. It reports false for other keys.
+// KeyOf returns the kind and name of the member that a key belongs to. It reports
+// false if the key isn't that of a member.
 func KeyOf(key string) (Kind, string, bool) {
-	rest, ok := strings.CutPrefix(key, Prefix)
+	path, ok := strings.CutPrefix(key, Prefix)
 	if !ok {
 		return "", "", false
 	}
-	kind, name, ok := strings.Cut(rest, "/")
+	kind, name, ok := strings.Cut(path, "/")
 	if !ok || Kind(kind) != Entry && Kind(kind) != Agent {
 		return "", "", false
 	}
 	return Kind(kind), name, true
 }
 
-// Store is what a Registrar needs of the key-value service.
+// Store is the part of the key-value service that a Registrar uses.
 type Store interface {
 	Txn(ctx context.Context, t platform.Txn) (platform.TxnReply, error)
 	Grant(ctx context.Context, ttl time.Duration) (platform.LeaseID, error)
@@ -76,77 +78,79 @@
 }
 
 const (
-	// LeaseTime is how long a process counts as there without a sign of life.
-	// The others lose little by a dead entry that still counts, so it is long
-	// and costs few calls.
+	// LeaseTime is the time after which a process that no longer renews its lease
+	// counts as gone. A dead process that is still listed does little harm, so the
+	// time is long and renewals cost few calls.
 	LeaseTime = 9 * time.Second
-	// firstRetry is the pause after a failed call, which doubles up to mostRetry with
-	// each further one.
-	firstRetry = 500 * time.Millisecond
-	mostRetry  = 2 * time.Second
-	// endTimeout bounds the call that takes the key back.
-	endTimeout = 500 * time.Millisecond
+	// minRetryDelay is the delay after a failed call. It doubles with each further
+	// failure, up to maxRetryDelay.
+	minRetryDelay = 500 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
+	// revokeTimeout bounds the call that revokes the lease when the process ends.
+	revokeTimeout = 500 * time.Millisecond
 )
 
-// Registrar keeps a member's key in the store. Set the exported fields before
+// Registrar keeps a member registered in the store. Set the exported fields before
 // Run.
 type Registrar struct {
 	Store  Store
 	Member Member
-	// Failed, when set, is told of each failed call.
+	// Failed, if set, is called with the error of each failed call.
 	Failed func(error)
-	// Returned, when set, is called when a call succeeds after others failed.
+	// Returned, if set, is called when a call succeeds after others failed.
 	Returned func()
-	// Doubt is raised when leases may have lapsed.
+	// Doubt is raised when leases may have expired; the lease is then renewed at once.
 	Doubt *wake.Signal
 }
 
-// Run keeps the key until ctx ends, and then takes it back.
+// Run keeps the key registered until ctx ends, and then revokes its lease. It always
+// returns nil.
 //
-// Guard: the store lets all leases lapse in an outage. Until a process renews its
-// lease again it doesn't notice, and the others don't see it for up to a third of
-// the lease. A process that sees a key of the fleet vanish renews its own lease at
-// once, and finds out.
+// All leases expire in an outage of the store. A process notices the loss of its own
+// only when it renews it, up to a third of LeaseTime later, and is invisible to the
+// others until then. A process that sees a key of the fleet vanish therefore raises
+// Doubt to renew its own lease at once.
 //
-// Load: the store answers none of hundreds of processes for seconds. Harm prevented:
-// each asks it twice a second, and what the store bears as it returns goes to them.
+// The delay between retries grows because in an outage hundreds of processes would
+// otherwise each call the store twice a second, and use up its capacity as it
+// recovers.
 func (r *Registrar) Run(ctx context.Context) error {
 	var lease platform.LeaseID
-	failed, retry := false, firstRetry
+	failed, retryDelay := false, minRetryDelay
 	for ctx.Err() == nil {
-		rest := LeaseTime / 3
+		delay := LeaseTime / 3
 		var err error
 		if lease == 0 {
-			lease, err = r.enter(ctx)
+			lease, err = r.register(ctx)
 		} else if _, err = r.Store.KeepAlive(ctx, lease); platform.IsLeaseMissing(err) {
-			lease, rest = 0, 0
+			lease, delay = 0, 0
 		}
 		if err != nil && ctx.Err() == nil {
-			r.fail(err)
-			rest = min(rest, retry)
-			retry = min(2*retry, mostRetry)
+			r.reportFailure(err)
+			delay = min(delay, retryDelay)
+			retryDelay = min(2*retryDelay, maxRetryDelay)
 		} else {
-			retry = firstRetry
+			retryDelay = minRetryDelay
 		}
 		if failed && err == nil && r.Returned != nil {
 			r.Returned()
 		}
 		failed = err != nil
-		r.rest(ctx, rest)
+		r.wait(ctx, delay)
 	}
 	if lease == 0 {
 		return nil
 	}
-	end, cancel := context.WithTimeout(context.Background(), endTimeout)
+	revokeCtx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
-	if err := r.Store.Revoke(end, lease); err != nil {
-		r.fail(err)
+	if err := r.Store.Revoke(revokeCtx, lease); err != nil {
+		r.reportFailure(err)
 	}
 	return nil
 }
 
-// rest waits for d, or less when leases may have lapsed.
-func (r *Registrar) rest(ctx context.Context, d time.Duration) {
+// wait returns after d, or earlier if Doubt is raised or ctx ends.
+func (r *Registrar) wait(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -156,16 +160,16 @@
 	}
 }
 
-func (r *Registrar) fail(err error) {
+func (r *Registrar) reportFailure(err error) {
 	if r.Failed != nil {
 		r.Failed(err)
 	}
 }
 
-// enter writes the key. A key that an earlier process of this name left is
-// overwritten; its lease takes nothing along, because a key belongs to the lease
-// of its last write.
-func (r *Registrar) enter(ctx context.Context) (platform.LeaseID, error) {
+// register writes the key under a new lease. It overwrites the key of an earlier
+// process of the same name. The expiry of that process's lease doesn't delete the key,
+// because a key belongs to the lease of its last write.
+func (r *Registrar) register(ctx context.Context) (platform.LeaseID, error) {
 	lease, err := r.Store.Grant(ctx, LeaseTime)
 	if err != nil {
 		return 0, err
--- a/internal/fleet/member_test.go
+++ b/internal/fleet/member_test.go
@@ -11,65 +11,66 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/wake"
 )
 
-// keys is a store that counts how often a member's key was written, and whose
-// leases may lapse.
-type keys struct {
-	written atomic.Int64
-	lapsed  atomic.Bool
-	away    atomic.Bool
+// fakeStore counts the writes of a member's key. Its leases can be made to expire, and
+// it can be made unreachable.
+type fakeStore struct {
+	writes      atomic.Int64
+	lapsed      atomic.Bool
+	unreachable atomic.Bool
 }
 
-func (k *keys) Txn(context.Context, platform.Txn) (platform.TxnReply, error) {
-	k.written.Add(1)
-	k.lapsed.Store(false)
+func (s *fakeStore) Txn(context.Context, platform.Txn) (platform.TxnReply, error) {
+	s.writes.Add(1)
+	s.lapsed.Store(false)
 	return platform.NewTxnReply(1, true), nil
 }
 
-func (k *keys) Grant(context.Context, time.Duration) (platform.LeaseID, error) {
-	if k.away.Load() {
+func (s *fakeStore) Grant(context.Context, time.Duration) (platform.LeaseID, error) {
+	if s.unreachable.Load() {
 		return 0, platform.NotSent("away")
 	}
 	return platform.LeaseID(1), nil
 }
 
-func (k *keys) KeepAlive(context.Context, platform.LeaseID) (time.Duration, error) {
-	if k.lapsed.Load() {
+func (s *fakeStore) KeepAlive(context.Context, platform.LeaseID) (time.Duration, error) {
+	if s.lapsed.Load() {
 		return 0, platform.Refused("no such lease", true)
 	}
 	return LeaseTime, nil
 }
 
-func (k *keys) Revoke(context.Context, platform.LeaseID) error { return nil }
+func (s *fakeStore) Revoke(context.Context, platform.LeaseID) error { return nil }
 
-// The store lets all leases lapse in an outage and is back. The leader of a group
-// of ranks did not see several ranks for three seconds, because their agents had
-// not renewed their leases since; a held step stayed held for as long.
+// All leases expire in an outage of the store. After one, the leader of a group did not
+// see several ranks for 3 s, because their agents had not yet renewed their leases, and
+// a held step stayed held for as long.
 func TestLapsedKeyIsWrittenAgainAtOnce(t *testing.T) {
 	t.Parallel()
-	store, doubt := &keys{}, &wake.Signal{}
+	store, doubt := &fakeStore{}, &wake.Signal{}
 	r := &Registrar{Store: store, Member: Member{Kind: Agent, Name: "a"}, Doubt: doubt}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- r.Run(ctx) }()
-	eventually(t, func() bool { return store.written.Load() == 1 })
+	eventually(t, func() bool { return store.writes.Load() == 1 })
 	store.lapsed.Store(true)
 	doubt.Raise()
-	eventually(t, func() bool { return store.written.Load() == 2 })
+	eventually(t, func() bool { return store.writes.Load() == 2 })
 	cancel()
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 }
 
-// The store is away and back. The process says so, as its polls may hang for long.
-func TestReturnOfTheStoreIsTold(t *testing.T) {
+// The store is unreachable and recovers. Checks that Returned is called: the process
+// can't rely on its polls to notice, which may hang for long.
+func TestStoreRecoveryIsReported(t *testing.T) {
 	t.Parallel()
-	store, returned := &keys{}, make(chan struct{}, 1)
+	store, returned := &fakeStore{}, make(chan struct{}, 1)
 	store.lapsed.Store(true)
-	store.away.Store(true)
+	store.unreachable.Store(true)
 	r := &Registrar{
 		Store: store, Member: Member{Kind: Agent, Name: "a"}, Doubt: &wake.Signal{},
-		Returned: func() { returned <- struct{}{} }, Failed: func(error) { store.away.Store(false) },
+		Returned: func() { returned <- struct{}{} }, Failed: func(error) { store.unreachable.Store(false) },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -81,14 +82,14 @@
 	}
 }
 
-// The store answers nobody for eight seconds. Guards against processes that ask it again
-// and again meanwhile, and against one that is written again long after its return.
+// The store answers no call for eight seconds. Guards against continuous retries
+// meanwhile, and against a key that is written again only long after the recovery.
 func TestOutageIsAskedIntoSeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const outage, mostCalls = 8 * time.Second, 7
-		store := &keys{}
+		const outage, maxCalls = 8 * time.Second, 7
+		store := &fakeStore{}
 		store.lapsed.Store(true)
-		store.away.Store(true)
+		store.unreachable.Store(true)
 		calls := 0
 		r := &Registrar{
 			Store: store, Member: Member{Kind: Agent, Name: "a"}, Doubt: &wake.Signal{},
@@ -99,14 +100,14 @@
 		go func() { done <- r.Run(ctx) }()
 		time.Sleep(outage)
 		synctest.Wait()
-		if calls > mostCalls {
+		if calls > maxCalls {
 			t.Errorf("%d calls in %v", calls, outage)
 		}
-		store.away.Store(false)
-		time.Sleep(mostRetry)
+		store.unreachable.Store(false)
+		time.Sleep(maxRetryDelay)
 		synctest.Wait()
-		if store.written.Load() != 1 {
-			t.Errorf("the key is not there %v after the return", mostRetry)
+		if store.writes.Load() != 1 {
+			t.Errorf("the key is missing %v after the recovery", maxRetryDelay)
 		}
 		cancel()
 		if err := <-done; err != nil {
@@ -115,11 +116,11 @@
 	})
 }
 
-// eventually bounds a test that hangs; a third of a lease is what the process
-// would wait for by itself.
-func eventually(t *testing.T, is func() bool) {
+// eventually fails the test unless the condition holds within a third of LeaseTime,
+// after which a process renews its lease without any signal.
+func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(LeaseTime / 3); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(LeaseTime / 3); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the key was not written in time")
 		}
