--- a/internal/fleet/fanout/doc.go
+++ b/internal/fleet/fanout/doc.go
@@ -1,11 +1,10 @@
-// Package fanout decides through which processes one process reaches many
-// others: it splits them into bunches within a data centre, and one member of
-// each bunch, the delegate, passes on what is meant for all and answers for them.
+// Package fanout computes the fan-out tree by which one process reaches many others.
+// It splits them into bunches within a data centre. One member of each bunch, the
+// delegate, forwards messages to all its members and returns their combined answer.
 //
-// It answers the load of a group of a hundred ranks behind one line of some
-// Mbit/s: messages to each of them, many times a second, fill that line, and each
-// call that ends at its timeout adds another. With delegates the leader sends and
-// receives as many messages as there are bunches.
+// Direct messages to each of a hundred ranks, many times a second, saturate a link of
+// some Mbit/s, and each call that times out adds another. With delegates the leader
+// sends and receives one message per bunch.
 //
 // The package needs no network and no clock.
 package fanout
--- a/internal/fleet/fanout/tree.go
+++ b/internal/fleet/fanout/tree.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// FewEntries is up to how many entries are each told directly of loads and of
-	// each other's work.
+	// FewEntries is the largest number of entries to which loads, and the entries'
+	// reports of their work, are sent directly.
 	FewEntries = 10
-	// BunchEntries is to how many of its data centre one entry passes these on in a
-	// larger fleet.
+	// BunchEntries is the largest size of a bunch of entries in a larger fleet, in
+	// which one entry forwards these messages within its data centre.
 	BunchEntries = 64
 )
 
-// Bunch is processes that are reached through one of them.
+// Bunch is a set of processes of one data centre that are reached through one of them.
 type Bunch []fleet.Member
 
-// Tree splits processes into bunches and remembers which of them failed as
-// delegates. Set the exported fields before the first call. It is safe for
-// concurrent use.
+// Tree splits processes into bunches and records which of them failed as delegates.
+// Set the exported fields before the first call. It is safe for concurrent use.
 type Tree struct {
-	// Direct is up to how many processes are each reached directly.
+	// Direct is the largest number of processes that are each reached directly.
 	Direct int
-	// Most is the size of the largest bunch.
+	// Most is the largest size of a bunch.
 	Most int
 
-	mu     sync.Mutex // guards failed
-	failed map[string]time.Time
+	mu       sync.Mutex // guards failed
+	failedAt map[string]time.Time
 }
 
-// Bunches splits processes into bunches of about equal sizes, each within one data
-// centre. The order of the processes doesn't matter.
+// Bunches splits processes into bunches, each within one data centre and those of a
+// data centre of about equal sizes. Up to Direct processes become bunches of one. The
+// result doesn't depend on the order of the processes.
 func (t *Tree) Bunches(processes []fleet.Member) []Bunch {
 	sorted := slices.SortedFunc(slices.Values(processes), func(a, b fleet.Member) int {
 		return cmp.Or(cmp.Compare(a.DataCentre, b.DataCentre), cmp.Compare(a.Name, b.Name))
@@ -55,10 +55,9 @@
 	return out
 }
 
-// split returns bunches of at most the given size, none of them much smaller than
-// another.
-func split(processes []fleet.Member, most int) []Bunch {
-	bunches := (len(processes) + most - 1) / most
+// split returns bunches of at most maxSize members, whose sizes differ by at most one.
+func split(processes []fleet.Member, maxSize int) []Bunch {
+	bunches := (len(processes) + maxSize - 1) / maxSize
 	out := make([]Bunch, 0, bunches)
 	for i := range bunches {
 		out = append(out, processes[i*len(processes)/bunches:(i+1)*len(processes)/bunches])
@@ -66,24 +65,25 @@
 	return out
 }
 
-// Delegate returns the member through which a bunch is reached: the first that
-// never failed, or else the one whose failure is the longest ago.
+// Delegate returns the member through which a bunch is reached: the first that never
+// failed, or else the one whose last failure is the longest ago. The bunch must not be
+// empty.
 //
-// Guard: a delegate freezes, or is cut off, for some seconds. Were it asked again
-// after a while, its whole bunch would not be seen each time; so it comes last
-// until all others have failed.
+// A delegate that froze or was unreachable for some seconds is used again only after
+// all others have failed. Were it retried after a fixed time, its whole bunch would be
+// unreachable with each retry that fails.
 func (t *Tree) Delegate(b Bunch) fleet.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.MinFunc(b, func(a, b fleet.Member) int { return t.failed[a.Name].Compare(t.failed[b.Name]) })
+	return slices.MinFunc(b, func(a, b fleet.Member) int { return t.failedAt[a.Name].Compare(t.failedAt[b.Name]) })
 }
 
-// Failed notes that a delegate did not answer.
+// Failed records that a delegate did not answer.
 func (t *Tree) Failed(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.failed == nil {
-		t.failed = map[string]time.Time{}
+	if t.failedAt == nil {
+		t.failedAt = map[string]time.Time{}
 	}
-	t.failed[name] = now
+	t.failedAt[name] = now
 }
--- a/internal/fleet/fanout/tree_test.go
+++ b/internal/fleet/fanout/tree_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1000, 0)
 
-// processes returns members that are spread over data centres in turn.
+// processes returns n members, distributed over the data centres round-robin.
 func processes(n, dataCentres int) []fleet.Member {
 	out := make([]fleet.Member, 0, n)
 	for i := range n {
@@ -20,20 +20,20 @@
 	return out
 }
 
-func checkBunches(t *testing.T, processes []fleet.Member, bunches []Bunch, most int) {
+func checkBunches(t *testing.T, processes []fleet.Member, bunches []Bunch, maxSize int) {
 	t.Helper()
-	home := map[string]string{}
+	dataCentreOf := map[string]string{}
 	for _, p := range processes {
-		home[p.Name] = p.DataCentre
+		dataCentreOf[p.Name] = p.DataCentre
 	}
 	seen := map[string]bool{}
 	for _, b := range bunches {
-		if len(b) == 0 || len(b) > most {
-			t.Errorf("a bunch of %d, at most %d are allowed", len(b), most)
+		if len(b) == 0 || len(b) > maxSize {
+			t.Errorf("a bunch has %d members, want 1 to %d", len(b), maxSize)
 		}
 		for _, m := range b {
-			if seen[m.Name] || home[m.Name] != home[b[0].Name] {
-				t.Errorf("%s of %s is in the bunch %v, before: %v", m.Name, home[m.Name], b, seen[m.Name])
+			if seen[m.Name] || dataCentreOf[m.Name] != dataCentreOf[b[0].Name] {
+				t.Errorf("%s of %s is in the bunch %v, before: %v", m.Name, dataCentreOf[m.Name], b, seen[m.Name])
 			}
 			seen[m.Name] = true
 		}
@@ -43,11 +43,11 @@
 	}
 }
 
-// Guards against a process that nobody reaches, or that two delegates answer for,
-// at any size of a group.
+// Guards against a process in no bunch, which is never reached, or in two bunches, for
+// which two delegates answer, at any size of a group.
 func TestEachProcessIsInOneBunch(t *testing.T) {
 	tree := &Tree{Direct: 16, Most: 13}
-	for _, c := range []struct{ processes, dataCentres, most, bunches int }{
+	for _, c := range []struct{ processes, dataCentres, maxSize, bunches int }{
 		{0, 1, 0, 0},
 		{1, 1, 1, 1},
 		{11, 3, 1, 11},
@@ -61,7 +61,7 @@
 		t.Run(fmt.Sprintf("%d in %d", c.processes, c.dataCentres), func(t *testing.T) {
 			ps := processes(c.processes, c.dataCentres)
 			bunches := tree.Bunches(ps)
-			checkBunches(t, ps, bunches, c.most)
+			checkBunches(t, ps, bunches, c.maxSize)
 			if len(bunches) != c.bunches {
 				t.Errorf("%d bunches, want %d", len(bunches), c.bunches)
 			}
@@ -73,15 +73,15 @@
 	}
 }
 
-// Guards against a bunch that isn't seen again and again, because a frozen delegate
-// is tried anew.
+// Guards against a bunch that is repeatedly unreachable because a frozen delegate is
+// retried.
 func TestFailedDelegateComesLast(t *testing.T) {
 	tree := &Tree{Direct: 1, Most: 3}
 	b := tree.Bunches(processes(3, 1))[0]
 	want := []string{"p000", "p001", "p002", "p000", "p001"}
 	for i, name := range want {
 		if d := tree.Delegate(b).Name; d != name {
-			t.Fatalf("after %d failures %s is asked, want %s", i, d, name)
+			t.Fatalf("after %d failures the delegate is %s, want %s", i, d, name)
 		}
 		tree.Failed(tree.Delegate(b).Name, start.Add(time.Duration(i)*time.Second))
 	}
