--- a/internal/fleet/document/doc.go
+++ b/internal/fleet/document/doc.go
@@ -1,9 +1,10 @@
-// Package document keeps the newest versions of one large value and packs the
-// newest as its difference from a version that the receiver holds.
+// Package document distributes one large value. It keeps the newest versions of the
+// value and encodes the newest one as its difference from a version that the receiver
+// holds.
 //
-// It answers the load of a configuration of some hundred kilobytes that changes
-// several times a second, while dozens of entries hear of it over one VM's line: a
-// change costs some hundred bytes for each of them, and a first copy a tenth of its
-// size. The package needs no network; a Pace says when each copy may be sent, so that
-// what is urgent finds the line free.
+// It is made for a configuration of some hundred kilobytes that changes several times a
+// second and goes to dozens of entries over the network link of one VM. A change costs
+// some hundred bytes for each of them, and a first copy a tenth of the size of the
+// value. A Pace limits the rate of copies, so that urgent messages don't queue behind
+// them. The package itself does no network I/O.
 package document
--- a/internal/fleet/document/holder.go
+++ b/internal/fleet/document/holder.go
@@ -10,31 +10,33 @@
 )
 
 const (
-	// pastKept is how many versions are kept besides the newest, for receivers
+	// maxPastVersions is the number of versions kept besides the newest, for receivers
 	// that are some changes behind.
-	pastKept = 3
-	// maxBytes bounds a value; the store takes a megabyte.
+	maxPastVersions = 3
+	// maxBytes bounds the memory for decoding a value. The store accepts values of up
+	// to a megabyte.
 	maxBytes = 8 << 20
-	// leastWindow is the least distance in bytes over which a difference is looked
-	// for.
-	leastWindow = 64 << 10
-	// fastestBase is the largest base in bytes in which the fastest level still finds
-	// what a value has in common with it.
-	fastestBase = 1 << 20
-	// baseID names the base in a packed value; any number does but 0.
-	baseID = 1
+	// minWindowBytes is the smallest window in which the compressor searches for
+	// matches.
+	minWindowBytes = 64 << 10
+	// maxFastestBaseBytes is the size of the largest base in which the fastest
+	// compression level still finds what it has in common with a value.
+	maxFastestBaseBytes = 1 << 20
+	// dictionaryID is the ID of the base as a zstd dictionary. Any number but 0 will do.
+	dictionaryID = 1
 )
 
-// Version is the value of a key at a revision of the store.
+// Version is a value at a revision of the store.
 type Version struct {
 	Revision int64
 	Value    []byte
 }
 
-// Packed is a version as it goes to another process.
+// Packed is a version encoded for transfer to another process.
 type Packed struct {
 	Revision int64
-	// Base is the revision of the version that it is the difference from, or 0.
+	// Base is the revision of the version that Bytes is the difference from, or 0 if
+	// Bytes is the full value.
 	Base  int64
 	Bytes []byte
 }
@@ -42,13 +44,14 @@
 // Holder holds the newest versions of one value. It is safe for concurrent use.
 type Holder struct {
 	mu sync.Mutex // guards all below
-	// versions stand in the order of their revisions.
+	// versions are sorted by revision.
 	versions []Version
-	// packed holds the newest version by its base.
-	packed map[int64]Packed
+	// packedByBase caches the encodings of the newest version by the revision of the
+	// base.
+	packedByBase map[int64]Packed
 }
 
-// Put takes in a version and reports whether it is the newest.
+// Put adds a version if it is newer than all others, and reports whether it is.
 func (h *Holder) Put(v Version) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -56,10 +59,10 @@
 		return false
 	}
 	h.versions = append(h.versions, v)
-	if n := len(h.versions) - 1 - pastKept; n > 0 {
+	if n := len(h.versions) - 1 - maxPastVersions; n > 0 {
 		h.versions = append([]Version(nil), h.versions[n:]...)
 	}
-	h.packed = map[int64]Packed{}
+	h.packedByBase = map[int64]Packed{}
 	return true
 }
 
@@ -77,7 +80,7 @@
 	return h.versions[len(h.versions)-1]
 }
 
-// find returns the version of a revision, or one of revision 0.
+// find returns the version at a revision, or the zero Version if it isn't kept.
 func (h *Holder) find(revision int64) Version {
 	for _, v := range h.versions {
 		if v.Revision == revision {
@@ -87,9 +90,9 @@
 	return Version{}
 }
 
-// Pack returns the newest version for a receiver that holds the one of a revision,
-// or none if that is 0. It has no bytes if the receiver's is no older. What was packed
-// once is packed for all.
+// Pack returns the newest version encoded for a receiver that holds the version at the
+// revision held, or no version if held is 0. Bytes is empty if the receiver's version
+// isn't older. The result is cached for other receivers of the same version.
 func (h *Holder) Pack(held int64) (Packed, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -97,7 +100,7 @@
 	if v.Revision <= held {
 		return Packed{Revision: v.Revision, Base: v.Revision}, nil
 	}
-	if p, ok := h.packed[base.Revision]; ok {
+	if p, ok := h.packedByBase[base.Revision]; ok {
 		return p, nil
 	}
 	b, err := pack(v.Value, base.Value)
@@ -105,18 +108,18 @@
 		return Packed{}, err
 	}
 	p := Packed{Revision: v.Revision, Base: base.Revision, Bytes: b}
-	h.packed[base.Revision] = p
+	h.packedByBase[base.Revision] = p
 	return p, nil
 }
 
-// Unpack returns the version that another process has packed. It fails with
-// DocumentUnreadable if its base isn't held or it was changed on its way.
+// Unpack decodes a version that another process has packed. It fails with
+// result.DocumentUnreadable if the base isn't held or the data is corrupt.
 func (h *Holder) Unpack(p Packed) (Version, error) {
 	h.mu.Lock()
 	base := h.find(p.Base)
 	h.mu.Unlock()
 	if base.Revision != p.Base {
-		return Version{}, result.Newf(result.DocumentUnreadable, "revision %d, of which it is the difference, is not held", p.Base)
+		return Version{}, result.Newf(result.DocumentUnreadable, "base revision %d is not held", p.Base)
 	}
 	value, err := unpack(p.Bytes, base.Value)
 	if err != nil {
@@ -125,16 +128,17 @@
 	return Version{Revision: p.Revision, Value: value}, nil
 }
 
-// pack returns a value as its difference from a base, with a checksum.
+// pack compresses a value with base as its dictionary, if that isn't empty, and adds a
+// checksum.
 func pack(value, base []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithLowerEncoderMem(true),
-		zstd.WithWindowSize(window(len(value) + len(base))),
+		zstd.WithWindowSize(windowSize(len(value) + len(base))),
 	}
 	if len(base) > 0 {
-		options = append(options, zstd.WithEncoderDictRaw(baseID, base))
+		options = append(options, zstd.WithEncoderDictRaw(dictionaryID, base))
 	}
-	if len(base) > fastestBase {
+	if len(base) > maxFastestBaseBytes {
 		options = append(options, zstd.WithEncoderLevel(zstd.SpeedDefault))
 	}
 	w, err := zstd.NewWriter(nil, options...)
@@ -150,7 +154,7 @@
 		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxBytes),
 	}
 	if len(base) > 0 {
-		options = append(options, zstd.WithDecoderDictRaw(baseID, base))
+		options = append(options, zstd.WithDecoderDictRaw(dictionaryID, base))
 	}
 	r, err := zstd.NewReader(nil, options...)
 	if err != nil {
@@ -160,7 +164,8 @@
 	return r.DecodeAll(packed, nil)
 }
 
-// window returns the least power of two that is no less than n and the least window.
-func window(n int) int {
-	return max(leastWindow, 1<<bits.Len(uint(min(n, maxBytes)-1)))
+// windowSize returns the smallest power of two that is at least n and minWindowBytes.
+// For this, n counts as no more than maxBytes.
+func windowSize(n int) int {
+	return max(minWindowBytes, 1<<bits.Len(uint(min(n, maxBytes)-1)))
 }
--- a/internal/fleet/document/holder_test.go
+++ b/internal/fleet/document/holder_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// document returns a value of n routes, of which the one at changed differs.
+// document returns a value of n routes. The route at index changed differs from that of
+// other values.
 func document(n, changed int) []byte {
 	rng := rand.New(rand.NewPCG(7, 11))
 	var b bytes.Buffer
@@ -24,9 +25,9 @@
 	return b.Bytes()
 }
 
-// pass gives the newest version of one holder to another and returns its size on
-// the way.
-func pass(t *testing.T, from, to *Holder) int {
+// transfer transfers the newest version from one holder to another and returns the
+// number of bytes transferred.
+func transfer(t *testing.T, from, to *Holder) int {
 	t.Helper()
 	p, err := from.Pack(to.Newest().Revision)
 	if err != nil {
@@ -43,45 +44,45 @@
 	return len(p.Bytes)
 }
 
-// A configuration grows, and one route of it changes again and again. Guards against
-// changes that cost as much as the whole.
-func TestChangeCostsLittle(t *testing.T) {
+// One route of a configuration changes repeatedly. Guards against changes whose transfer
+// costs as much as the full value.
+func TestDifferenceIsSmall(t *testing.T) {
 	for _, routes := range []int{240, 1500, 15000} {
 		from, to := &Holder{}, &Holder{}
 		from.Put(Version{Revision: 5, Value: document(routes, 1)})
-		whole := pass(t, from, to)
-		if most := len(from.Newest().Value) / 6; whole > most {
-			t.Errorf("%d routes: the first copy takes %d bytes, want at most %d", routes, whole, most)
+		fullBytes := transfer(t, from, to)
+		if wantMax := len(from.Newest().Value) / 6; fullBytes > wantMax {
+			t.Errorf("%d routes: the first copy takes %d bytes, want at most %d", routes, fullBytes, wantMax)
 		}
 		for r := 2; r < 8; r++ {
 			from.Put(Version{Revision: int64(10 * r), Value: document(routes, r*routes/10)})
-			if n := pass(t, from, to); n > whole/10+1000 {
-				t.Errorf("%d routes: a change takes %d bytes of %d", routes, n, whole)
+			if n := transfer(t, from, to); n > fullBytes/10+1000 {
+				t.Errorf("%d routes: a change takes %d bytes of %d", routes, n, fullBytes)
 			}
 		}
 	}
 }
 
-// A receiver is further behind than versions are kept, or holds one that the sender
-// doesn't know. Guards against a difference that nobody can read.
-func TestWhoIsFarBehindGetsAll(t *testing.T) {
+// The sender doesn't have the version that the receiver holds: it is no longer kept, or
+// was never there. Guards against a difference that the receiver can't decode.
+func TestReceiverFarBehindGetsFullVersion(t *testing.T) {
 	from, to := &Holder{}, &Holder{}
 	from.Put(Version{Revision: 1, Value: document(50, 1)})
-	pass(t, from, to)
+	transfer(t, from, to)
 	for r := 2; r < 20; r++ {
 		from.Put(Version{Revision: int64(r), Value: document(50, r)})
 	}
 	if p, err := from.Pack(1); err != nil || p.Base != 0 {
-		t.Fatalf("packed as the difference from %d (%v), which was dropped", p.Base, err)
+		t.Fatalf("packed as the difference from %d (%v), want the full value", p.Base, err)
 	}
-	pass(t, from, to)
-	if len(from.versions) != 1+pastKept {
+	transfer(t, from, to)
+	if len(from.versions) != 1+maxPastVersions {
 		t.Errorf("%d versions are kept", len(from.versions))
 	}
 }
 
-// Guards against a difference that is put on a value which it isn't of.
-func TestDifferenceIsReadWithItsBaseAlone(t *testing.T) {
+// Guards against a difference that is decoded with another value than its base.
+func TestUnpackNeedsTheBase(t *testing.T) {
 	from, to := &Holder{}, &Holder{}
 	from.Put(Version{Revision: 1, Value: document(200, 1)})
 	from.Put(Version{Revision: 2, Value: document(200, 2)})
@@ -90,18 +91,18 @@
 		t.Fatal(err)
 	}
 	if _, err := to.Unpack(p); err == nil {
-		t.Error("read without its base")
+		t.Error("unpacked without its base")
 	}
 	to.Put(Version{Revision: 1, Value: document(200, 100)})
 	if v, err := to.Unpack(p); err == nil && bytes.Equal(v.Value, from.Newest().Value) {
-		t.Error("read as if nothing were wrong")
+		t.Error("unpacked to the right value from the wrong base")
 	} else if err == nil {
-		t.Error("another value came of it")
+		t.Error("unpacked to a wrong value without an error")
 	}
 }
 
-// Guards against a version that is put in the place of a newer one.
-func TestNewestStays(t *testing.T) {
+// Guards against a version that replaces a newer one.
+func TestPutKeepsTheNewestVersion(t *testing.T) {
 	h := &Holder{}
 	if h.Newest().Revision != 0 {
 		t.Error("an empty holder has a version")
@@ -110,10 +111,10 @@
 		t.Errorf("an empty holder packs %+v (%v)", p, err)
 	}
 	if !h.Put(Version{Revision: 4}) || h.Put(Version{Revision: 3}) || h.Put(Version{Revision: 4}) {
-		t.Error("a version that isn't newer is taken")
+		t.Error("a version that isn't newer is accepted")
 	}
 	if p, err := h.Pack(4); err != nil || p.Revision != 4 || len(p.Bytes) > 0 {
-		t.Errorf("who holds the newest is told %+v (%v)", p, err)
+		t.Errorf("a receiver that holds the newest version gets %+v (%v)", p, err)
 	}
 }
 
@@ -137,8 +138,8 @@
 	}
 }
 
-// Bytes are changed on their way. Guards against a configuration that nobody wrote.
-func TestGarbledVersionIsRefused(t *testing.T) {
+// Bytes are corrupted in transfer. Guards against a configuration that was never written.
+func TestUnpackRejectsCorruptedData(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 5))
 	from := &Holder{}
 	from.Put(Version{Revision: 1, Value: document(240, 1)})
@@ -149,11 +150,11 @@
 			t.Fatal(err)
 		}
 		for range 300 {
-			garbled := p
-			garbled.Bytes = bytes.Clone(p.Bytes)
-			garbled.Bytes[rng.IntN(len(p.Bytes))] ^= byte(1 + rng.IntN(255))
-			if v, err := from.Unpack(garbled); err == nil && !bytes.Equal(v.Value, from.Newest().Value) {
-				t.Fatalf("difference from %d: %d other bytes are taken", held, len(v.Value))
+			corrupted := p
+			corrupted.Bytes = bytes.Clone(p.Bytes)
+			corrupted.Bytes[rng.IntN(len(p.Bytes))] ^= byte(1 + rng.IntN(255))
+			if v, err := from.Unpack(corrupted); err == nil && !bytes.Equal(v.Value, from.Newest().Value) {
+				t.Fatalf("difference from %d: a corrupted value of %d bytes is accepted", held, len(v.Value))
 			}
 		}
 	}
--- a/internal/fleet/document/pace.go
+++ b/internal/fleet/document/pace.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// Pace says when copies may be sent over a line. Set the exported fields before the
-// first call. It is safe for concurrent use.
+// Pace limits the rate at which copies are sent over a network link. Set the exported
+// fields before the first call. It is safe for concurrent use.
 //
-// Load: all entries of a data centre ask one of them for a value of a megabyte at
-// once. Harm prevented: its line is full for a second, and what all of them wait for,
-// an endpoint that leaves or a key that is taken away, stands behind it.
+// If all entries of a data centre requested a value of a megabyte from one of them at
+// once and without a limit, its link would be saturated for a second. Urgent messages
+// to all of them, such as the removal of an endpoint or of a key, would be queued behind
+// the copies.
 type Pace struct {
-	// BytesPerSecond is what copies may take of the line.
+	// BytesPerSecond is the bandwidth available to copies.
 	BytesPerSecond float64
 
-	mu   sync.Mutex // guards free
-	free time.Time  // when what was let through will have been sent
+	mu     sync.Mutex // guards freeAt
+	freeAt time.Time  // end of the transmission of all admitted copies
 }
 
-// Wait returns how long the next copy would have to wait.
+// Wait returns the delay that Take would return for the next copy.
 func (p *Pace) Wait(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(0, p.free.Sub(now))
+	return max(0, p.freeAt.Sub(now))
 }
 
-// Take returns how long a copy of n bytes has to wait before it is sent.
+// Take reserves bandwidth for a copy of n bytes and returns the delay after which it is
+// to be sent.
 func (p *Pace) Take(n int, now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	wait := max(0, p.free.Sub(now))
-	sent := time.Duration(float64(n) / p.BytesPerSecond * float64(time.Second))
-	p.free = now.Add(wait + sent)
+	wait := max(0, p.freeAt.Sub(now))
+	sendTime := time.Duration(float64(n) / p.BytesPerSecond * float64(time.Second))
+	p.freeAt = now.Add(wait + sendTime)
 	return wait
 }
--- a/internal/fleet/document/sender.go
+++ b/internal/fleet/document/sender.go
@@ -6,49 +6,51 @@
 )
 
 const (
-	// mostWait is how long a copy may wait for its turn on the line of who was asked
-	// while others hold one.
-	mostWait = 50 * time.Millisecond
-	// mostNamed is how many receivers are remembered, to name them to others.
-	mostNamed = 64
+	// maxQueueDelay is the longest delay of a copy while another process could send it
+	// instead.
+	maxQueueDelay = 50 * time.Millisecond
+	// maxRecipients is the number of recipients that are recorded for redirects.
+	maxRecipients = 64
 )
 
-// Answer is what one who asks for the newest version gets: Copy or Elsewhere.
+// Answer is the answer to a request for the newest version: a Copy or an Elsewhere.
 type Answer interface{ isAnswer() }
 
-// Copy is the newest version, to be sent after some time.
+// Copy is the newest version, to be sent after the delay After.
 type Copy struct {
 	Packed Packed
 	After  time.Duration
 }
 
-// Elsewhere is the address of one who has been given the newest version.
+// Elsewhere redirects a request to the address of a process that was sent the newest
+// version.
 type Elsewhere struct{ Address string }
 
 func (Copy) isAnswer()      {}
 func (Elsewhere) isAnswer() {}
 
-// Sender decides who gives the newest version to whom. Set the exported fields before
-// the first call. It is safe for concurrent use.
+// Sender answers requests for the newest version with a copy or a redirect. Set the
+// exported fields before the first call. It is safe for concurrent use.
 //
-// Load: sixty entries of a data centre ask one of them for a value that takes a tenth
-// of a second of its line. Harm prevented: the last of them waits for sixty copies. Who
-// would have to wait is sent to one that has its copy, so the number of those who can
-// give one doubles with each copy's time.
+// If sixty entries of a data centre requested a value that takes 0.1 s of a link from
+// one entry, the last of them would wait for sixty copies. A request that would have to
+// wait is redirected to a process that was already sent a copy, so that the number of
+// possible sources doubles with each transmission time of a copy.
 type Sender struct {
 	Holder *Holder
 	Pace   *Pace
 
 	mu sync.Mutex // guards all below
-	// given are the addresses of those who were given the revision, and next the one
-	// that is named next.
-	given    []string
-	next     int
-	revision int64
+	// recipients are the addresses to which the version at revision was sent, and next
+	// is the index of the one named in the last redirect.
+	recipients []string
+	next       int
+	revision   int64
 }
 
-// Ask answers one who is met at an address and holds the version of a revision.
-func (s *Sender) Ask(asker string, held int64, now time.Time) (Answer, error) {
+// Ask answers a request from the process at addr, which holds the version at the
+// revision held, or none if held is 0. It fails if the version can't be encoded.
+func (s *Sender) Ask(addr string, held int64, now time.Time) (Answer, error) {
 	p, err := s.Holder.Pack(held)
 	if err != nil {
 		return nil, err
@@ -59,14 +61,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p.Revision != s.revision {
-		s.revision, s.given, s.next = p.Revision, nil, 0
+		s.revision, s.recipients, s.next = p.Revision, nil, 0
 	}
-	if len(s.given) > 0 && s.Pace.Wait(now) > mostWait {
-		s.next = (s.next + 1) % len(s.given)
-		return Elsewhere{Address: s.given[s.next]}, nil
+	if len(s.recipients) > 0 && s.Pace.Wait(now) > maxQueueDelay {
+		s.next = (s.next + 1) % len(s.recipients)
+		return Elsewhere{Address: s.recipients[s.next]}, nil
 	}
-	if len(s.given) < mostNamed {
-		s.given = append(s.given, asker)
+	if len(s.recipients) < maxRecipients {
+		s.recipients = append(s.recipients, addr)
 	}
 	return Copy{Packed: p, After: s.Pace.Take(len(p.Bytes), now)}, nil
 }
--- a/internal/fleet/document/sender_test.go
+++ b/internal/fleet/document/sender_test.go
@@ -8,76 +8,79 @@
 )
 
 const (
-	// lineRate is the line of an entry in bytes a second, and linePart what copies
-	// may take of it.
-	lineRate = 40e6 / 8
-	linePart = 0.5
-	// wayTime is the time between two entries, and againAfter the pause of one that
-	// was named an entry which has no copy yet.
-	wayTime    = time.Millisecond
-	againAfter = 50 * time.Millisecond
+	// linkRate is the bandwidth of an entry's link in bytes per second, and
+	// linkFraction the fraction of it that is available to copies.
+	linkRate     = 40e6 / 8
+	linkFraction = 0.5
+	// hopLatency is the latency between two entries, and retryDelay the delay of an
+	// entry that was redirected to one which has no copy yet.
+	hopLatency = time.Millisecond
+	retryDelay = 50 * time.Millisecond
 	tick       = time.Millisecond
-	// urgentBytes is the size of what tells of an endpoint that leaves.
+	// urgentBytes is the size of a message about the removal of an endpoint.
 	urgentBytes = 400
 )
 
-// node is an entry of the model. Its line sends in the order in which it is given.
+// node is an entry of the model. Its link sends messages in the order of the calls of
+// send.
 type node struct {
 	holder Holder
 	pace   Pace
 	sender Sender
-	// sent is when its line has sent all that it was given.
-	sent time.Time
-	// asks is when it asks next, and whom; it holds the newest from has on.
-	asks time.Time
-	whom int
-	has  time.Time
+	// linkFreeAt is the end of the transmission of all messages so far.
+	linkFreeAt time.Time
+	// nextRequest is the time of the next request, source the index of the node that
+	// it goes to, and heldFrom the time from which this node holds the new version.
+	nextRequest time.Time
+	source      int
+	heldFrom    time.Time
 }
 
-// send gives the line so many bytes at a time and returns when they are through.
+// send queues a number of bytes at a time and returns the end of their transmission.
 func (n *node) send(bytes int, at time.Time) time.Time {
-	if n.sent.Before(at) {
-		n.sent = at
+	if n.linkFreeAt.Before(at) {
+		n.linkFreeAt = at
 	}
-	n.sent = n.sent.Add(time.Duration(float64(bytes) / lineRate * float64(time.Second)))
-	return n.sent
+	n.linkFreeAt = n.linkFreeAt.Add(time.Duration(float64(bytes) / linkRate * float64(time.Second)))
+	return n.linkFreeAt
 }
 
-// model is a data centre whose first entry hears of a new version.
+// model is a data centre whose first entry receives a new version.
 type model struct {
 	nodes []*node
 	now   time.Time
 }
 
-// newModel returns entries which hold the version base, unless it is nil, of which the
-// first has heard of value.
+// newModel returns a model of entries that hold the version base, unless it is nil. The
+// first one also holds the new version value.
 func newModel(entries int, base, value []byte) *model {
 	m := &model{now: time.Unix(1000, 0)}
 	for i := range entries {
-		n := &node{pace: Pace{BytesPerSecond: linePart * lineRate}, asks: m.now}
+		n := &node{pace: Pace{BytesPerSecond: linkFraction * linkRate}, nextRequest: m.now}
 		n.sender = Sender{Holder: &n.holder, Pace: &n.pace}
 		if base != nil {
 			n.holder.Put(Version{Revision: 1, Value: base})
 		}
 		if i == 0 {
 			n.holder.Put(Version{Revision: 2, Value: value})
-			n.has = m.now
+			n.heldFrom = m.now
 		}
 		m.nodes = append(m.nodes, n)
 	}
 	return m
 }
 
-// step lets all who lack the new version ask for it.
+// step lets all entries without the new version request it when their time has come,
+// and advances the clock by a tick.
 func (m *model) step(t *testing.T) {
 	t.Helper()
 	for i, n := range m.nodes {
-		if !n.has.IsZero() || n.asks.After(m.now) {
+		if !n.heldFrom.IsZero() || n.nextRequest.After(m.now) {
 			continue
 		}
-		from := m.nodes[n.whom]
-		if from.has.IsZero() || from.has.After(m.now) {
-			n.whom, n.asks = 0, m.now.Add(againAfter)
+		from := m.nodes[n.source]
+		if from.heldFrom.IsZero() || from.heldFrom.After(m.now) {
+			n.source, n.nextRequest = 0, m.now.Add(retryDelay)
 			continue
 		}
 		a, err := from.sender.Ask(fmt.Sprint(i), n.holder.Newest().Revision, m.now)
@@ -86,20 +89,21 @@
 		}
 		switch a := a.(type) {
 		case Copy:
-			n.has = from.send(len(a.Packed.Bytes), m.now.Add(a.After)).Add(wayTime)
+			n.heldFrom = from.send(len(a.Packed.Bytes), m.now.Add(a.After)).Add(hopLatency)
 			n.holder.Put(Version{Revision: 2, Value: m.nodes[0].holder.Newest().Value})
 		case Elsewhere:
-			if _, err := fmt.Sscan(a.Address, &n.whom); err != nil {
+			if _, err := fmt.Sscan(a.Address, &n.source); err != nil {
 				t.Fatal(err)
 			}
-			n.asks = m.now.Add(2 * wayTime)
+			n.nextRequest = m.now.Add(2 * hopLatency)
 		}
 	}
 	m.now = m.now.Add(tick)
 }
 
-// run returns when the last entry holds the new version, and how long the slowest
-// urgent word took that the first entry sent to all each tenth of a second.
+// run simulates 10 s. It returns the time until the last entry holds the new version,
+// and the longest transmission delay of the urgent messages that the first entry sends
+// to all others every 100 ms.
 func (m *model) run(t *testing.T) (last, urgent time.Duration) {
 	t.Helper()
 	began := m.now
@@ -112,21 +116,21 @@
 		m.step(t)
 	}
 	for _, n := range m.nodes {
-		if n.has.IsZero() {
+		if n.heldFrom.IsZero() {
 			t.Fatal("an entry has no copy")
 		}
-		last = max(last, n.has.Sub(began))
+		last = max(last, n.heldFrom.Sub(began))
 	}
 	return last, urgent
 }
 
-// A configuration grows while endpoints leave, and all entries of a data centre hear of
-// both over the line of one. Guards against a leaving that is known seconds later, and
-// against a configuration that isn't in force in time at the last entry.
+// A configuration grows while endpoints are removed, and all entries of a data centre
+// receive both over the link of one entry. Guards against a removal that is known seconds
+// late, and against a configuration that reaches the last entry too late.
 func TestUrgentWordPassesALargeValue(t *testing.T) {
 	const (
-		mostUrgent = 150 * time.Millisecond
-		mostLast   = 1500 * time.Millisecond
+		maxUrgent = 150 * time.Millisecond
+		maxLast   = 1500 * time.Millisecond
 	)
 	for _, routes := range []int{1500, 15000} {
 		for _, entries := range []int{3, 12, 60, 150} {
@@ -137,17 +141,18 @@
 				}
 				m := newModel(entries, base, document(routes, routes/2))
 				last, urgent := m.run(t)
-				t.Logf("%d routes, %d entries, grows %v: last copy after %v, slowest urgent word %v", routes, entries, grows, last, urgent)
-				if last > mostLast || urgent > mostUrgent {
-					t.Errorf("%d routes, %d entries: last copy after %v, urgent word after %v", routes, entries, last, urgent)
+				t.Logf("%d routes, %d entries, grows %v: last copy after %v, slowest urgent message %v", routes, entries, grows, last, urgent)
+				if last > maxLast || urgent > maxUrgent {
+					t.Errorf("%d routes, %d entries: last copy after %v, urgent message after %v", routes, entries, last, urgent)
 				}
 			}
 		}
 	}
 }
 
-// Guards against an entry that names others for ever, or one that isn't there.
-func TestWhoWouldWaitIsSentToOneThatHasIt(t *testing.T) {
+// Guards against a sender that redirects although its link is free, or to a process that
+// has no copy of the newest version.
+func TestSenderRedirectsInsteadOfQueueing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	h := &Holder{}
 	h.Put(Version{Revision: 1, Value: document(1500, 1)})
@@ -160,23 +165,23 @@
 		return a
 	}
 	if _, ok := ask("a").(Copy); !ok {
-		t.Fatal("the first is sent away")
+		t.Fatal("the first request is redirected")
 	}
-	named := []string{}
+	redirects := []string{}
 	for range 4 {
 		if e, ok := ask("b").(Elsewhere); ok {
-			named = append(named, e.Address)
+			redirects = append(redirects, e.Address)
 		}
 	}
-	if !slices.Equal(named, []string{"a", "a", "a", "a"}) {
-		t.Errorf("named %v", named)
+	if !slices.Equal(redirects, []string{"a", "a", "a", "a"}) {
+		t.Errorf("named %v", redirects)
 	}
 	now = now.Add(time.Minute)
 	if _, ok := ask("b").(Copy); !ok {
-		t.Error("sent away though the line is free")
+		t.Error("redirected though the link is free")
 	}
 	h.Put(Version{Revision: 2, Value: document(1500, 2)})
 	if _, ok := ask("c").(Copy); !ok {
-		t.Error("sent to one that has the version before")
+		t.Error("redirected to a process that has the previous version")
 	}
 }
