--- a/internal/fleet/readers/basis.go
+++ b/internal/fleet/readers/basis.go
@@ -5,119 +5,125 @@
 	"time"
 )
 
-// PollSlack is how long a poll of the store may outlast its wait before it counts as
-// unanswered: the store answers in milliseconds, and half a second is more than its slow
-// answers take within the time for a change of the configuration.
+// PollSlack is the time by which a poll of the store may exceed its wait before it counts
+// as unanswered. The store answers in milliseconds; 500 ms is more than its slow answers
+// take within the time limit for a change of the configuration.
 const PollSlack = 500 * time.Millisecond
 
 const (
-	// waitPart is the part of the time for a change that a poll of the store waits, and
-	// mostWait what it waits at most: knowledge is twice as old while nothing changes,
-	// and keys are to be believed for longer.
-	waitPart = 0.35
-	mostWait = 1500 * time.Millisecond
-	// lateAfter is how long after the end of its wait a poll is late. The store's slow
-	// answers take less; others try the store meanwhile, and the poll goes on.
-	lateAfter = 250 * time.Millisecond
+	// waitFraction is the fraction of the time limit for a change that a poll of the
+	// store waits, and maxWait the longest wait. While nothing changes, the age of the
+	// state reaches twice the wait; account keys must be accepted for longer than that.
+	waitFraction = 0.35
+	maxWait      = 1500 * time.Millisecond
+	// lateMargin is the time after the end of its wait from which a poll is late. The
+	// store's slow answers take less. A late poll stays pending while other processes
+	// try the store.
+	lateMargin = 250 * time.Millisecond
 )
 
-// HearWait is how long a process that is asked by another one waits for news. A frozen one
-// is noticed a little later, well within the time for a change of the configuration.
+// HearWait is the longest time that a process waits for a change before it answers the
+// request of another one. A frozen process is detected a little later, well within the
+// time limit for a change of the configuration.
 const HearWait = 500 * time.Millisecond
 
-// Wait returns how long a poll of the store waits for a change, where a change has to be
-// in force everywhere within a time: a poll that is never answered is noticed, and
-// another process asks in its place, while a third of that time is left.
+// Wait returns the wait of a poll of the store, given the time limit within which a
+// change has to be in force everywhere. A poll that is never answered is detected, and
+// another process polls instead, while a third of that limit is left.
 func Wait(change time.Duration) time.Duration {
-	return min(mostWait, time.Duration(waitPart*float64(change)))
+	return min(maxWait, time.Duration(waitFraction*float64(change)))
 }
 
-// awaySlack is added to the two waits of a poll that knowledge may be old.
-const awaySlack = 400 * time.Millisecond
+// ageMargin is added to twice the wait of a poll to get the greatest age of a state that
+// may be served to others.
+const ageMargin = 400 * time.Millisecond
 
-// Basis is what the knowledge of a process rests on, and so whether others may hear
-// from it. Set the exported fields before the first call. It is safe for concurrent
-// use.
+// Basis tracks where the state of a process comes from and whether it is current, and
+// thereby whether others may get updates from the process. Set the exported fields
+// before the first call. It is safe for concurrent use.
 type Basis struct {
 	// Own is the name of the process.
 	Own string
-	// Wait is how long a poll of the store waits for a change at most.
+	// Wait is the longest time that a poll of the store waits for a change.
 	Wait time.Duration
 
-	mu   sync.Mutex // guards all below
-	lost bool
-	// origin is the process that the store itself has told what this one knows.
+	mu        sync.Mutex // guards all below
+	storeLost bool
+	// origin is the process that got this one's state from the store itself.
 	origin string
-	// late is from when on a call to the store that is under way has taken too long.
-	late time.Time
+	// lateAt is the time from which the pending call to the store is late.
+	lateAt time.Time
 }
 
-// Ask notes that the store is asked, and when the answer is due.
+// Ask records a call to the store whose answer is due at a time.
 func (b *Basis) Ask(due time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.late = due.Add(lateAfter)
+	b.lateAt = due.Add(lateMargin)
 }
 
-// Late returns from when on the store's answer is late, or zero if it is not asked.
+// Late returns the time from which the pending call to the store is late, or the zero
+// time if no call is pending.
 func (b *Basis) Late() time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.late
+	return b.lateAt
 }
 
-// isLate reports whether the store should have answered by now.
+// isLate reports whether the pending call to the store is late.
 func (b *Basis) isLate(now time.Time) bool {
 	late := b.Late()
 	return !late.IsZero() && !now.Before(late)
 }
 
-// Lose notes that the store did not answer the process. It reports whether that is new.
+// Lose records that the store did not answer the process. It reports whether the
+// process had not lost the store before.
 func (b *Basis) Lose() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	was := b.lost
-	b.lost, b.late = true, time.Time{}
+	was := b.storeLost
+	b.storeLost, b.lateAt = true, time.Time{}
 	return !was
 }
 
-// Learn notes that the process was told what the store has told origin, which is itself
-// or another one. It reports whether it had lost the store before.
+// Learn records an update that origin, the process itself or another one, got from the
+// store. It reports whether the process had lost the store before.
 func (b *Basis) Learn(origin string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	was := b.lost
-	b.lost, b.origin, b.late = false, origin, time.Time{}
+	was := b.storeLost
+	b.storeLost, b.origin, b.lateAt = false, origin, time.Time{}
 	return was
 }
 
-// Origin returns the process that the store itself has told what this one knows.
+// Origin returns the process that got the state of this one from the store itself.
 func (b *Basis) Origin() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.origin
 }
 
-// Lost reports whether the process hears of nothing, as the store didn't answer it.
+// Lost reports whether the process gets no updates since the store did not answer it.
 func (b *Basis) Lost() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.lost
+	return b.storeLost
 }
 
-// Answer returns what the process may tell another one, the asker, if it knows all
-// changes that were made before asked.
+// Answer returns the answer to a request of the process asker, given that this process
+// knows all changes made before the time asked.
 //
-// Guard: two processes that hear from each other ask the store no more, and each would
-// take the other's silence for a sign that nothing has changed. Nor is a late poll such
-// a sign: the way to the store may have fallen silent, for this process alone.
+// Two processes that get their updates from each other would both stop polling the
+// store, and each would take the lack of updates from the other as proof that nothing
+// has changed. A late poll proves nothing either: the connection to the store may be
+// dead for this process alone.
 func (b *Basis) Answer(asker string, asked, now time.Time) Answer {
 	switch {
 	case b.Lost():
 		return Lost
 	case b.Origin() == asker:
 		return Echo
-	case b.isLate(now), now.Sub(asked) > 2*b.Wait+awaySlack:
+	case b.isLate(now), now.Sub(asked) > 2*b.Wait+ageMargin:
 		return Away
 	default:
 		return Fresh
--- a/internal/fleet/readers/choice.go
+++ b/internal/fleet/readers/choice.go
@@ -9,149 +9,150 @@
 )
 
 const (
-	// standing is how many processes of a data centre may ask the store while it
-	// answers none of them: enough that a store which turns away one in three
-	// VMs is reached by one of them. As many after them may when these have nothing to
-	// tell.
-	standing = 3
-	// passOver is how long a process that has nothing to tell is passed over, and
-	// silentOver one that did not answer: each try of it takes most of a second, in
-	// which nothing is heard.
-	passOver   = time.Second
-	silentOver = 3 * time.Second
-	// echoOver is how long one is passed over that hears from this process itself. It
-	// says so at once.
-	echoOver = 2 * time.Second
-	// lostOver is how long one is passed over that the store doesn't answer: it tries
-	// the store again each second or two, and whoever turns back to it meanwhile waits
-	// until that try is late.
-	lostOver = 8 * time.Second
-	// leaveOver is how long one is passed over that leaves: longer than it takes to
-	// stop and to start again.
-	leaveOver = 12 * time.Second
-	// aloneEvery is the pause between two tries of the store by a process that
-	// hears from others which don't reach it. Keys are believed for twice as long.
-	aloneEvery = 2500 * time.Millisecond
+	// maxReaders is the number of processes of a data centre that may poll the store
+	// while it answers none of them: enough that one of them reaches a store which
+	// rejects one in three VMs. As many after them may poll it when these have no
+	// updates.
+	maxReaders = 3
+	// awayBackoff is the time for which a process without updates is skipped, and
+	// silentBackoff that for one which did not answer: each attempt to reach it takes
+	// most of a second, in which no updates are received.
+	awayBackoff   = time.Second
+	silentBackoff = 3 * time.Second
+	// echoBackoff is the time for which a process is skipped whose state comes from
+	// this process. It answers so at once.
+	echoBackoff = 2 * time.Second
+	// lostBackoff is the time for which a process is skipped that the store doesn't
+	// answer. It retries the store every second or two, and a process that returns to
+	// it meanwhile waits until that call is late.
+	lostBackoff = 8 * time.Second
+	// leavingBackoff is the time for which a process is skipped that is shutting down:
+	// longer than it takes to stop and restart.
+	leavingBackoff = 12 * time.Second
+	// directPollInterval is the interval between two polls of the store by a process
+	// whose sources don't reach it. Account keys are accepted for twice as long.
+	directPollInterval = 2500 * time.Millisecond
 )
 
-// Answer is what came of asking a process.
+// Answer is the outcome of a request to another process for updates.
 type Answer int
 
-// The answers.
+// The outcomes of a request.
 const (
 	// Silent means that no answer came in time.
 	Silent Answer = iota
-	// Away means that the process has nothing to tell yet.
+	// Away means that the process has no current state to serve.
 	Away
 	// Lost means that the store doesn't answer the process.
 	Lost
-	// Echo means that the process knows only what the asking one has told it.
+	// Echo means that the state of the process comes from the requesting process.
 	Echo
-	// Leaving means that the process is about to end, which it says at once.
+	// Leaving means that the process is shutting down. It answers so at once.
 	Leaving
-	// Fresh means that it told what the store tells.
+	// Fresh means that the process served the current state or its changes.
 	Fresh
 )
 
-// Choice chooses whom one process asks. Set the exported fields before the first
-// call. It is not safe for concurrent use.
+// Choice selects the source of updates of one process. Set the exported fields before
+// the first call. It is not safe for concurrent use.
 type Choice struct {
 	// Own is the name of the process.
 	Own string
 
-	heard map[string]heard
-	// alone is when the store was last tried though others were asked, and failed
-	// when it last did not answer this process.
-	alone, failed time.Time
-	// uninformed says that the last process that was asked told nothing, and the store has
-	// not answered since.
+	lastAnswers map[string]pastAnswer
+	// lastDirectPoll is the time of the last poll of the store that was made because
+	// no source reached it. storeFailedAt is the time at which the store did not answer
+	// this process, or zero if it answered the last call.
+	lastDirectPoll, storeFailedAt time.Time
+	// uninformed reports that the last request to another process brought no update,
+	// for another reason than Leaving, and the store has not been called since.
 	uninformed bool
 }
 
-// heard is what last came of asking a process.
-type heard struct {
+// pastAnswer is the outcome of the last request to a process.
+type pastAnswer struct {
 	answer Answer
 	at     time.Time
 }
 
-// usable reports whether the process may be asked again.
-func (h heard) usable(now time.Time) bool {
-	switch h.answer {
+// usable reports whether requests may be sent to the process again.
+func (p pastAnswer) usable(now time.Time) bool {
+	switch p.answer {
 	case Fresh:
 		return true
 	case Away:
-		return now.Sub(h.at) >= passOver
+		return now.Sub(p.at) >= awayBackoff
 	case Lost:
-		return now.Sub(h.at) >= lostOver
+		return now.Sub(p.at) >= lostBackoff
 	case Echo:
-		return now.Sub(h.at) >= echoOver
+		return now.Sub(p.at) >= echoBackoff
 	case Leaving:
-		return now.Sub(h.at) >= leaveOver
+		return now.Sub(p.at) >= leavingBackoff
 	default:
-		return now.Sub(h.at) >= silentOver
+		return now.Sub(p.at) >= silentBackoff
 	}
 }
 
-// Source returns the name of the process to ask, or "" for the store. Others are
-// the names of all processes of the data centre; the own one may be among them.
+// Source returns the name of the process to request updates from, or "" for the store.
+// others are the names of all processes of the data centre, with or without Own.
 //
-// Those that had nothing to tell lately lose their places to as many after them: three
-// that are cut off from the store say nothing of whether it answers the others. And who
-// may ask it does so once when it was last told nothing, as the next that it would ask may
-// be cut off as well.
+// Processes that recently had no updates are replaced as readers by as many of those
+// after them, at most maxReaders: that three can't reach the store doesn't show whether
+// it answers the others. A process that may poll the store does so once if its last
+// request brought no update, as the next source may be cut off from the store as well.
 func (c *Choice) Source(others []string, now time.Time) string {
-	order := c.order(others, now)
-	own := slices.Index(order, c.Own)
-	useful := c.useful(order[:own], now)
-	lost := min(own-len(useful), standing)
-	stands := own-lost < standing
+	order := c.takeoverOrder(others, now)
+	ownIndex := slices.Index(order, c.Own)
+	usable := c.usable(order[:ownIndex], now)
+	unusable := min(ownIndex-len(usable), maxReaders)
+	mayRead := ownIndex-unusable < maxReaders
 	switch {
-	case stands && now.Sub(c.failed) < passOver:
-		// Those after this one may reach the store.
-		useful = c.useful(slices.Delete(order, own, own+1), now)
-	case stands && c.uninformed:
+	case mayRead && now.Sub(c.storeFailedAt) < awayBackoff:
+		// Processes after this one may reach the store.
+		usable = c.usable(slices.Delete(order, ownIndex, ownIndex+1), now)
+	case mayRead && c.uninformed:
 		return ""
 	}
-	if len(useful) > 0 {
-		return useful[0]
+	if len(usable) > 0 {
+		return usable[0]
 	}
-	if stands {
+	if mayRead {
 		return ""
 	}
-	if now.Sub(c.alone) >= aloneEvery {
-		c.alone = now
+	if now.Sub(c.lastDirectPoll) >= directPollInterval {
+		c.lastDirectPoll = now
 		return ""
 	}
-	for _, name := range order[:standing] {
-		if a := c.heard[name].answer; a == Away || a == Lost {
+	for _, name := range order[:maxReaders] {
+		if a := c.lastAnswers[name].answer; a == Away || a == Lost {
 			return name
 		}
 	}
 	return ""
 }
 
-// useful returns those that may have something to tell, of the processes that may come to
-// ask the store, in the same order.
-func (c *Choice) useful(all []string, now time.Time) []string {
+// usable returns those of the first 2*maxReaders processes, which may become readers,
+// that may have updates. It keeps their order.
+func (c *Choice) usable(all []string, now time.Time) []string {
 	var out []string
-	for _, name := range all[:min(len(all), 2*standing)] {
-		if h, ok := c.heard[name]; !ok || h.usable(now) {
+	for _, name := range all[:min(len(all), 2*maxReaders)] {
+		if p, ok := c.lastAnswers[name]; !ok || p.usable(now) {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// order returns all processes that aren't about to end, in the order in which they ask
-// the store.
+// takeoverOrder returns all processes that aren't shutting down, in the order in which
+// they take over polling the store.
 //
-// Guard: a rolling restart stops the three that may ask at once. Did they keep their
-// places, all others would be blind for as long as those serve their last callers.
-func (c *Choice) order(others []string, now time.Time) []string {
+// A rolling restart may stop all three readers at once. If they kept their places, the
+// others would get no updates while the readers finish their last requests.
+func (c *Choice) takeoverOrder(others []string, now time.Time) []string {
 	all := append(slices.Clone(others), c.Own)
 	all = slices.DeleteFunc(all, func(name string) bool {
-		h := c.heard[name]
-		return h.answer == Leaving && !h.usable(now)
+		p := c.lastAnswers[name]
+		return p.answer == Leaving && !p.usable(now)
 	})
 	slices.SortFunc(all, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
@@ -159,25 +160,26 @@
 	return slices.Compact(all)
 }
 
-// NoteStore notes whether the store answered this process.
+// NoteStore records whether the store answered this process.
 func (c *Choice) NoteStore(answered bool, now time.Time) {
-	c.failed, c.uninformed = time.Time{}, false
+	c.storeFailedAt, c.uninformed = time.Time{}, false
 	if !answered {
-		c.failed = now
+		c.storeFailedAt = now
 	}
 }
 
-// Note notes what came of asking a process.
+// Note records the outcome of a request to a process.
 func (c *Choice) Note(name string, a Answer, now time.Time) {
-	if c.heard == nil {
-		c.heard = map[string]heard{}
+	if c.lastAnswers == nil {
+		c.lastAnswers = map[string]pastAnswer{}
 	}
-	// Guard: processes come and go by new names for as long as this one runs.
-	for old, h := range c.heard {
-		if now.Sub(h.at) > time.Minute {
-			delete(c.heard, old)
+	// Old outcomes are dropped: new processes come with new names, and the map would
+	// grow without bound.
+	for other, p := range c.lastAnswers {
+		if now.Sub(p.at) > time.Minute {
+			delete(c.lastAnswers, other)
 		}
 	}
-	c.heard[name] = heard{answer: a, at: now}
+	c.lastAnswers[name] = pastAnswer{answer: a, at: now}
 	c.uninformed = a != Fresh && a != Leaving
 }
--- a/internal/fleet/readers/doc.go
+++ b/internal/fleet/readers/doc.go
@@ -1,16 +1,17 @@
-// Package readers decides which processes of a data centre ask the platform's store
-// for what is new, and from which of them each of the others hears it.
+// Package readers decides which processes of a data centre poll the platform's store
+// for changes, and from which of them each other process gets its updates.
 //
-// It answers the load of hundreds of processes on a store whose calls are priced
-// and bounded: the calls grow with the number of data centres and not with that of
-// processes. The processes of a data centre have an order that follows from their
-// names alone. The first asks the store. When it doesn't answer, or doesn't reach
-// the store, the next asks in its place, and so on for a few; what is left hears
-// from one of these, and asks the store by itself now and then when none of them
-// reaches it. Nobody is chosen and nothing is agreed on: who asks without need costs
-// some calls. Choice decides whom a process asks, and Basis whether it may tell others what
-// it knows: nobody is told its own knowledge, nor that nothing has changed by one whose
-// call to the store is late.
+// Calls to the store are billed and limited. With this package they grow with the
+// number of data centres instead of the number of processes. The processes of a data
+// centre are ordered by a hash of their names. The first one polls the store. If it
+// doesn't answer the others or can't reach the store, the next one takes over, and so
+// on for a few. The other processes get their updates from one of these, and poll the
+// store directly at long intervals when none of them reaches it. There is no election
+// and no agreement: a process that polls needlessly only costs some calls.
 //
-// The package needs no network and no clock.
+// Choice selects the source of a process. Basis decides whether a process may serve
+// others: it doesn't return updates to the process that they came from, and doesn't
+// report that nothing has changed while its own call to the store is late.
+//
+// The package does no network I/O and reads no clock.
 package readers
--- /dev/null
+++ b/internal/fleet/readers/world_test.go
@@ -0,0 +1,203 @@
+package readers
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+var start = time.Unix(1000, 0)
+
+// simulation is a data centre whose processes each send a request to the store or to
+// one another every tick.
+type simulation struct {
+	names   []string
+	choices map[string]*Choice
+	// dead processes don't run, and calls of rejected ones fail at once at the store.
+	dead, rejected map[string]bool
+	// leaving processes are shutting down, and neither send requests nor serve others.
+	leaving map[string]bool
+	// Calls of partitioned processes to the store time out. timedOut holds those of
+	// them that have had such a call, and callEnds the end of the pending one.
+	partitioned, timedOut map[string]bool
+	callEnds              map[string]time.Time
+	// waiting holds the pending request of each process to another one.
+	waiting map[string]pendingRequest
+	bases   map[string]*Basis
+	// switches counts how often each process changed its source.
+	switches   map[string]int
+	lastSource map[string]string
+	// knownAt is the time before which a process knows all changes.
+	knownAt map[string]time.Time
+	now     time.Time
+	calls   int
+}
+
+// pendingRequest is a request to source, which waits for a change until a time.
+type pendingRequest struct {
+	source string
+	until  time.Time
+}
+
+const (
+	tick = 100 * time.Millisecond
+	// retryPollWait is the wait of a poll if the store did not answer the last one.
+	retryPollWait = 50 * time.Millisecond
+)
+
+func newSimulation(n int) *simulation {
+	s := &simulation{
+		choices: map[string]*Choice{}, dead: map[string]bool{}, rejected: map[string]bool{},
+		leaving: map[string]bool{}, partitioned: map[string]bool{}, timedOut: map[string]bool{}, callEnds: map[string]time.Time{},
+		waiting: map[string]pendingRequest{},
+		bases:   map[string]*Basis{}, switches: map[string]int{}, lastSource: map[string]string{},
+		knownAt: map[string]time.Time{}, now: start,
+	}
+	for i := range n {
+		name := fmt.Sprint("entry", i)
+		s.names = append(s.names, name)
+		s.choices[name] = &Choice{Own: name}
+		s.bases[name] = &Basis{Own: name, Wait: tick / 2}
+		s.knownAt[name] = start
+	}
+	return s
+}
+
+// newLongPollSimulation returns a simulation with the poll waits for changes that have to
+// be in force within the time change. It has already run for a second.
+func newLongPollSimulation(n int, change time.Duration) *simulation {
+	s := newSimulation(n)
+	for _, b := range s.bases {
+		b.Wait = Wait(change)
+	}
+	s.run(time.Second)
+	return s
+}
+
+// run advances the simulation by d and returns the number of calls that the store got.
+func (s *simulation) run(d time.Duration) int {
+	s.calls = 0
+	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(tick) {
+		for _, name := range s.names {
+			if !s.dead[name] && !s.leaving[name] {
+				s.step(name)
+			}
+		}
+	}
+	return s.calls
+}
+
+// step lets a process send a request, or continues its pending one.
+func (s *simulation) step(name string) {
+	c := s.choices[name]
+	if until, ok := s.callEnds[name]; ok {
+		if s.now.Before(until) {
+			return
+		}
+		delete(s.callEnds, name)
+		s.timedOut[name] = true
+		s.bases[name].Lose()
+		c.NoteStore(false, s.now)
+		return
+	}
+	if q, ok := s.waiting[name]; ok {
+		s.checkPending(name, q)
+		return
+	}
+	source := c.Source(s.names, s.now)
+	if s.lastSource[name] != source {
+		s.lastSource[name] = source
+		s.switches[name]++
+	}
+	if source == "" && s.partitioned[name] {
+		s.sendUnansweredPoll(name)
+		return
+	}
+	if source == "" {
+		s.calls++
+		c.NoteStore(!s.rejected[name], s.now)
+		if !s.rejected[name] {
+			s.knownAt[name] = s.now
+			s.bases[name].Learn(name)
+		}
+		return
+	}
+	if s.running(source) && s.answer(name, source) == Fresh && !s.knownAt[source].After(s.knownAt[name]) {
+		s.waiting[name] = pendingRequest{source: source, until: s.now.Add(HearWait)}
+		return
+	}
+	s.receive(name, source)
+}
+
+// running reports whether a process runs and isn't shutting down.
+func (s *simulation) running(name string) bool { return !s.dead[name] && !s.leaving[name] }
+
+// answer returns the answer of source to a request of the process name.
+func (s *simulation) answer(name, source string) Answer {
+	return s.bases[source].Answer(name, s.knownAt[source], s.now)
+}
+
+// checkPending ends a request once the source has an update, the time is over, or the
+// source's own poll is late.
+func (s *simulation) checkPending(name string, q pendingRequest) {
+	updated := s.running(q.source) && s.knownAt[q.source].After(s.knownAt[name])
+	late := s.bases[q.source].Late()
+	if !updated && s.now.Before(q.until) && (late.IsZero() || s.now.Before(late)) {
+		return
+	}
+	delete(s.waiting, name)
+	s.receive(name, q.source)
+}
+
+// sendUnansweredPoll lets a process send a poll to the store that will time out.
+func (s *simulation) sendUnansweredPoll(name string) {
+	due := s.now.Add(s.bases[name].Wait)
+	if s.timedOut[name] || s.bases[name].Origin() != name {
+		due = s.now.Add(retryPollWait)
+	}
+	s.bases[name].Ask(due)
+	s.callEnds[name] = due.Add(PollSlack)
+}
+
+// receive delivers the answer of source to the process name.
+func (s *simulation) receive(name, source string) {
+	a := Silent
+	switch {
+	case s.leaving[source]:
+		a = Leaving
+	case !s.dead[source]:
+		a = s.answer(name, source)
+	}
+	s.choices[name].Note(source, a, s.now)
+	if a == Fresh {
+		s.knownAt[name] = s.knownAt[source]
+		s.bases[name].Learn(s.bases[source].Origin())
+	}
+}
+
+// checkFresh verifies that the state of no process, unless it is dead, is older than
+// within.
+func (s *simulation) checkFresh(t *testing.T, within time.Duration) {
+	t.Helper()
+	for _, name := range s.names {
+		if age := s.now.Sub(s.knownAt[name]); !s.dead[name] && age > within {
+			t.Errorf("the state of %s is %v old", name, age)
+		}
+	}
+}
+
+// maxAge advances the simulation by d and returns the greatest age that the state of a
+// process had, except for some processes.
+func (s *simulation) maxAge(d time.Duration, except ...string) time.Duration {
+	var age time.Duration
+	for end := s.now.Add(d); s.now.Before(end); {
+		s.run(tick)
+		for _, name := range s.names {
+			if !slices.Contains(except, name) {
+				age = max(age, s.now.Sub(s.knownAt[name]))
+			}
+		}
+	}
+	return age
+}
