--- a/internal/fleet/readers/world_test.go
+++ b/internal/fleet/readers/world_test.go
@@ -9,194 +9,195 @@
 
 var start = time.Unix(1000, 0)
 
-// world is a data centre whose processes ask the store or each other, each every
-// tenth of a second.
-type world struct {
+// simulation is a data centre whose processes each send a request to the store or to
+// one another every tick.
+type simulation struct {
 	names   []string
 	choices map[string]*Choice
-	// dead don't run, and turnedAway aren't answered by the store.
-	dead, turnedAway map[string]bool
-	// leaving are about to end, and neither ask nor tell.
+	// dead processes don't run, and calls of rejected ones fail at once at the store.
+	dead, rejected map[string]bool
+	// leaving processes are shutting down, and neither send requests nor serve others.
 	leaving map[string]bool
-	// cut are those whose calls to the store end unanswered, silent those among them
-	// whose last one did, and pending is until when such a call lasts.
-	cut, silent map[string]bool
-	pending     map[string]time.Time
-	// hearing is whom a process asks, and until when that one waits for news.
-	hearing map[string]question
-	// bases are what each one's knowledge rests on.
-	bases map[string]*Basis
-	// turns counts how often a process heard from another one than before.
-	turns map[string]int
-	last  map[string]string
-	// fresh is the time of which each knows all.
-	fresh map[string]time.Time
-	now   time.Time
-	calls int
+	// Calls of partitioned processes to the store time out. timedOut holds those of
+	// them that have had such a call, and callEnds the end of the pending one.
+	partitioned, timedOut map[string]bool
+	callEnds              map[string]time.Time
+	// waiting holds the pending request of each process to another one.
+	waiting map[string]pendingRequest
+	bases   map[string]*Basis
+	// switches counts how often each process changed its source.
+	switches   map[string]int
+	lastSource map[string]string
+	// knownAt is the time before which a process knows all changes.
+	knownAt map[string]time.Time
+	now     time.Time
+	calls   int
 }
 
-// question is one process's to another.
-type question struct {
+// pendingRequest is a request to source, which waits for a change until a time.
+type pendingRequest struct {
 	source string
 	until  time.Time
 }
 
 const (
 	tick = 100 * time.Millisecond
-	// tryWait is that of a poll of a store that did not answer the last one.
-	tryWait = 50 * time.Millisecond
+	// retryPollWait is the wait of a poll if the store did not answer the last one.
+	retryPollWait = 50 * time.Millisecond
 )
 
-func newWorld(n int) *world {
-	w := &world{
-		choices: map[string]*Choice{}, dead: map[string]bool{}, turnedAway: map[string]bool{},
-		leaving: map[string]bool{}, cut: map[string]bool{}, silent: map[string]bool{}, pending: map[string]time.Time{},
-		hearing: map[string]question{},
-		bases:   map[string]*Basis{}, turns: map[string]int{}, last: map[string]string{},
-		fresh: map[string]time.Time{}, now: start,
+func newSimulation(n int) *simulation {
+	s := &simulation{
+		choices: map[string]*Choice{}, dead: map[string]bool{}, rejected: map[string]bool{},
+		leaving: map[string]bool{}, partitioned: map[string]bool{}, timedOut: map[string]bool{}, callEnds: map[string]time.Time{},
+		waiting: map[string]pendingRequest{},
+		bases:   map[string]*Basis{}, switches: map[string]int{}, lastSource: map[string]string{},
+		knownAt: map[string]time.Time{}, now: start,
 	}
 	for i := range n {
 		name := fmt.Sprint("entry", i)
-		w.names = append(w.names, name)
-		w.choices[name] = &Choice{Own: name}
-		w.bases[name] = &Basis{Own: name, Wait: tick / 2}
-		w.fresh[name] = start
+		s.names = append(s.names, name)
+		s.choices[name] = &Choice{Own: name}
+		s.bases[name] = &Basis{Own: name, Wait: tick / 2}
+		s.knownAt[name] = start
 	}
-	return w
+	return s
 }
 
-// newWaitingWorld is newWorld with polls that wait as they do where a change has to be in
-// force within a time. It has run for a second.
-func newWaitingWorld(n int, change time.Duration) *world {
-	w := newWorld(n)
-	for _, b := range w.bases {
+// newLongPollSimulation returns a simulation with the poll waits for changes that have to
+// be in force within the time change. It has already run for a second.
+func newLongPollSimulation(n int, change time.Duration) *simulation {
+	s := newSimulation(n)
+	for _, b := range s.bases {
 		b.Wait = Wait(change)
 	}
-	w.run(time.Second)
-	return w
+	s.run(time.Second)
+	return s
 }
 
-// run lets a time pass and returns how many calls the store got in it.
-func (w *world) run(d time.Duration) int {
-	w.calls = 0
-	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(tick) {
-		for _, name := range w.names {
-			if !w.dead[name] && !w.leaving[name] {
-				w.ask(name)
+// run advances the simulation by d and returns the number of calls that the store got.
+func (s *simulation) run(d time.Duration) int {
+	s.calls = 0
+	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(tick) {
+		for _, name := range s.names {
+			if !s.dead[name] && !s.leaving[name] {
+				s.step(name)
 			}
 		}
 	}
-	return w.calls
+	return s.calls
 }
 
-func (w *world) ask(name string) {
-	c := w.choices[name]
-	if until, ok := w.pending[name]; ok {
-		if w.now.Before(until) {
+// step lets a process send a request, or continues its pending one.
+func (s *simulation) step(name string) {
+	c := s.choices[name]
+	if until, ok := s.callEnds[name]; ok {
+		if s.now.Before(until) {
 			return
 		}
-		delete(w.pending, name)
-		w.silent[name] = true
-		w.bases[name].Lose()
-		c.NoteStore(false, w.now)
+		delete(s.callEnds, name)
+		s.timedOut[name] = true
+		s.bases[name].Lose()
+		c.NoteStore(false, s.now)
 		return
 	}
-	if q, ok := w.hearing[name]; ok {
-		w.hearOn(name, q)
+	if q, ok := s.waiting[name]; ok {
+		s.checkPending(name, q)
 		return
 	}
-	source := c.Source(w.names, w.now)
-	if w.last[name] != source {
-		w.last[name] = source
-		w.turns[name]++
+	source := c.Source(s.names, s.now)
+	if s.lastSource[name] != source {
+		s.lastSource[name] = source
+		s.switches[name]++
 	}
-	if source == "" && w.cut[name] {
-		w.askSilent(name)
+	if source == "" && s.partitioned[name] {
+		s.sendUnansweredPoll(name)
 		return
 	}
 	if source == "" {
-		w.calls++
-		c.NoteStore(!w.turnedAway[name], w.now)
-		if !w.turnedAway[name] {
-			w.fresh[name] = w.now
-			w.bases[name].Learn(name)
+		s.calls++
+		c.NoteStore(!s.rejected[name], s.now)
+		if !s.rejected[name] {
+			s.knownAt[name] = s.now
+			s.bases[name].Learn(name)
 		}
 		return
 	}
-	if w.answers(source) && w.answer(name, source) == Fresh && !w.fresh[source].After(w.fresh[name]) {
-		w.hearing[name] = question{source: source, until: w.now.Add(HearWait)}
+	if s.running(source) && s.answer(name, source) == Fresh && !s.knownAt[source].After(s.knownAt[name]) {
+		s.waiting[name] = pendingRequest{source: source, until: s.now.Add(HearWait)}
 		return
 	}
-	w.hear(name, source)
+	s.receive(name, source)
 }
 
-// answers reports whether a process runs and is not about to end.
-func (w *world) answers(name string) bool { return !w.dead[name] && !w.leaving[name] }
+// running reports whether a process runs and isn't shutting down.
+func (s *simulation) running(name string) bool { return !s.dead[name] && !s.leaving[name] }
 
-// answer returns what a process may tell another one now.
-func (w *world) answer(name, source string) Answer {
-	return w.bases[source].Answer(name, w.fresh[source], w.now)
+// answer returns the answer of source to a request of the process name.
+func (s *simulation) answer(name, source string) Answer {
+	return s.bases[source].Answer(name, s.knownAt[source], s.now)
 }
 
-// hearOn ends a question once there is news, its time is over, or the one that is asked
-// knows that its own poll is late.
-func (w *world) hearOn(name string, q question) {
-	news := w.answers(q.source) && w.fresh[q.source].After(w.fresh[name])
-	late := w.bases[q.source].Late()
-	if !news && w.now.Before(q.until) && (late.IsZero() || w.now.Before(late)) {
+// checkPending ends a request once the source has an update, the time is over, or the
+// source's own poll is late.
+func (s *simulation) checkPending(name string, q pendingRequest) {
+	updated := s.running(q.source) && s.knownAt[q.source].After(s.knownAt[name])
+	late := s.bases[q.source].Late()
+	if !updated && s.now.Before(q.until) && (late.IsZero() || s.now.Before(late)) {
 		return
 	}
-	delete(w.hearing, name)
-	w.hear(name, q.source)
+	delete(s.waiting, name)
+	s.receive(name, q.source)
 }
 
-// askSilent has a process send a poll that will not be answered.
-func (w *world) askSilent(name string) {
-	due := w.now.Add(w.bases[name].Wait)
-	if w.silent[name] || w.bases[name].Origin() != name {
-		due = w.now.Add(tryWait)
+// sendUnansweredPoll lets a process send a poll to the store that will time out.
+func (s *simulation) sendUnansweredPoll(name string) {
+	due := s.now.Add(s.bases[name].Wait)
+	if s.timedOut[name] || s.bases[name].Origin() != name {
+		due = s.now.Add(retryPollWait)
 	}
-	w.bases[name].Ask(due)
-	w.pending[name] = due.Add(PollSlack)
+	s.bases[name].Ask(due)
+	s.callEnds[name] = due.Add(PollSlack)
 }
 
-// hear has a process told by another one.
-func (w *world) hear(name, source string) {
+// receive delivers the answer of source to the process name.
+func (s *simulation) receive(name, source string) {
 	a := Silent
 	switch {
-	case w.leaving[source]:
+	case s.leaving[source]:
 		a = Leaving
-	case !w.dead[source]:
-		a = w.answer(name, source)
+	case !s.dead[source]:
+		a = s.answer(name, source)
 	}
-	w.choices[name].Note(source, a, w.now)
+	s.choices[name].Note(source, a, s.now)
 	if a == Fresh {
-		w.fresh[name] = w.fresh[source]
-		w.bases[name].Learn(w.bases[source].Origin())
+		s.knownAt[name] = s.knownAt[source]
+		s.bases[name].Learn(s.bases[source].Origin())
 	}
 }
 
-// checkFresh checks that all processes that run know what the store told of late.
-func (w *world) checkFresh(t *testing.T, within time.Duration) {
+// checkFresh verifies that the state of no process, unless it is dead, is older than
+// within.
+func (s *simulation) checkFresh(t *testing.T, within time.Duration) {
 	t.Helper()
-	for _, name := range w.names {
-		if age := w.now.Sub(w.fresh[name]); !w.dead[name] && age > within {
-			t.Errorf("%s knows what was %v ago", name, age)
+	for _, name := range s.names {
+		if age := s.now.Sub(s.knownAt[name]); !s.dead[name] && age > within {
+			t.Errorf("the state of %s is %v old", name, age)
 		}
 	}
 }
 
-// oldest lets a time pass and returns how old the knowledge of a process, but for some,
-// has been.
-func (w *world) oldest(d time.Duration, but ...string) time.Duration {
-	var oldest time.Duration
-	for end := w.now.Add(d); w.now.Before(end); {
-		w.run(tick)
-		for _, name := range w.names {
-			if !slices.Contains(but, name) {
-				oldest = max(oldest, w.now.Sub(w.fresh[name]))
+// maxAge advances the simulation by d and returns the greatest age that the state of a
+// process had, except for some processes.
+func (s *simulation) maxAge(d time.Duration, except ...string) time.Duration {
+	var age time.Duration
+	for end := s.now.Add(d); s.now.Before(end); {
+		s.run(tick)
+		for _, name := range s.names {
+			if !slices.Contains(except, name) {
+				age = max(age, s.now.Sub(s.knownAt[name]))
 			}
 		}
 	}
-	return oldest
+	return age
 }
