--- a/internal/caller/admission/controller.go
+++ b/internal/caller/admission/controller.go
@@ -6,7 +6,7 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Defaults of the Controller's fields.
+// Defaults of the exported fields of Controller.
 const (
 	DefaultMaxWaiting = 1024
 	DefaultFairPart   = 0.25
@@ -14,43 +14,46 @@
 	DefaultMaxWait    = 30 * time.Second
 )
 
-// Controller decides about the requests of one entry. Its exported fields are
-// set before the first call; zero values mean the defaults.
+// Controller decides about the requests of one entry. The exported fields must
+// be set before the first call; zero values mean the defaults.
 type Controller struct {
-	// MaxWaiting bounds the queue over all routes. It bounds memory, and it
-	// bounds how much work is held that may be refused later.
+	// MaxWaiting is the number of waiting requests, over all routes, at which
+	// the queue is full. It limits memory and the amount of queued work that
+	// may be refused later. Requeued requests may exceed it.
 	MaxWaiting int
-	// FairPart is the part of the running time, between 0 and 1, that goes by
-	// fair share alone.
+	// FairPart is the fraction of the running time, between 0 and 1, that is
+	// allocated by fair share alone.
 	FairPart float64
-	// Run is the running time of a request of which nothing is known.
+	// Run is the assumed running time of a request if neither an estimate nor a
+	// measurement exists.
 	Run time.Duration
-	// MaxWait is the time to the deadline of a request that has none.
+	// MaxWait is the time from arrival to the deadline for a request without
+	// one.
 	MaxWait time.Duration
 
-	accounts map[string]*account
-	routes   map[string]*route
-	order    []*route
-	turn     int
-	open     map[string]*item
-	byStart  itemHeap
-	displace itemHeap
-	waiting  int
-	running  int
-	kept     int
-	seq      uint64
-	draining bool
+	accounts      map[string]*account
+	routes        map[string]*route
+	routeOrder    []*route
+	nextRoute     int
+	items         map[string]*item
+	byLatestStart itemHeap
+	displaceable  itemHeap
+	waiting       int
+	running       int
+	protected     int
+	seq           uint64
+	draining      bool
 }
 
 func (c *Controller) init() {
-	if c.open != nil {
+	if c.items != nil {
 		return
 	}
 	c.accounts = make(map[string]*account)
 	c.routes = make(map[string]*route)
-	c.open = make(map[string]*item)
-	c.byStart = itemHeap{less: startsEarlier, slot: slotStart}
-	c.displace = itemHeap{less: firstDisplaced, slot: slotDisplace}
+	c.items = make(map[string]*item)
+	c.byLatestStart = itemHeap{less: latestStartBefore, kind: heapLatestStart}
+	c.displaceable = itemHeap{less: displacedBefore, kind: heapDisplaceable}
 	if c.MaxWaiting <= 0 {
 		c.MaxWaiting = DefaultMaxWaiting
 	}
@@ -65,15 +68,15 @@
 	}
 }
 
-// Configure puts the limits of a preset into force. Open requests stay open
-// and count against the new limits; accounts that are no longer listed get no
-// new requests. Nothing changes when an error is returned: ErrNoAccount,
+// Configure puts the limits of a preset into force. Open requests stay open and
+// count against the new limits; accounts that are no longer listed get no new
+// requests. On error it changes nothing and returns ErrNoAccount,
 // ErrNegativeLimit or ErrTwice.
 func (c *Controller) Configure(limits []Limits, now time.Time) error {
 	c.init()
 	listed := make(map[string]bool, len(limits))
 	for _, l := range limits {
-		if err := l.check(); err != nil {
+		if err := l.validate(); err != nil {
 			return err
 		}
 		if listed[l.Account] {
@@ -87,19 +90,20 @@
 			a = &account{share: 1}
 			c.accounts[l.Account] = a
 		}
-		a.apply(l, now)
+		a.applyLimits(l, now)
 	}
 	for name, a := range c.accounts {
 		if !listed[name] {
-			c.forget(name, a)
+			c.removeAccount(name, a)
 		}
 	}
-	c.reweigh()
+	c.recomputeWeights()
 	return nil
 }
 
-// forget removes an account; what it has open is finished first.
-func (c *Controller) forget(name string, a *account) {
+// removeAccount removes an account, or marks it for removal until its open
+// requests have ended.
+func (c *Controller) removeAccount(name string, a *account) {
 	a.removed = true
 	if a.open > 0 {
 		return
@@ -110,18 +114,20 @@
 	}
 }
 
-// reweigh sums the weights of waiting flows anew after limits have changed.
-func (c *Controller) reweigh() {
+// recomputeWeights recomputes the sums of the weights of waiting flows after
+// the limits have changed.
+func (c *Controller) recomputeWeights() {
 	for _, r := range c.routes {
-		r.weight = 0
-		for _, f := range r.byVirtual.flows {
-			r.weight += f.account.limits.Weight
+		r.activeWeight = 0
+		for _, f := range r.byVirtualTime.flows {
+			r.activeWeight += f.account.limits.Weight
 		}
 	}
 }
 
-// SetShare sets which part of the account's limits, between 0 and 1, holds at
-// this entry. Accounts start with the whole. Unknown accounts are ignored.
+// SetShare sets the fraction, between 0 and 1, of the account's limits that
+// applies at this entry. The initial fraction is 1. Unknown accounts and
+// fractions out of range are ignored.
 func (c *Controller) SetShare(name string, share float64, now time.Time) {
 	c.init()
 	a := c.accounts[name]
@@ -129,37 +135,37 @@
 		return
 	}
 	a.share = share
-	a.retune(now)
+	a.updateBucket(now)
 }
 
-// Arrive decides about a new request. place is asked at most once, and only
-// when nothing waits on the same route. The result is Start, Wait or Refuse.
+// Arrive decides about a new request. It calls place at most once, and only if
+// nothing is waiting on the same route. The result is a Start, Wait or Refuse.
 func (c *Controller) Arrive(req Request, now time.Time, place Placer) Decision {
 	c.init()
-	a, code := c.checkArrival(&req)
+	a, code := c.validate(&req)
 	if code != result.OK {
-		return Refuse{Code: code, RetryAfter: c.comeBackFromStop(code, req.ID)}
+		return Refuse{Code: code, RetryAfter: c.shutdownRetryAfter(code, req.ID)}
 	}
-	r := c.routeOf(req.Route)
+	r := c.routeFor(req.Route)
 	r.drain.advance(now, r.waiting > 0)
 	it := c.newItem(req, a, r, now)
-	if ref, ok := c.checkDeadline(it, r, now); !ok {
-		return ref
+	if refusal, ok := c.checkDeadline(it, r, now); !ok {
+		return refusal
 	}
-	if ref, ok := c.checkLimits(it, now); !ok {
-		return ref
+	if refusal, ok := c.checkLimits(it, now); !ok {
+		return refusal
 	}
 	if r.waiting == 0 && place(&it.req) {
-		c.accept(it)
-		r.inflow.add(it.band, it.work, now)
+		c.admit(it)
+		r.arrivals.add(it.band, it.work, now)
 		c.start(it, r, false, false, now)
 		return Start{}
 	}
 	return c.enqueue(it, r, now)
 }
 
-func (c *Controller) checkArrival(req *Request) (*account, result.Code) {
-	if req.ID == "" || c.open[req.ID] != nil {
+func (c *Controller) validate(req *Request) (*account, result.Code) {
+	if req.ID == "" || c.items[req.ID] != nil {
 		return nil, result.MalformedRequest
 	}
 	if c.draining {
@@ -172,20 +178,23 @@
 	return a, result.OK
 }
 
-// comeBackFromStop sends callers of a stopping entry elsewhere within moments.
-func (c *Controller) comeBackFromStop(code result.Code, id string) time.Duration {
+// shutdownRetryAfter returns the retry delay for a request refused by validate.
+// If the entry is shutting down, it is a short delay, spread by a hash of id,
+// after which the caller can retry at another entry. For other codes it is
+// zero.
+func (c *Controller) shutdownRetryAfter(code result.Code, id string) time.Duration {
 	if code != result.ShuttingDown {
 		return 0
 	}
-	return MinComeBack + time.Duration(fraction(id)*float64(MinComeBack))
+	return MinComeBack + time.Duration(hashFraction(id)*float64(MinComeBack))
 }
 
-func (c *Controller) routeOf(name string) *route {
+func (c *Controller) routeFor(name string) *route {
 	r := c.routes[name]
 	if r == nil {
 		r = newRoute()
 		c.routes[name] = r
-		c.order = append(c.order, r)
+		c.routeOrder = append(c.routeOrder, r)
 	}
 	return r
 }
@@ -198,10 +207,10 @@
 		req.Deadline = now.Add(c.MaxWait)
 	}
 	c.seq++
-	it := &item{req: req, account: a, seq: c.seq, arrived: now, flow: r.flowOf(a, c.seq)}
+	it := &item{req: req, account: a, seq: c.seq, arrivedAt: now, flow: r.flowFor(a, c.seq)}
 	it.work = c.expectedWork(req, r)
-	it.band = band(req.Worth, it.work)
-	it.latest = req.Deadline.Add(-seconds(it.work * r.runs.margin(now)))
+	it.band = densityBand(req.Worth, it.work)
+	it.latestStart = req.Deadline.Add(-toDuration(it.work * r.runTimes.currentOverrun(now)))
 	return it
 }
 
@@ -209,23 +218,23 @@
 	if req.ExpectedRun > 0 {
 		return req.ExpectedRun.Seconds()
 	}
-	if r.runs.mean > 0 {
-		return r.runs.mean
+	if r.runTimes.meanRun > 0 {
+		return r.runTimes.meanRun
 	}
 	return c.Run.Seconds()
 }
 
-// accept counts the request as open.
-func (c *Controller) accept(it *item) {
-	c.open[it.req.ID] = it
+// admit counts the request as open and takes a rate token for it.
+func (c *Controller) admit(it *item) {
+	c.items[it.req.ID] = it
 	it.account.open++
 	it.account.bucket.take()
 }
 
-// start moves an accepted item to running.
+// start moves an admitted item to the running state.
 func (c *Controller) start(it *item, r *route, fair, queued bool, now time.Time) {
 	it.running = true
-	it.started = now
+	it.startedAt = now
 	c.running++
 	r.running++
 	r.charge(it, c.FairPart, fair, queued)
@@ -234,62 +243,63 @@
 	}
 }
 
-// Rest brings a route to now without counting the time as spent with requests
-// waiting: nothing could have been started in it, however fast the endpoints are.
+// Rest advances the drain meter of a route to now without counting the elapsed
+// time as time with requests waiting. It is for periods in which no request
+// could have started, however fast the endpoints are.
 func (c *Controller) Rest(name string, now time.Time) {
 	c.init()
-	c.routeOf(name).drain.advance(now, false)
+	c.routeFor(name).drain.advance(now, false)
 }
 
-// Done records that a running request has ended at its endpoint, whole or not,
-// or that a waiting one is given up. Unknown ids are ignored, so that ending
-// twice does no harm.
+// Done records that a running request has ended at its endpoint, with or
+// without a complete answer, or that a waiting request is abandoned. It ignores
+// unknown IDs, so that a second call has no effect.
 func (c *Controller) Done(id string, now time.Time) {
-	it := c.open[id]
+	it := c.items[id]
 	if it == nil {
 		return
 	}
-	r := c.routeOf(it.req.Route)
+	r := c.routeFor(it.req.Route)
 	r.drain.advance(now, r.waiting > 0)
 	if !it.running {
-		c.unqueue(it, r)
-		c.close(it, r)
+		c.dequeue(it, r)
+		c.removeItem(it, r)
 		return
 	}
-	actual := now.Sub(it.started).Seconds()
-	r.runs.observe(actual, it.work, it.req.ExpectedRun > 0, now)
-	r.correct(it, actual)
-	c.close(it, r)
+	actual := now.Sub(it.startedAt).Seconds()
+	r.runTimes.observe(actual, it.work, it.req.ExpectedRun > 0, now)
+	r.correctCharge(it, actual)
+	c.removeItem(it, r)
 }
 
-// Cancel records that the caller of a waiting or running request has left. A
-// running time that was cut short says nothing about the next one, so that it
-// is not learnt from. Unknown ids are ignored.
+// Cancel records that the caller of a waiting or running request has
+// disconnected. The truncated running time is not representative and is left
+// out of the statistics. Unknown IDs are ignored.
 func (c *Controller) Cancel(id string) {
-	it := c.open[id]
+	it := c.items[id]
 	if it == nil {
 		return
 	}
-	r := c.routeOf(it.req.Route)
+	r := c.routeFor(it.req.Route)
 	if !it.running {
-		c.unqueue(it, r)
+		c.dequeue(it, r)
 	}
-	c.close(it, r)
+	c.removeItem(it, r)
 }
 
-// close forgets an item that is not in the queue.
-func (c *Controller) close(it *item, r *route) {
+// removeItem removes an open item that is not in the queue.
+func (c *Controller) removeItem(it *item, r *route) {
 	if it.running {
 		c.running--
 		r.running--
 	}
-	delete(c.open, it.req.ID)
+	delete(c.items, it.req.ID)
 	it.account.open--
 	if it.account.removed && it.account.open == 0 {
-		c.forget(it.req.Account, it.account)
+		c.removeAccount(it.req.Account, it.account)
 	}
 }
 
-// Drain refuses new requests from now on. Waiting requests are still started
-// or refused by Next, so that a graceful stop cuts off nothing.
+// Drain makes the Controller refuse all new requests. Next still starts or
+// refuses waiting requests, so that a graceful shutdown does not cut them off.
 func (c *Controller) Drain() { c.draining = true }
--- a/internal/caller/admission/counts.go
+++ b/internal/caller/admission/counts.go
@@ -1,12 +1,13 @@
 package admission
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (c *Controller) Waiting() int { return c.waiting }
 
-// Running returns how many requests have been started and not ended.
+// Running returns the number of requests that have started and not ended.
 func (c *Controller) Running() int { return c.running }
 
-// Open returns how many requests the account has open here.
+// Open returns the number of open requests, waiting or running, of an account
+// at this entry. It is zero for an unknown account.
 func (c *Controller) Open(name string) int {
 	if a := c.accounts[name]; a != nil {
 		return a.open
--- a/internal/caller/admission/example_test.go
+++ b/internal/caller/admission/example_test.go
@@ -12,17 +12,17 @@
 	if err := c.Configure([]Limits{{Account: "tazalyk", Concurrency: 20}}, now); err != nil {
 		fmt.Println(err)
 	}
-	full := func(*Request) bool { return false }
-	free := func(*Request) bool { return true }
-	ask := Request{
+	noSlot := func(*Request) bool { return false }
+	freeSlot := func(*Request) bool { return true }
+	req := Request{
 		ID: "1", Account: "tazalyk", Route: "model", ExpectedRun: time.Second, Deadline: now.Add(3 * time.Second),
 	}
-	fmt.Printf("%T\n", c.Arrive(ask, now, full))
-	started, _ := c.Next(now.Add(time.Second), free)
+	fmt.Printf("%T\n", c.Arrive(req, now, noSlot))
+	started, _ := c.Next(now.Add(time.Second), freeSlot)
 	fmt.Println("started", len(started))
 	c.Done("1", now.Add(2*time.Second))
-	ask.ID, ask.Deadline = "2", now
-	fmt.Println(c.Arrive(ask, now, free).(Refuse).Code)
+	req.ID, req.Deadline = "2", now
+	fmt.Println(c.Arrive(req, now, freeSlot).(Refuse).Code)
 	// Output:
 	// admission.Wait
 	// started 1
@@ -31,17 +31,17 @@
 
 func BenchmarkArriveNextDone(b *testing.B) {
 	for _, accounts := range []int{15, 90, 630, 12000} {
-		b.Run(fmt.Sprint(accounts), func(b *testing.B) { benchArrive(b, accounts) })
+		b.Run(fmt.Sprint(accounts), func(b *testing.B) { benchmarkArrive(b, accounts) })
 	}
 }
 
-// benchArrive keeps a full queue over the accounts and measures one request's
-// way through it.
-func benchArrive(b *testing.B, accounts int) {
+// benchmarkArrive keeps the queue full with requests of all accounts and
+// measures the arrival, start and end of one request.
+func benchmarkArrive(b *testing.B, accounts int) {
 	c := &Controller{MaxWaiting: accounts}
 	var limits []Limits
 	for i := range accounts {
-		limits = append(limits, Limits{Account: name(i)})
+		limits = append(limits, Limits{Account: entryName(i)})
 	}
 	if err := c.Configure(limits, epoch); err != nil {
 		b.Fatal(err)
@@ -50,29 +50,29 @@
 	for i := range ids {
 		ids[i] = fmt.Sprint(i)
 	}
-	full := func(*Request) bool { return false }
-	free := 0
-	one := func(*Request) bool { free--; return free >= 0 }
+	noSlot := func(*Request) bool { return false }
+	freeSlots := 0
+	takeSlot := func(*Request) bool { freeSlots--; return freeSlots >= 0 }
 	now, i := epoch, 0
-	ask := func() {
+	arrive := func() {
 		now = now.Add(time.Millisecond)
 		c.Arrive(Request{
 			ID: ids[i], Account: limits[i%accounts].Account, Route: "model", Worth: float64(1 + i%7),
 			ExpectedRun: time.Millisecond, Deadline: now.Add(time.Hour),
-		}, now, full)
+		}, now, noSlot)
 		i++
 	}
 	for range accounts {
-		ask()
+		arrive()
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		if i >= len(ids) {
 			i = 0
 		}
-		ask()
-		free = 1
-		started, _ := c.Next(now, one)
+		arrive()
+		freeSlots = 1
+		started, _ := c.Next(now, takeSlot)
 		for _, r := range started {
 			c.Done(r.ID, now)
 		}
--- a/internal/caller/admission/fairness_test.go
+++ b/internal/caller/admission/fairness_test.go
@@ -9,8 +9,8 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Ten small accounts would get no answers while a large one is served: it
-// sends so much, worth as much, that the queue holds nothing else.
+// Guards against starvation of ten small accounts by a large one whose requests
+// are so many, and of such worth, that they fill the queue.
 func TestLargeAccountDoesNotStarveSmallOnes(t *testing.T) {
 	for _, worth := range []float64{1, 20} {
 		t.Run(fmt.Sprintf("worth%v", worth), func(t *testing.T) {
@@ -18,88 +18,89 @@
 			for i := range 10 {
 				limits = append(limits, Limits{Account: fmt.Sprint("small", i)})
 			}
-			b := newBench(t, 20, &Controller{MaxWaiting: 50}, limits...)
+			h := newHarness(t, 20, &Controller{MaxWaiting: 50}, limits...)
 			for i := range 600 {
 				for k := range 10 {
-					b.arrive(b.request(fmt.Sprint("large.", i, ".", k), "large", time.Second, 5*time.Second), time.Second)
+					h.arrive(h.newRequest(fmt.Sprint("large.", i, ".", k), "large", time.Second, 5*time.Second), time.Second)
 				}
 				if i%10 == 0 {
 					for k := range 10 {
 						account := fmt.Sprint("small", k)
-						b.arrive(b.request(fmt.Sprint(account, ".", i), account, time.Second, 5*time.Second), time.Second)
+						h.arrive(h.newRequest(fmt.Sprint(account, ".", i), account, time.Second, 5*time.Second), time.Second)
 					}
 				}
-				b.advance(50 * time.Millisecond)
+				h.advance(50 * time.Millisecond)
 			}
-			// Each small account asks for 2 a second of 20 and is due, when the
-			// large one is worth more, a tenth of the fair part: 0.5 a second.
-			least := 0.9
+			// Each small account asks for 2 of 20 requests per second. If the
+			// large account is worth more, each small one is entitled to a
+			// tenth of the fair part: 0.5 requests per second.
+			minFraction := 0.9
 			if worth > 1 {
-				least = 0.2
+				minFraction = 0.2
 			}
 			for k := range 10 {
-				b.assertServedPart(fmt.Sprint("small", k, "."), least)
+				h.assertServedFraction(fmt.Sprint("small", k, "."), minFraction)
 			}
 		})
 	}
 }
 
-func (b *bench) assertServedPart(prefix string, least float64) {
-	b.t.Helper()
-	all := 0.0
-	for id := range b.ended {
+func (h *harness) assertServedFraction(prefix string, minFraction float64) {
+	h.t.Helper()
+	total := 0.0
+	for id := range h.outcomes {
 		if strings.HasPrefix(id, prefix) {
-			all++
+			total++
 		}
 	}
-	ok := float64(b.served(prefix))
-	if ok < least*all || all == 0 {
-		b.t.Errorf("%s: served %v of %v, want at least a part of %v", prefix, ok, all, least)
+	served := float64(h.countServed(prefix))
+	if served < minFraction*total || total == 0 {
+		h.t.Errorf("%s: served %v of %v, want at least a fraction of %v", prefix, served, total, minFraction)
 	}
 }
 
 func TestServedByWeight(t *testing.T) {
-	b := newBench(t, 8, &Controller{}, Limits{Account: "one", Weight: 1}, Limits{Account: "three", Weight: 3})
+	h := newHarness(t, 8, &Controller{}, Limits{Account: "one", Weight: 1}, Limits{Account: "three", Weight: 3})
 	for i := range 600 {
 		for _, account := range []string{"one", "three"} {
-			b.arrive(b.request(fmt.Sprint(account, ".", i), account, time.Second, 6*time.Second), time.Second)
+			h.arrive(h.newRequest(fmt.Sprint(account, ".", i), account, time.Second, 6*time.Second), time.Second)
 		}
-		b.advance(50 * time.Millisecond)
+		h.advance(50 * time.Millisecond)
 	}
-	one, three := b.served("one."), b.served("three.")
+	one, three := h.countServed("one."), h.countServed("three.")
 	if ratio := float64(three) / float64(one); ratio < 2.4 || ratio > 3.6 {
-		t.Errorf("served %d and %d of accounts with weights 1 and 3", one, three)
+		t.Errorf("served %d and %d requests of accounts with weights 1 and 3", one, three)
 	}
 }
 
-// An account that was idle for an hour would hold all places for as long as
-// it takes to catch up with the others.
+// Guards against an account that returns from an idle period and then occupies
+// all slots until it has caught up with the others.
 func TestIdleAccountEarnsNoClaim(t *testing.T) {
-	b := newBench(t, 4, &Controller{FairPart: 1}, Limits{Account: "busy"}, Limits{Account: "idle"})
-	ask := func(account string, i int) {
-		b.arrive(b.request(fmt.Sprint(account, ".", i), account, time.Second, 30*time.Second), time.Second)
+	h := newHarness(t, 4, &Controller{FairPart: 1}, Limits{Account: "busy"}, Limits{Account: "idle"})
+	send := func(account string, i int) {
+		h.arrive(h.newRequest(fmt.Sprint(account, ".", i), account, time.Second, 30*time.Second), time.Second)
 	}
 	for i := range 400 {
-		ask("busy", i)
-		b.advance(100 * time.Millisecond)
+		send("busy", i)
+		h.advance(100 * time.Millisecond)
 	}
-	before := b.served("busy.")
+	before := h.countServed("busy.")
 	for i := range 16 {
-		ask("idle", 5000+i)
+		send("idle", 5000+i)
 	}
 	for i := range 40 {
-		ask("busy", 5000+i)
-		b.advance(100 * time.Millisecond)
+		send("busy", 5000+i)
+		h.advance(100 * time.Millisecond)
 	}
-	busy, idle := b.served("busy.")-before, b.served("idle.")
+	busy, idle := h.countServed("busy.")-before, h.countServed("idle.")
 	if busy < 6 || idle < 6 {
-		t.Errorf("served %d of the busy account and %d of the returned one in 4 s of 4 places, want 6 of each", busy, idle)
+		t.Errorf("served %d requests of the busy account and %d of the returning one in 4 s with 4 slots, want at least 6 of each", busy, idle)
 	}
 }
 
-// served counts the requests with this prefix that were served.
-func (b *bench) served(prefix string) (n int) {
-	for id, code := range b.ended {
+// countServed returns the number of served requests whose ID has the prefix.
+func (h *harness) countServed(prefix string) (n int) {
+	for id, code := range h.outcomes {
 		if code == result.OK && strings.HasPrefix(id, prefix) {
 			n++
 		}
--- a/internal/caller/admission/heaps.go
+++ b/internal/caller/admission/heaps.go
@@ -2,12 +2,12 @@
 
 import "container/heap"
 
-// itemHeap is a heap of items. slot says which of the item's positions belongs
-// to this heap, so that an item can be removed from several heaps at once.
+// itemHeap is a heap of items. kind is the position of this heap in item.index,
+// which lets an item be removed from several heaps without a search.
 type itemHeap struct {
 	items []*item
 	less  func(a, b *item) bool
-	slot  int
+	kind  int
 }
 
 func (h *itemHeap) Len() int           { return len(h.items) }
@@ -15,14 +15,14 @@
 
 func (h *itemHeap) Swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.items[i].pos[h.slot] = i
-	h.items[j].pos[h.slot] = j
+	h.items[i].index[h.kind] = i
+	h.items[j].index[h.kind] = j
 }
 
 // Push implements heap.Interface.
 func (h *itemHeap) Push(x any) {
 	it := x.(*item)
-	it.pos[h.slot] = len(h.items)
+	it.index[h.kind] = len(h.items)
 	h.items = append(h.items, it)
 }
 
@@ -36,7 +36,7 @@
 }
 
 func (h *itemHeap) add(it *item)    { heap.Push(h, it) }
-func (h *itemHeap) remove(it *item) { heap.Remove(h, it.pos[h.slot]) }
+func (h *itemHeap) remove(it *item) { heap.Remove(h, it.index[h.kind]) }
 
 func (h *itemHeap) head() *item {
 	if len(h.items) == 0 {
@@ -45,7 +45,8 @@
 	return h.items[0]
 }
 
-// flowHeap is a heap of flows that have waiting requests.
+// flowHeap is a heap of flows with waiting requests. kind is the position of
+// this heap in flow.index.
 type flowHeap struct {
 	flows []*flow
 	less  func(a, b *flow) bool
@@ -57,14 +58,14 @@
 
 func (h *flowHeap) Swap(i, j int) {
 	h.flows[i], h.flows[j] = h.flows[j], h.flows[i]
-	h.flows[i].pos[h.slot] = i
-	h.flows[j].pos[h.slot] = j
+	h.flows[i].index[h.slot] = i
+	h.flows[j].index[h.slot] = j
 }
 
 // Push implements heap.Interface.
 func (h *flowHeap) Push(x any) {
 	f := x.(*flow)
-	f.pos[h.slot] = len(h.flows)
+	f.index[h.slot] = len(h.flows)
 	h.flows = append(h.flows, f)
 }
 
@@ -78,5 +79,5 @@
 }
 
 func (h *flowHeap) add(f *flow)    { heap.Push(h, f) }
-func (h *flowHeap) remove(f *flow) { heap.Remove(h, f.pos[h.slot]) }
-func (h *flowHeap) fix(f *flow)    { heap.Fix(h, f.pos[h.slot]) }
+func (h *flowHeap) remove(f *flow) { heap.Remove(h, f.index[h.slot]) }
+func (h *flowHeap) fix(f *flow)    { heap.Fix(h, f.index[h.slot]) }
--- a/internal/caller/admission/holder.go
+++ b/internal/caller/admission/holder.go
@@ -7,44 +7,48 @@
 	"time"
 )
 
-// ShareHolder keeps the shares of one entry. Its exported fields are set
+// ShareHolder manages the shares of one entry. The exported fields must be set
 // before the first call. It is not safe for concurrent use.
 type ShareHolder struct {
 	// Entry is the name of the entry.
 	Entry string
-	// Entries is how many entries the data centre has at the most. It must be
+	// Entries is the maximum number of entries in the data centre. It must be
 	// the same at all entries of the data centre.
 	Entries int
-	// Lapse must be the same at all entries; zero means DefaultLapse.
+	// Lapse is how long a deposit lasts. It must be the same at all entries;
+	// zero means DefaultLapse.
 	Lapse time.Duration
-	// Number is the number of the last report; it is set to a value that
-	// exceeds those of earlier starts, such as the wall clock in nanoseconds.
+	// Number is the sequence number of the last report. It must start above
+	// those of earlier starts of the entry, for example at the wall clock time
+	// in nanoseconds.
 	Number uint64
 
-	began    time.Time
-	accounts map[string]*held
-	lenders  map[string]*lenderLink
+	startedAt time.Time
+	accounts  map[string]*holderAccount
+	lenders   map[string]*lenderState
 }
 
-// lenderLink is the exchange with one lender.
-type lenderLink struct {
+// lenderState is the state of the exchange with one lender.
+type lenderState struct {
 	echo   ShareStamp
 	number uint64
-	sent   time.Time
+	sentAt time.Time
 	wanted []string
 }
 
-// held is the state of one account.
-type held struct {
+// holderAccount is the state of one account.
+type holderAccount struct {
 	limits   Limits
 	want     int64
-	promises []promise
-	grant    loan
+	deposits []deposit
+	loan     loan
 }
 
-// promise is a deposit. Promises to one incarnation of a lender replace one
-// another there, so the largest counts; those to different ones add up.
-type promise struct {
+// deposit is a number of units that the holder has promised to a lender not to
+// use. A newer deposit with the same incarnation of a lender replaces the older
+// one there, so that only the largest counts; deposits with different
+// incarnations add up.
+type deposit struct {
 	lender      string
 	incarnation uint64
 	units       int64
@@ -55,16 +59,17 @@
 	if h.accounts != nil {
 		return
 	}
-	h.began = now
-	h.accounts = make(map[string]*held)
-	h.lenders = make(map[string]*lenderLink)
+	h.startedAt = now
+	h.accounts = make(map[string]*holderAccount)
+	h.lenders = make(map[string]*lenderState)
 	if h.Lapse <= 0 {
 		h.Lapse = DefaultLapse
 	}
 }
 
-// ReportEvery returns how often a report should go to each lender. An account
-// that comes into demand with no usable share is worth a report at once.
+// ReportEvery returns the interval between reports to each lender. The caller
+// should also report at once when an account without a usable share comes into
+// demand.
 func (h *ShareHolder) ReportEvery() time.Duration {
 	if h.Lapse <= 0 {
 		return DefaultLapse / reportsPerLapse
@@ -72,7 +77,8 @@
 	return h.Lapse / reportsPerLapse
 }
 
-// Configure sets the accounts and their limits. Promises stay in force.
+// Configure sets the accounts and their limits. Deposits of accounts that
+// remain listed stay in force.
 func (h *ShareHolder) Configure(limits []Limits, now time.Time) {
 	h.init(now)
 	listed := make(map[string]bool, len(limits))
@@ -80,7 +86,7 @@
 		listed[l.Account] = true
 		a := h.accounts[l.Account]
 		if a == nil {
-			a = &held{}
+			a = &holderAccount{}
 			h.accounts[l.Account] = a
 		}
 		a.limits = l.withDefaults()
@@ -92,25 +98,25 @@
 	}
 }
 
-// Demand records what the account needs here: requests a second and requests
-// open at once. The caller gives peaks of the last seconds.
+// Demand records what the account needs at this entry: requests per second and
+// concurrently open requests. The caller passes the peaks of the last seconds.
 func (h *ShareHolder) Demand(name string, rate float64, open int) {
 	a := h.accounts[name]
 	if a == nil {
 		return
 	}
-	part := 0.0
+	fraction := 0.0
 	if a.limits.Rate > 0 {
-		part = rate / a.limits.Rate
+		fraction = rate / a.limits.Rate
 	}
 	if a.limits.Concurrency > 0 {
-		part = math.Max(part, float64(open)/float64(a.limits.Concurrency))
+		fraction = math.Max(fraction, float64(open)/float64(a.limits.Concurrency))
 	}
-	a.want = int64(math.Ceil(math.Min(part, 1) * WholeShare))
+	a.want = int64(math.Ceil(math.Min(fraction, 1) * WholeShare))
 }
 
-// quantum returns the part of one open request.
-func (a *held) quantum() int64 {
+// quantum returns the units that correspond to one open request.
+func (a *holderAccount) quantum() int64 {
 	if a.limits.Concurrency <= 0 {
 		return 1
 	}
@@ -118,49 +124,52 @@
 	return (WholeShare + n - 1) / n
 }
 
-// keep returns what an entry never deposits: a quarter of its entitlement, or
-// one open request if that is more. It serves the first requests of an account
-// that was idle here, before the lender has answered. An entitlement that holds
-// no open request is deposited whole: its parts are of use only together.
-func (a *held) keep(own int64) int64 {
+// reserve returns the units that an entry retains when it deposits what it does
+// not need: a quarter of its entitlement, or one open request if that is more.
+// The reserve serves the first requests of an account that was idle at this
+// entry until the lender replies. An entitlement below one open request is
+// deposited whole, because a fraction of a request is of no use alone. If the
+// holder asks to borrow more than its entitlement, accountDemand deposits the
+// reserve as well.
+func (a *holderAccount) reserve(entitled int64) int64 {
 	q := a.quantum()
-	if own < q {
+	if entitled < q {
 		return 0
 	}
-	return max(own/4, q)
+	return max(entitled/4, q)
 }
 
-// promised returns the units that are promised away, without those to the
-// given incarnation of a lender.
-func (a *held) promised(except promise, now time.Time) int64 {
+// deposited returns the sum of the units in live deposits, except those with
+// the lender and incarnation of except. It drops expired deposits.
+func (a *holderAccount) deposited(except deposit, now time.Time) int64 {
 	var sum int64
-	live := a.promises[:0]
-	for _, p := range a.promises {
-		if p.until.After(now) {
-			live = append(live, p)
+	live := a.deposits[:0]
+	for _, d := range a.deposits {
+		if d.until.After(now) {
+			live = append(live, d)
 		}
 	}
-	a.promises = live
-	for i, p := range live {
-		if p.lender == except.lender && p.incarnation == except.incarnation {
+	a.deposits = live
+	for i, d := range live {
+		if d.lender == except.lender && d.incarnation == except.incarnation {
 			continue
 		}
-		if largest(live, i) {
-			sum += p.units
+		if isLargest(live, i) {
+			sum += d.units
 		}
 	}
 	return sum
 }
 
-// largest reports whether promise i is the largest to its lender, the first
-// among equals.
-func largest(ps []promise, i int) bool {
-	p := ps[i]
-	for j, q := range ps {
-		if q.lender != p.lender || q.incarnation != p.incarnation {
+// isLargest reports whether deposit i is the largest with its lender and
+// incarnation, or the first among equals.
+func isLargest(deposits []deposit, i int) bool {
+	d := deposits[i]
+	for j, other := range deposits {
+		if other.lender != d.lender || other.incarnation != d.incarnation {
 			continue
 		}
-		if q.units > p.units || (q.units == p.units && j < i) {
+		if other.units > d.units || (other.units == d.units && j < i) {
 			return false
 		}
 	}
@@ -169,79 +178,79 @@
 
 // Usable returns the units of the account's limit that this entry may use now.
 //
-// An entry that has just started uses only what it never deposits until one
-// lapse has passed: an earlier start of the same entry, or the one whose place
-// it takes, may have promised the rest away.
+// For one Lapse after its start, an entry uses only its reserve: an earlier
+// incarnation of the entry, or the entry that it replaces, may have deposited
+// the rest.
 func (h *ShareHolder) Usable(name string, now time.Time) int64 {
 	a := h.accounts[name]
 	if a == nil {
 		return 0
 	}
-	own := entitlement(h.Entries)
-	use := max(0, own-a.promised(promise{}, now))
-	if now.Sub(h.began) < h.Lapse {
-		use = min(use, a.keep(own))
+	entitled := entitlement(h.Entries)
+	usable := max(0, entitled-a.deposited(deposit{}, now))
+	if now.Sub(h.startedAt) < h.Lapse {
+		usable = min(usable, a.reserve(entitled))
 	}
-	if a.grant.until.After(now) {
-		use += a.grant.units
+	if a.loan.until.After(now) {
+		usable += a.loan.units
 	}
-	return use
+	return usable
 }
 
-// Report makes the report for one lender. lenderOf says who lends an account;
-// accounts of other lenders are left out.
+// Report creates the report for one lender. lenderOf returns the lender of an
+// account; accounts of other lenders are left out.
 func (h *ShareHolder) Report(lender string, lenderOf func(account string) string, now time.Time) ShareReport {
 	h.init(now)
 	l := h.lenders[lender]
 	if l == nil {
-		l = &lenderLink{}
+		l = &lenderState{}
 		h.lenders[lender] = l
 	}
 	h.Number++
-	l.number, l.sent = h.Number, now
+	l.number, l.sentAt = h.Number, now
 	r := ShareReport{Holder: h.Entry, Number: h.Number, Echo: l.echo}
 	for name, a := range h.accounts {
-		// Whom an account belongs to costs a hash for each entry, so it is asked
-		// last: of 12,000 accounts some are in demand.
-		if h.lists(a, name, l) && lenderOf(name) == lender {
-			r.Accounts = append(r.Accounts, h.demand(name, a, lender, l.echo, now))
+		// lenderOf computes one hash per entry, so it is called last: with
+		// 12,000 accounts, only some are in demand.
+		if h.included(a, name, l) && lenderOf(name) == lender {
+			r.Accounts = append(r.Accounts, h.accountDemand(name, a, lender, l.echo, now))
 		}
 	}
 	sort.Slice(r.Accounts, func(i, j int) bool { return r.Accounts[i].Account < r.Accounts[j].Account })
 	return r
 }
 
-// lists reports whether an account belongs in a report.
-func (h *ShareHolder) lists(a *held, name string, l *lenderLink) bool {
-	return len(h.accounts) <= listAll || a.want > 0 || slices.Contains(l.wanted, name)
+// included reports whether an account belongs in a report.
+func (h *ShareHolder) included(a *holderAccount, name string, l *lenderState) bool {
+	return len(h.accounts) <= listAllMax || a.want > 0 || slices.Contains(l.wanted, name)
 }
 
-func (h *ShareHolder) demand(name string, a *held, lender string, echo ShareStamp, now time.Time) ShareDemand {
-	own := entitlement(h.Entries)
-	d := ShareDemand{Account: name, Quantum: a.quantum(), Want: max(0, a.want-own)}
-	if d.Want > 0 && a.keep(own) == 0 {
-		// Parts of places are of no use beside what is lent: all goes to the
-		// lender and whole places come back.
+func (h *ShareHolder) accountDemand(name string, a *holderAccount, lender string, echo ShareStamp, now time.Time) ShareDemand {
+	entitled := entitlement(h.Entries)
+	d := ShareDemand{Account: name, Quantum: a.quantum(), Want: max(0, a.want-entitled)}
+	if d.Want > 0 && a.reserve(entitled) == 0 {
+		// Fractions of a concurrency slot cannot be combined with a loan:
+		// deposit all of them and borrow whole slots.
 		d.Want = a.want
 	}
-	if echo.Incarnation == 0 || now.Sub(h.began) < h.Lapse {
+	if echo.Incarnation == 0 || now.Sub(h.startedAt) < h.Lapse {
 		return d
 	}
-	p := promise{lender: lender, incarnation: echo.Incarnation, until: now.Add(h.Lapse)}
-	spare := own - max(a.keep(own), a.want)
-	if d.Want > own {
-		spare = own
+	newDeposit := deposit{lender: lender, incarnation: echo.Incarnation, until: now.Add(h.Lapse)}
+	spare := entitled - max(a.reserve(entitled), a.want)
+	if d.Want > entitled {
+		spare = entitled
 	}
-	p.units = min(spare, own-a.promised(p, now))
-	if p.units > 0 {
-		a.promises = append(a.promises, p)
-		d.Deposit = p.units
+	newDeposit.units = min(spare, entitled-a.deposited(newDeposit, now))
+	if newDeposit.units > 0 {
+		a.deposits = append(a.deposits, newDeposit)
+		d.Deposit = newDeposit.units
 	}
 	return d
 }
 
-// Reply takes in a lender's reply. Only the reply to the newest report counts,
-// because the moment of asking is known only for that one.
+// Reply processes a lender's reply. Only the reply to the newest report counts,
+// because only the sending time of that report is known.
 func (h *ShareHolder) Reply(lender string, r ShareReply) {
 	l := h.lenders[lender]
 	if l == nil || r.Number != l.number {
@@ -251,7 +260,7 @@
 	l.wanted = r.Wanted
 	for _, g := range r.Grants {
 		if a := h.accounts[g.Account]; a != nil {
-			a.grant = loan{g.Units, l.sent.Add(g.For)}
+			a.loan = loan{g.Units, l.sentAt.Add(g.For)}
 		}
 	}
 }
--- a/internal/caller/admission/lender.go
+++ b/internal/caller/admission/lender.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// ShareLender lends out deposited shares. Its exported fields are set before
-// the first call. It is not safe for concurrent use.
+// ShareLender lends deposited shares to entries that need them. The exported
+// fields must be set before the first call. It is not safe for concurrent use.
 type ShareLender struct {
-	// Incarnation differs from that of each earlier start of this entry.
+	// Incarnation must differ between starts of this entry.
 	Incarnation uint64
-	// Lapse must be the same at all entries; zero means DefaultLapse.
+	// Lapse is how long a deposit lasts. It must be the same at all entries;
+	// zero means DefaultLapse.
 	Lapse time.Duration
 
 	epoch    time.Time
-	holders  map[string]*reporter
-	accounts map[string]*pot
+	holders  map[string]*holderState
+	accounts map[string]*accountShares
 }
 
-// reporter is what is known of one holder.
-type reporter struct {
+// holderState is the state of one holder.
+type holderState struct {
 	number uint64
-	// until is when the deposits of its newest report end.
-	until time.Time
-	heard time.Time
+	// depositsUntil is when the deposits of the newest report expire.
+	depositsUntil time.Time
+	lastReport    time.Time
 }
 
-// pot is one account's deposits and loans, by holder.
-type pot map[string]*party
+// accountShares holds the deposits and loans of one account by holder.
+type accountShares map[string]*holderShare
 
-type party struct {
+type holderShare struct {
 	deposit, want, quantum int64
 	loans                  []loan
-	// served is when the holder last got anything.
-	served time.Time
+	// lastGrant is when the holder last received a grant.
+	lastGrant time.Time
 }
 
 type loan struct {
@@ -41,19 +42,19 @@
 	until time.Time
 }
 
-// lent returns the most that the holder may be using now. Replies can be
-// lost, so that an older loan may be in use instead of the newest.
-func (y *party) lent(now time.Time) int64 {
-	var most int64
-	live := y.loans[:0]
-	for _, l := range y.loans {
+// outstanding returns the maximum number of units that the holder may be using
+// now. If a reply was lost, an older loan may be in use in place of the newest.
+func (s *holderShare) outstanding(now time.Time) int64 {
+	var largest int64
+	live := s.loans[:0]
+	for _, l := range s.loans {
 		if l.until.After(now) {
 			live = append(live, l)
-			most = max(most, l.units)
+			largest = max(largest, l.units)
 		}
 	}
-	y.loans = live
-	return most
+	s.loans = live
+	return largest
 }
 
 func (l *ShareLender) init(now time.Time) {
@@ -61,36 +62,37 @@
 		return
 	}
 	l.epoch = now
-	l.holders = make(map[string]*reporter)
-	l.accounts = make(map[string]*pot)
+	l.holders = make(map[string]*holderState)
+	l.accounts = make(map[string]*accountShares)
 	if l.Lapse <= 0 {
 		l.Lapse = DefaultLapse
 	}
 }
 
-// Report takes in a report and returns the reply to send back. A report that
-// is doubled or overtaken by a newer one gets ok false and no reply.
+// Report processes a report and returns the reply to send. For a report that is
+// a duplicate or older than one already processed, ok is false and there is no
+// reply.
 func (l *ShareLender) Report(r ShareReport, now time.Time) (reply ShareReply, ok bool) {
 	l.init(now)
 	h := l.holders[r.Holder]
 	if h == nil {
-		h = &reporter{}
+		h = &holderState{}
 		l.holders[r.Holder] = h
 	}
 	if r.Number <= h.number {
 		return ShareReply{}, false
 	}
 	h.number = r.Number
-	h.heard = now
-	h.until = l.promised(r.Echo)
-	l.record(r)
+	h.lastReport = now
+	h.depositsUntil = l.depositExpiry(r.Echo)
+	l.recordDemand(r)
 	reply = ShareReply{Number: r.Number, Stamp: l.stamp(now)}
 	for _, d := range r.Accounts {
-		if g, ok := l.lend(r.Holder, d.Account, now); ok {
+		if g, ok := l.grant(r.Holder, d.Account, now); ok {
 			reply.Grants = append(reply.Grants, g)
 		}
 	}
-	reply.Wanted = l.wanted(now)
+	reply.Wanted = l.accountsInDemand(now)
 	return reply, true
 }
 
@@ -98,69 +100,71 @@
 	return ShareStamp{Incarnation: l.Incarnation, At: int64(now.Sub(l.epoch))}
 }
 
-// promised returns until when deposits of a report with this echo hold at the
-// least. The stamp was given out before the promise was made. A stamp of an
-// earlier incarnation says nothing on this clock.
-func (l *ShareLender) promised(echo ShareStamp) time.Time {
+// depositExpiry returns the earliest time at which the deposits of a report
+// with this echo expire: the stamp was issued before the deposits were made. It
+// returns the zero time for a stamp of another incarnation, which cannot be
+// converted to this lender's clock.
+func (l *ShareLender) depositExpiry(echo ShareStamp) time.Time {
 	if echo.Incarnation != l.Incarnation {
 		return time.Time{}
 	}
 	return l.epoch.Add(time.Duration(echo.At)).Add(l.Lapse)
 }
 
-// record replaces the holder's demands. Accounts that it no longer lists
-// neither back nor ask for anything.
-func (l *ShareLender) record(r ShareReport) {
-	for _, p := range l.accounts {
-		if y := (*p)[r.Holder]; y != nil {
-			y.deposit, y.want = 0, 0
+// recordDemand replaces the deposits and demand of a holder. Accounts missing
+// from the report have neither.
+func (l *ShareLender) recordDemand(r ShareReport) {
+	for _, shares := range l.accounts {
+		if s := (*shares)[r.Holder]; s != nil {
+			s.deposit, s.want = 0, 0
 		}
 	}
 	for _, d := range r.Accounts {
-		p := l.accounts[d.Account]
-		if p == nil {
-			p = &pot{}
-			l.accounts[d.Account] = p
+		shares := l.accounts[d.Account]
+		if shares == nil {
+			shares = &accountShares{}
+			l.accounts[d.Account] = shares
 		}
-		y := (*p)[r.Holder]
-		if y == nil {
-			y = &party{}
-			(*p)[r.Holder] = y
+		s := (*shares)[r.Holder]
+		if s == nil {
+			s = &holderShare{}
+			(*shares)[r.Holder] = s
 		}
-		y.deposit, y.want, y.quantum = max(0, d.Deposit), max(0, d.Want), max(1, d.Quantum)
+		s.deposit, s.want, s.quantum = max(0, d.Deposit), max(0, d.Want), max(1, d.Quantum)
 	}
 }
 
-// lend decides what one holder is lent. All loans last equally long, so a
-// later loan never ends before an earlier one, and it is enough that the
-// deposits which outlast this loan cover all loans that are live now.
-func (l *ShareLender) lend(holder, name string, now time.Time) (ShareGrant, bool) {
-	p := *l.accounts[name]
-	y := p[holder]
-	if y.want <= 0 {
+// grant decides what to lend to one holder. All loans have the same term, so a
+// later loan never ends before an earlier one, and it is sufficient that the
+// deposits that outlast this loan cover all loans that are live now.
+func (l *ShareLender) grant(holder, name string, now time.Time) (ShareGrant, bool) {
+	shares := *l.accounts[name]
+	s := shares[holder]
+	if s.want <= 0 {
 		return ShareGrant{}, false
 	}
 	term := l.Lapse / loansPerLapse
-	backing, wants, others := l.sums(p, holder, now.Add(term), now)
-	free := backing - others
-	units := min(y.want, free)
-	if wants > backing {
-		units = min(units, l.portion(p, holder, backing, wants, free, now))
+	deposited, wanted, lentToOthers := l.totals(shares, holder, now.Add(term), now)
+	free := deposited - lentToOthers
+	units := min(s.want, free)
+	if wanted > deposited {
+		units = min(units, l.proportionalShare(shares, holder, deposited, wanted, free, now))
 	}
 	if units <= 0 {
 		return ShareGrant{}, false
 	}
-	y.served = now
-	y.loans = append(y.loans, loan{units, now.Add(term)})
+	s.lastGrant = now
+	s.loans = append(s.loans, loan{units, now.Add(term)})
 	return ShareGrant{Account: name, Units: units, For: term}, true
 }
 
-// wanted returns the accounts that holders heard lately want more of.
-func (l *ShareLender) wanted(now time.Time) []string {
+// accountsInDemand returns the accounts of which holders that reported within
+// the last Lapse want more.
+func (l *ShareLender) accountsInDemand(now time.Time) []string {
 	var names []string
-	for account, p := range l.accounts {
-		for holder, y := range *p {
-			if y.want > 0 && now.Sub(l.holders[holder].heard) < l.Lapse {
+	for account, shares := range l.accounts {
+		for holder, s := range *shares {
+			if s.want > 0 && now.Sub(l.holders[holder].lastReport) < l.Lapse {
 				names = append(names, account)
 				break
 			}
@@ -170,54 +174,56 @@
 	return names
 }
 
-// sums returns the deposits that last until end, the wants of holders heard
-// lately, and what the other holders may be using now.
-func (l *ShareLender) sums(p pot, holder string, end, now time.Time) (backing, wants, others int64) {
-	for name, y := range p {
+// totals returns the deposits that last until end, the demand of holders that
+// reported within the last Lapse, and the units that other holders may be using
+// now.
+func (l *ShareLender) totals(shares accountShares, holder string, end, now time.Time) (deposited, wanted, lentToOthers int64) {
+	for name, s := range shares {
 		h := l.holders[name]
-		if !h.until.Before(end) {
-			backing += y.deposit
+		if !h.depositsUntil.Before(end) {
+			deposited += s.deposit
 		}
-		if now.Sub(h.heard) < l.Lapse {
-			wants += y.want
+		if now.Sub(h.lastReport) < l.Lapse {
+			wanted += s.want
 		}
 		if name != holder {
-			others += y.lent(now)
+			lentToOthers += s.outstanding(now)
 		}
 	}
-	return backing, wants, others
+	return deposited, wanted, lentToOthers
 }
 
-// portion divides scarce deposits by demand. Less than a quantum is of no use
-// to anyone: then whole quanta go to those who have waited longest.
-func (l *ShareLender) portion(p pot, holder string, backing, wants, free int64, now time.Time) int64 {
-	y := p[holder]
-	part := int64(float64(backing) * float64(y.want) / float64(wants))
-	if part >= y.quantum {
-		return part - part%y.quantum
-	}
-	if free < y.quantum {
-		return min(part, free)
-	}
-	for name, z := range p {
-		waits := z.want > 0 && now.Sub(l.holders[name].heard) < l.Lapse
-		if name != holder && waits && z.lent(now) == 0 && z.served.Before(y.served) {
+// proportionalShare divides scarce deposits in proportion to demand. Less than
+// a quantum is of no use to any holder; if the share is smaller, whole quanta
+// go to the holders that have waited longest.
+func (l *ShareLender) proportionalShare(shares accountShares, holder string, deposited, wanted, free int64, now time.Time) int64 {
+	s := shares[holder]
+	units := int64(float64(deposited) * float64(s.want) / float64(wanted))
+	if units >= s.quantum {
+		return units - units%s.quantum
+	}
+	if free < s.quantum {
+		return min(units, free)
+	}
+	for name, other := range shares {
+		waiting := other.want > 0 && now.Sub(l.holders[name].lastReport) < l.Lapse
+		if name != holder && waiting && other.outstanding(now) == 0 && other.lastGrant.Before(s.lastGrant) {
 			return 0
 		}
 	}
-	return y.quantum
+	return s.quantum
 }
 
-// Forget drops holders that have not reported for two lapses.
+// Forget removes holders that have not reported for twice Lapse.
 func (l *ShareLender) Forget(now time.Time) {
 	for name, h := range l.holders {
-		if now.Sub(h.heard) < 2*l.Lapse {
+		if now.Sub(h.lastReport) < 2*l.Lapse {
 			continue
 		}
 		delete(l.holders, name)
-		for account, p := range l.accounts {
-			delete(*p, name)
-			if len(*p) == 0 {
+		for account, shares := range l.accounts {
+			delete(*shares, name)
+			if len(*shares) == 0 {
 				delete(l.accounts, account)
 			}
 		}
--- a/internal/caller/admission/limits.go
+++ b/internal/caller/admission/limits.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// Errors of Controller.Configure.
+// Errors returned by Controller.Configure.
 var (
-	ErrNoAccount     = errors.New("admission: limits without an account name")
-	ErrNegativeLimit = errors.New("admission: negative or undefined limit")
-	ErrTwice         = errors.New("admission: account listed twice")
+	ErrNoAccount     = errors.New("admission: limits have no account name")
+	ErrNegativeLimit = errors.New("admission: limit is negative, NaN or infinite")
+	ErrTwice         = errors.New("admission: duplicate account in limits")
 )
 
-// Limits are the limits of one account, as the preset in force gives them.
+// Limits are the limits of one account in the preset in force.
 type Limits struct {
 	Account string
-	// Rate is requests a second and Burst how many may come at once. A Rate of
-	// zero means no limit; a Burst under 1 means the rate of one second, at
-	// least 1.
+	// Rate is in requests per second, and Burst is the maximum number of
+	// requests at once. A Rate of zero means no limit. A Burst below 1 means
+	// the requests of one second at Rate, but at least 1.
 	Rate  float64
 	Burst float64
-	// Concurrency is how many requests may be open, waiting ones included.
-	// Zero means no limit.
+	// Concurrency is the maximum number of open requests, including waiting
+	// ones. Zero means no limit.
 	Concurrency int
-	// Weight is the account's part in fair share; zero means 1.
+	// Weight is the account's weight in fair queueing; zero means 1.
 	Weight float64
-	// Worth is the worth of a request that names none; zero means 1.
+	// Worth is the worth of a request that does not set its own; zero means 1.
 	Worth float64
 }
 
-func (l Limits) check() error {
+func (l Limits) validate() error {
 	if l.Account == "" {
 		return ErrNoAccount
 	}
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// withDefaults returns l with the meaning of zero values written out.
+// withDefaults returns l with zero values replaced by their defaults.
 func (l Limits) withDefaults() Limits {
 	if l.Weight == 0 {
 		l.Weight = 1
@@ -60,87 +60,89 @@
 type account struct {
 	limits  Limits
 	share   float64
-	bucket  bucket
+	bucket  tokenBucket
 	open    int
 	waiting int
-	// kept counts waiting requests that may not be displaced.
-	kept    int
-	removed bool
-	refused spread
+	// protected is the number of waiting requests that may not be displaced.
+	protected int
+	removed   bool
+	refusals  refusalTracker
 }
 
-// apply puts limits and share into force without losing what is open. Tokens
-// are carried over as they are, cut to the new burst: a preset switch must not
-// hand out a fresh burst to each account at the same moment.
-func (a *account) apply(l Limits, now time.Time) {
+// applyLimits puts new limits into force and leaves open requests open. The
+// bucket keeps its tokens, capped at the new burst, so that a preset switch
+// does not grant every account a fresh burst at the same moment.
+func (a *account) applyLimits(l Limits, now time.Time) {
 	a.limits = l.withDefaults()
 	a.removed = false
-	a.retune(now)
+	a.updateBucket(now)
 }
 
-func (a *account) retune(now time.Time) {
+func (a *account) updateBucket(now time.Time) {
 	burst := math.Max(1, a.limits.Burst*a.share)
-	a.bucket.set(a.limits.Rate*a.share, burst, now)
+	a.bucket.setRate(a.limits.Rate*a.share, burst, now)
 }
 
-// concurrency returns how many requests the account may have open here.
-func (a *account) concurrency() int {
+// concurrencyLimit returns the maximum number of open requests at this entry.
+func (a *account) concurrencyLimit() int {
 	if a.limits.Concurrency == 0 {
 		return math.MaxInt
 	}
-	return int(float64(a.limits.Concurrency)*a.share + shareSlack)
+	return int(float64(a.limits.Concurrency)*a.share + shareTolerance)
 }
 
-// shareSlack makes up for the rounding of a share that is stored as a float.
-const shareSlack = 1e-9
+// shareTolerance compensates for the rounding of a share stored as a float.
+const shareTolerance = 1e-9
 
-// bucket is a token bucket. A rate of zero means no limit.
-type bucket struct {
+// tokenBucket is a token bucket rate limiter. A rate of zero means no limit.
+type tokenBucket struct {
 	rate, burst, tokens float64
-	at                  time.Time
-	started             bool
+	updatedAt           time.Time
+	initialized         bool
 }
 
-func (b *bucket) set(rate, burst float64, now time.Time) {
-	if !b.started {
-		b.started = true
+func (b *tokenBucket) setRate(rate, burst float64, now time.Time) {
+	if !b.initialized {
+		b.initialized = true
 		b.tokens = burst
-		b.at = now
+		b.updatedAt = now
 	}
-	b.fill(now)
+	b.refill(now)
 	b.rate, b.burst = rate, burst
 	b.tokens = math.Min(b.tokens, burst)
 }
 
-func (b *bucket) fill(now time.Time) {
-	dt := now.Sub(b.at).Seconds()
+func (b *tokenBucket) refill(now time.Time) {
+	dt := now.Sub(b.updatedAt).Seconds()
 	if dt <= 0 {
 		return
 	}
-	b.at = now
+	b.updatedAt = now
 	b.tokens = math.Min(b.burst, b.tokens+dt*b.rate)
 }
 
-// ready reports whether one token is there, and otherwise when it will be.
-func (b *bucket) ready(now time.Time) (bool, time.Duration) {
+// ready reports whether a token is available, and otherwise the time until one
+// is.
+func (b *tokenBucket) ready(now time.Time) (bool, time.Duration) {
 	if b.rate == 0 {
 		return true, 0
 	}
-	b.fill(now)
+	b.refill(now)
 	if b.tokens >= 1 {
 		return true, 0
 	}
-	return false, seconds((1 - b.tokens) / b.rate)
+	return false, toDuration((1 - b.tokens) / b.rate)
 }
 
-func (b *bucket) take() {
+func (b *tokenBucket) take() {
 	if b.rate > 0 {
 		b.tokens--
 	}
 }
 
-// seconds converts to a duration and caps at a day, so that no sum overflows.
-func seconds(s float64) time.Duration {
+// toDuration converts seconds to a duration of at most one day, so that sums of
+// durations do not overflow.
+func toDuration(s float64) time.Duration {
 	const day = 24 * 60 * 60
 	if math.IsNaN(s) || s > day {
 		s = day
--- a/internal/caller/admission/meters.go
+++ b/internal/caller/admission/meters.go
@@ -8,79 +8,82 @@
 )
 
 const (
-	// drainMemory is the time constant of the measured drain rate: long enough
-	// to see several completions, short enough to notice within seconds that
-	// a data centre has left.
-	drainMemory = 3 * time.Second
-	// drainPrior is how long the estimate from running requests counts against
-	// the measurement: some running times, in which a queue need not move.
-	drainPrior = 1
-	// spreadMemory is the time constant for counting recent refusals.
-	spreadMemory = 2 * time.Second
+	// drainTimeConstant is the time constant of the measured drain rate: long
+	// enough to cover several completions, short enough to detect the loss of a
+	// data centre within seconds.
+	drainTimeConstant = 3 * time.Second
+	// drainPriorWeight is the weight, in seconds of measurement, of the
+	// estimate from the number of running requests. It covers a few running
+	// times, during which a queue may not move at all.
+	drainPriorWeight = 1
+	// refusalTimeConstant is the time constant for counting recent refusals.
+	refusalTimeConstant = 2 * time.Second
 )
 
-// Bounds of each come-back time. A sooner one would add load while the cause
-// lasts; a later one would leave returned capacity idle.
+// Bounds of the retry delay in a refusal. A shorter delay would add load while
+// the cause of the refusal persists; a longer one would leave recovered
+// capacity idle.
 const (
 	MinComeBack = 100 * time.Millisecond
 	MaxComeBack = 30 * time.Second
 )
 
-// drainMeter measures the work that leaves a queue a second while requests are
-// waiting. Starts count and not ends, so that it does not matter how a request
-// that made room has ended.
+// drainMeter measures the work per second that leaves a queue while requests
+// are waiting. It counts starts rather than completions, so that a freed slot
+// counts in the same way whether its request completed, failed or was
+// cancelled.
 type drainMeter struct {
-	work, busy float64
-	at         time.Time
+	work, busyTime float64
+	updatedAt      time.Time
 }
 
-// advance brings the meter to now. waiting says whether the time since the
-// last call was spent with requests waiting.
+// advance moves the meter to now. waiting reports whether requests were waiting
+// since the last call.
 func (m *drainMeter) advance(now time.Time, waiting bool) {
-	if m.at.IsZero() {
-		m.at = now
+	if m.updatedAt.IsZero() {
+		m.updatedAt = now
 	}
-	dt := now.Sub(m.at).Seconds()
+	dt := now.Sub(m.updatedAt).Seconds()
 	if dt <= 0 {
 		return
 	}
-	m.at = now
+	m.updatedAt = now
 	if !waiting {
 		return
 	}
-	keep := math.Exp(-dt / drainMemory.Seconds())
-	m.work *= keep
-	m.busy = m.busy*keep + dt
+	decay := math.Exp(-dt / drainTimeConstant.Seconds())
+	m.work *= decay
+	m.busyTime = m.busyTime*decay + dt
 }
 
-// rate returns work a second. Without a measurement it assumes that each
-// running request does one second of work a second.
+// rate returns the drain rate in work per second. Without measurements it
+// assumes that each running request completes one second of work per second.
 func (m *drainMeter) rate(running int) float64 {
-	return (m.work + drainPrior*float64(running)) / (m.busy + drainPrior)
+	return (m.work + drainPriorWeight*float64(running)) / (m.busyTime + drainPriorWeight)
 }
 
-// inflow measures the accepted work a second by band.
-type inflow struct {
-	work [bandCount]float64
-	at   time.Time
+// arrivalMeter measures the rate of admitted work per density band.
+type arrivalMeter struct {
+	work      [bandCount]float64
+	updatedAt time.Time
 }
 
-func (m *inflow) add(b int, work float64, now time.Time) {
-	if m.at.IsZero() {
-		m.at = now
+func (m *arrivalMeter) add(b int, work float64, now time.Time) {
+	if m.updatedAt.IsZero() {
+		m.updatedAt = now
 	}
-	if dt := now.Sub(m.at).Seconds(); dt > 0 {
-		keep := math.Exp(-dt / drainMemory.Seconds())
+	if dt := now.Sub(m.updatedAt).Seconds(); dt > 0 {
+		decay := math.Exp(-dt / drainTimeConstant.Seconds())
 		for i := range m.work {
-			m.work[i] *= keep
+			m.work[i] *= decay
 		}
-		m.at = now
+		m.updatedAt = now
 	}
-	m.work[b] += work / drainMemory.Seconds()
+	m.work[b] += work / drainTimeConstant.Seconds()
 }
 
-// above returns the accepted work a second in bands higher than b.
-func (m *inflow) above(b int) float64 {
+// above returns the admitted work per second in bands above b.
+func (m *arrivalMeter) above(b int) float64 {
 	var sum float64
 	for _, w := range m.work[b+1:] {
 		sum += w
@@ -88,93 +91,99 @@
 	return sum
 }
 
-// leastLeft is the least part of the drain rate that is taken to be left over
-// by work that is worth more. With less, one second's burst would turn away
-// work that can be served after it.
-const leastLeft = 0.3
+// minResidualFraction is the minimum fraction of the drain rate that is assumed
+// to remain beside arrivals of higher value density. With a lower value, a
+// burst of one second would cause refusals of requests that can be served after
+// it.
+const minResidualFraction = 0.3
 
-// runStats compares actual with expected running times.
+// runStats tracks running times and how far they exceed their estimates.
 type runStats struct {
-	mean float64
-	// over estimates a high quantile of actual over expected running time.
-	over float64
-	at   time.Time
+	meanRun float64
+	// overrun estimates a high quantile of the ratio of actual to expected
+	// running time.
+	overrun   float64
+	updatedAt time.Time
 }
 
 const (
-	overQuantile = 0.8
-	overStep     = 0.05
-	overMax      = 4
-	// overMemory lets the margin fall back while nothing completes: a stall
-	// must not lead to refusals that keep the margin from being measured again.
-	overMemory = 10 * time.Second
-	meanStep   = 0.1
+	// overrunQuantile is the quantile that runStats.overrun tracks.
+	overrunQuantile = 0.8
+	overrunStep     = 0.05
+	maxOverrun      = 4
+	// overrunTimeConstant is the time constant with which the overrun factor
+	// decays while nothing completes. Without the decay, a stall could cause
+	// refusals that prevent the factor from being measured again.
+	overrunTimeConstant = 10 * time.Second
+	meanRunStep         = 0.1
 )
 
 func (s *runStats) observe(actual, expected float64, estimated bool, now time.Time) {
-	if s.mean == 0 {
-		s.mean = actual
+	if s.meanRun == 0 {
+		s.meanRun = actual
 	}
-	s.mean += meanStep * (actual - s.mean)
+	s.meanRun += meanRunStep * (actual - s.meanRun)
 	if !estimated || expected <= 0 {
 		return
 	}
-	over := s.margin(now)
-	s.at = now
-	if actual > expected*over {
-		over += overStep * overQuantile
+	overrun := s.currentOverrun(now)
+	s.updatedAt = now
+	if actual > expected*overrun {
+		overrun += overrunStep * overrunQuantile
 	} else {
-		over -= overStep * (1 - overQuantile)
+		overrun -= overrunStep * (1 - overrunQuantile)
 	}
-	s.over = math.Min(math.Max(over, 1), overMax)
+	s.overrun = math.Min(math.Max(overrun, 1), maxOverrun)
 }
 
-// margin returns the factor by which running times must be stretched to hold
-// for most requests. It is at least 1.
-func (s *runStats) margin(now time.Time) float64 {
-	if s.over <= 1 {
+// currentOverrun returns the factor by which expected running times must be
+// multiplied to hold for most requests. It is at least 1.
+func (s *runStats) currentOverrun(now time.Time) float64 {
+	if s.overrun <= 1 {
 		return 1
 	}
-	idle := now.Sub(s.at).Seconds()
-	return 1 + (s.over-1)*math.Exp(-math.Max(0, idle)/overMemory.Seconds())
+	idle := now.Sub(s.updatedAt).Seconds()
+	return 1 + (s.overrun-1)*math.Exp(-math.Max(0, idle)/overrunTimeConstant.Seconds())
 }
 
-// spread counts recent refusals, to spread the callers' return.
-type spread struct {
-	recent float64
-	at     time.Time
+// refusalTracker counts recent refusals in order to spread the retries of
+// refused callers over time.
+type refusalTracker struct {
+	recent    float64
+	updatedAt time.Time
 }
 
-// comeBack returns when the caller of id should come back.
+// retryAfter returns the delay after which the caller of request id should
+// retry.
 //
-// The load is a crowd that was refused at one moment. If all came back at the
-// same time they would be refused again, for ever in step. So the return is
-// spread over the time that serving the refused ones takes, each second of it
-// having one returning caller for each that can be served; the place in that
-// time follows from a hash of the id, the same at each entry.
-func (s *spread) comeBack(id string, least time.Duration, perSecond float64, now time.Time) time.Duration {
-	dt := now.Sub(s.at).Seconds()
+// Callers that are refused at the same moment and retry at the same moment
+// would be refused again, repeatedly and in lockstep. Retries are therefore
+// spread over the time that serving the recently refused requests takes, so
+// that each second of this window receives as many retries as can be served in
+// it. The offset in the window is a hash of id and is the same at each entry.
+func (t *refusalTracker) retryAfter(id string, minDelay time.Duration, perSecond float64, now time.Time) time.Duration {
+	dt := now.Sub(t.updatedAt).Seconds()
 	if dt > 0 {
-		s.recent *= math.Exp(-dt / spreadMemory.Seconds())
-		s.at = now
+		t.recent *= math.Exp(-dt / refusalTimeConstant.Seconds())
+		t.updatedAt = now
 	}
-	s.recent++
+	t.recent++
 	window := 2 * MinComeBack.Seconds()
 	if perSecond > 0 {
-		window = math.Max(window, s.recent/perSecond)
+		window = math.Max(window, t.recent/perSecond)
 	}
 	window = math.Min(window, MaxComeBack.Seconds())
-	d := least + seconds(window*fraction(id))
-	return min(max(d, MinComeBack), MaxComeBack)
+	delay := minDelay + toDuration(window*hashFraction(id))
+	return min(max(delay, MinComeBack), MaxComeBack)
 }
 
-// fraction maps id to [0, 1).
-func fraction(id string) float64 {
+// hashFraction maps id to [0, 1) by hashing.
+func hashFraction(id string) float64 {
 	const bits = 53
 	return float64(xxhash.Sum64String(id)>>(64-bits)) / (1 << bits)
 }
 
-// hashPair mixes two names for rendezvous hashing.
+// hashPair hashes two names together for rendezvous hashing.
 func hashPair(a, b string) uint64 {
 	x := xxhash.Sum64String(a) ^ (xxhash.Sum64String(b) * 0x9e3779b97f4a7c15)
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
--- a/internal/caller/admission/queue.go
+++ b/internal/caller/admission/queue.go
@@ -7,174 +7,178 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// firstDisplaced orders the waiting requests that may be displaced: least worth
-// first, and among equals the one that its account had most waiting before.
-func firstDisplaced(a, b *item) bool {
+// displacedBefore orders the waiting requests that may be displaced: lowest
+// value density first, then largest weighted depth, then newest.
+func displacedBefore(a, b *item) bool {
 	if a.band != b.band {
 		return a.band < b.band
 	}
-	if a.depth != b.depth {
-		return a.depth > b.depth
+	if a.weightedDepth != b.weightedDepth {
+		return a.weightedDepth > b.weightedDepth
 	}
 	return a.seq > b.seq
 }
 
-// sure is the part of an estimated wait that must exceed the time left before a
-// new request is refused. The drain rate is measured from few completions and
-// may come out too low; a request that is queued by mistake is still refused in
-// time, one that is refused by mistake is lost.
-const sure = 0.85
+// waitDiscount scales the estimated wait before it is compared with the
+// remaining time in order to refuse a new request. The drain rate is measured
+// from few completions and may be too low; a request that is queued in error
+// can still be refused in time, while one that is refused in error is lost.
+const waitDiscount = 0.85
 
-// checkDeadline refuses what can't be answered in time. The load is a backlog:
-// holding such a request would only delay the refusal and take the place of a
-// request that can still be served.
+// checkDeadline refuses a request that cannot complete by its deadline. During
+// a backlog, holding such a request would only delay the refusal and take the
+// place of a request that can still be served.
 func (c *Controller) checkDeadline(it *item, r *route, now time.Time) (Refuse, bool) {
 	if !now.Before(it.req.Deadline) {
 		return Refuse{Code: result.DeadlinePassed}, false
 	}
-	slack := it.latest.Sub(now)
-	wait := time.Duration(0)
+	slack := it.latestStart.Sub(now)
+	expectedWait := time.Duration(0)
 	if r.waiting > 0 {
-		wait = r.wait(it.flow, it.band, c.FairPart)
+		expectedWait = r.estimateWait(it.flow, it.band, c.FairPart)
 	}
-	if time.Duration(sure*float64(wait)) <= slack && slack >= 0 {
+	if time.Duration(waitDiscount*float64(expectedWait)) <= slack && slack >= 0 {
 		return Refuse{}, true
 	}
-	return c.refuse(it, r, result.DeadlineUnmeetable, wait-max(slack, 0), now), false
+	return c.refuse(it, r, result.DeadlineUnmeetable, expectedWait-max(slack, 0), now), false
 }
 
 // checkLimits applies the account's own limits.
 func (c *Controller) checkLimits(it *item, now time.Time) (Refuse, bool) {
 	a := it.account
-	if a.open >= a.concurrency() {
-		perSecond := float64(a.open) / it.work
-		back := a.refused.comeBack(it.req.ID, 0, perSecond, now)
-		return Refuse{Code: result.AccountConcurrency, RetryAfter: back}, false
+	if a.open >= a.concurrencyLimit() {
+		serviceRate := float64(a.open) / it.work
+		retryAfter := a.refusals.retryAfter(it.req.ID, 0, serviceRate, now)
+		return Refuse{Code: result.AccountConcurrency, RetryAfter: retryAfter}, false
 	}
-	ok, wait := a.bucket.ready(now)
+	ok, untilReady := a.bucket.ready(now)
 	if !ok {
-		back := a.refused.comeBack(it.req.ID, wait, a.bucket.rate, now)
-		return Refuse{Code: result.AccountRate, RetryAfter: back}, false
+		retryAfter := a.refusals.retryAfter(it.req.ID, untilReady, a.bucket.rate, now)
+		return Refuse{Code: result.AccountRate, RetryAfter: retryAfter}, false
 	}
 	return Refuse{}, true
 }
 
-// refuse returns a refusal with a come-back time from the drain rate.
-func (c *Controller) refuse(it *item, r *route, code result.Code, least time.Duration, now time.Time) Refuse {
-	perSecond := r.drain.rate(r.running) / it.work
-	back := r.refused.comeBack(it.req.ID, least, perSecond, now)
-	return Refuse{Code: code, RetryAfter: back}
+// refuse returns a refusal with a retry delay derived from the drain rate.
+func (c *Controller) refuse(it *item, r *route, code result.Code, minDelay time.Duration, now time.Time) Refuse {
+	serviceRate := r.drain.rate(r.running) / it.work
+	retryAfter := r.refusals.retryAfter(it.req.ID, minDelay, serviceRate, now)
+	return Refuse{Code: code, RetryAfter: retryAfter}
 }
 
-// enqueue puts the item into the queue, displacing another when it is full.
+// enqueue puts the item into the queue. If the queue is full, it displaces
+// another item or refuses this one.
 func (c *Controller) enqueue(it *item, r *route, now time.Time) Decision {
-	expected := r.wait(it.flow, it.band, c.FairPart)
-	it.kept = c.mayKeep(it.account, r)
-	it.depth = float64(it.account.waiting+1) / it.account.limits.Weight
+	expectedWait := r.estimateWait(it.flow, it.band, c.FairPart)
+	it.protected = c.mayProtect(it.account, r)
+	it.weightedDepth = float64(it.account.waiting+1) / it.account.limits.Weight
 	var displaced []Refusal
 	if c.waiting >= c.MaxWaiting {
-		victim := c.displace.head()
-		if victim == nil || !(it.kept || firstDisplaced(victim, it)) {
-			return c.refuse(it, r, result.QueueFull, expected, now)
+		victim := c.displaceable.head()
+		if victim == nil || !(it.protected || displacedBefore(victim, it)) {
+			return c.refuse(it, r, result.QueueFull, expectedWait, now)
 		}
 		displaced = append(displaced, c.evict(victim, result.Displaced, now))
 	}
-	c.accept(it)
-	r.inflow.add(it.band, it.work, now)
+	c.admit(it)
+	r.arrivals.add(it.band, it.work, now)
 	c.insert(it, r)
-	return Wait{Expected: expected, Displaced: displaced}
+	return Wait{Expected: expectedWait, Displaced: displaced}
 }
 
-// mayKeep reports whether one more waiting request of a is safe from being
-// displaced. The load is one account that floods the queue with work of high
-// worth; each account keeps its weighted part of the places that fair share
-// serves, so that the others always have something to be picked.
-func (c *Controller) mayKeep(a *account, r *route) bool {
-	weight := r.weight
+// mayProtect reports whether one more waiting request of a can be protected
+// from displacement. This guards against one account that floods the queue with
+// work of high worth: each account keeps its weighted part of the queue slots
+// that fair share serves, so that the other accounts always have requests to
+// pick.
+func (c *Controller) mayProtect(a *account, r *route) bool {
+	weight := r.activeWeight
 	if a.waiting == 0 {
 		weight += a.limits.Weight
 	}
-	places := c.FairPart * float64(c.MaxWaiting)
-	own := math.Max(1, places*a.limits.Weight/math.Max(weight, a.limits.Weight))
-	return float64(a.kept+1) <= own && c.kept < c.MaxWaiting/2
+	protectedSlots := c.FairPart * float64(c.MaxWaiting)
+	accountSlots := math.Max(1, protectedSlots*a.limits.Weight/math.Max(weight, a.limits.Weight))
+	return float64(a.protected+1) <= accountSlots && c.protected < c.MaxWaiting/2
 }
 
 func (c *Controller) insert(it *item, r *route) {
 	c.waiting++
 	it.account.waiting++
-	if it.kept {
-		c.kept++
-		it.account.kept++
+	if it.protected {
+		c.protected++
+		it.account.protected++
 	} else {
-		c.displace.add(it)
+		c.displaceable.add(it)
 	}
-	c.byStart.add(it)
+	c.byLatestStart.add(it)
 	r.add(it)
 }
 
-// unqueue takes a waiting item out of the queue; it stays open.
-func (c *Controller) unqueue(it *item, r *route) {
+// dequeue removes a waiting item from the queue; it stays open.
+func (c *Controller) dequeue(it *item, r *route) {
 	c.waiting--
 	it.account.waiting--
-	if it.kept {
-		c.kept--
-		it.account.kept--
-		it.kept = false
+	if it.protected {
+		c.protected--
+		it.account.protected--
+		it.protected = false
 	} else {
-		c.displace.remove(it)
+		c.displaceable.remove(it)
 	}
-	c.byStart.remove(it)
+	c.byLatestStart.remove(it)
 	r.remove(it)
 }
 
-// evict refuses a waiting item.
+// evict removes a waiting item from the queue and refuses it.
 func (c *Controller) evict(it *item, code result.Code, now time.Time) Refusal {
-	r := c.routeOf(it.req.Route)
-	wait := r.wait(it.flow, it.band, c.FairPart)
-	ref := Refusal{ID: it.req.ID, Refuse: c.refuse(it, r, code, wait, now)}
-	c.unqueue(it, r)
-	c.close(it, r)
-	return ref
+	r := c.routeFor(it.req.Route)
+	expectedWait := r.estimateWait(it.flow, it.band, c.FairPart)
+	refusal := Refusal{ID: it.req.ID, Refuse: c.refuse(it, r, code, expectedWait, now)}
+	c.dequeue(it, r)
+	c.removeItem(it, r)
+	return refusal
 }
 
-// Next starts waiting requests for as long as place gives them places, and
-// refuses those whose deadline can't be met any more. Call it after Done,
-// Arrive and Requeue, when a report shows free places, and at NextRefusal.
-// Routes take turns in being asked first, because they may share endpoints.
+// Next starts waiting requests for as long as place assigns slots to them, and
+// refuses those that can no longer meet their deadline. Call it after Done,
+// Arrive and Requeue, when a load report shows free slots, and at the time that
+// NextRefusal returns. The route that is served first rotates, because routes
+// may share endpoints.
 func (c *Controller) Next(now time.Time, place Placer) (started []Request, refused []Refusal) {
 	c.init()
 	refused = c.expire(now)
-	for i := range c.order {
-		r := c.order[(c.turn+i)%len(c.order)]
+	for i := range c.routeOrder {
+		r := c.routeOrder[(c.nextRoute+i)%len(c.routeOrder)]
 		if r.waiting == 0 {
 			continue
 		}
 		r.drain.advance(now, true)
-		started = c.startFrom(r, started, now, place)
+		started = c.startRoute(r, started, now, place)
 	}
-	c.turn++
+	c.nextRoute++
 	return started, refused
 }
 
-func (c *Controller) startFrom(r *route, started []Request, now time.Time, place Placer) []Request {
+func (c *Controller) startRoute(r *route, started []Request, now time.Time, place Placer) []Request {
 	for {
 		it, fair := r.pick()
 		if it == nil || !place(&it.req) {
 			return started
 		}
-		c.unqueue(it, r)
+		c.dequeue(it, r)
 		c.start(it, r, fair, true, now)
 		started = append(started, it.req)
 	}
 }
 
-// expire refuses each waiting request at the moment when a start would be too
-// late, so that no caller is held for an answer that can't come.
+// expire refuses each waiting request as soon as it can no longer start in
+// time, so that no caller waits for an answer that cannot arrive by its
+// deadline.
 func (c *Controller) expire(now time.Time) []Refusal {
 	var refused []Refusal
 	for {
-		it := c.byStart.head()
-		if it == nil || it.latest.After(now) {
+		it := c.byLatestStart.head()
+		if it == nil || it.latestStart.After(now) {
 			return refused
 		}
 		code := result.DeadlineUnmeetable
@@ -185,37 +189,37 @@
 	}
 }
 
-// NextRefusal returns when Next must be called at the latest, and whether
-// anything waits.
+// NextRefusal returns the time by which Next must be called, and whether any
+// request is waiting.
 func (c *Controller) NextRefusal() (time.Time, bool) {
-	it := c.byStart.head()
+	it := c.byLatestStart.head()
 	if it == nil {
 		return time.Time{}, false
 	}
-	return it.latest, true
+	return it.latestStart, true
 }
 
-// Requeue puts a started request back into the queue after its endpoint has
-// said that it was not run. It keeps its place by age; it pays no rate token
-// again and is refused if its deadline can't be met any more.
+// Requeue returns a started request to the queue after its endpoint has
+// reported that it was not run. The request keeps its arrival order and takes
+// no second rate token. It is refused if it can no longer meet its deadline.
 func (c *Controller) Requeue(id string, now time.Time) Decision {
-	it := c.open[id]
+	it := c.items[id]
 	if it == nil || !it.running {
 		return Refuse{Code: result.MalformedRequest}
 	}
-	r := c.routeOf(it.req.Route)
+	r := c.routeFor(it.req.Route)
 	r.drain.advance(now, r.waiting > 0)
-	r.correct(it, 0)
+	r.correctCharge(it, 0)
 	r.drain.work = math.Max(0, r.drain.work-it.work)
 	it.running = false
 	c.running--
 	r.running--
-	if !it.latest.After(now) {
-		c.close(it, r)
+	if !it.latestStart.After(now) {
+		c.removeItem(it, r)
 		return c.refuse(it, r, result.DeadlineUnmeetable, 0, now)
 	}
-	expected := r.wait(it.flow, it.band, c.FairPart)
-	it.kept = true
+	expectedWait := r.estimateWait(it.flow, it.band, c.FairPart)
+	it.protected = true
 	c.insert(it, r)
-	return Wait{Expected: expected}
+	return Wait{Expected: expectedWait}
 }
--- a/internal/caller/admission/retry.go
+++ b/internal/caller/admission/retry.go
@@ -5,63 +5,66 @@
 	"time"
 )
 
-// RetryBudget is a token bucket that is fed by first attempts.
+// RetryBudget limits retries with a token bucket that is filled by first
+// attempts.
 //
-// The load is an overload or a failing data centre. There each attempt that
-// fails calls for another, and the retries multiply the load that made the
-// attempts fail. With the budget, retries are at most Percent of the first
-// attempts plus PerSecond, whatever fails.
+// During an overload or the failure of a data centre, each failed attempt
+// causes another, and the retries multiply the load that made the attempts
+// fail. The budget limits retries to Percent of the first attempts plus
+// PerSecond, whatever fails.
 type RetryBudget struct {
-	// Percent of first attempts that may be retried. Zero means no retries.
+	// Percent is the percentage of first attempts that may be retried. Zero
+	// means no retries.
 	Percent float64
-	// Burst is how many retries may be saved up; zero means 20.
+	// Burst is the maximum number of retries that can accumulate; zero means
+	// 20.
 	Burst float64
-	// PerSecond feeds the budget of an entry that sees few requests; zero
-	// means 1.
+	// PerSecond is the number of retries added per second, for entries with few
+	// requests; zero means 1.
 	PerSecond float64
 
-	tokens  float64
-	at      time.Time
-	started bool
+	tokens      float64
+	updatedAt   time.Time
+	initialized bool
 }
 
-// DefaultRetryPercent serves the loss of one endpoint among twelve.
+// DefaultRetryPercent covers the loss of one endpoint out of twelve.
 const DefaultRetryPercent = 10
 
-func orDefault(x, d float64) float64 {
+func orDefault(x, fallback float64) float64 {
 	if x == 0 {
-		return d
+		return fallback
 	}
 	return x
 }
 
-func (b *RetryBudget) fill(now time.Time, extra float64) {
+func (b *RetryBudget) refill(now time.Time, added float64) {
 	burst := orDefault(b.Burst, 20)
-	if !b.started {
-		b.started = true
+	if !b.initialized {
+		b.initialized = true
 		b.tokens = burst / 2
-		b.at = now
+		b.updatedAt = now
 	}
-	dt := math.Max(0, now.Sub(b.at).Seconds())
+	dt := math.Max(0, now.Sub(b.updatedAt).Seconds())
 	if dt > 0 {
-		b.at = now
+		b.updatedAt = now
 	}
-	b.tokens = math.Min(burst, b.tokens+dt*orDefault(b.PerSecond, 1)+extra)
+	b.tokens = math.Min(burst, b.tokens+dt*orDefault(b.PerSecond, 1)+added)
 }
 
 // First records a first attempt.
 func (b *RetryBudget) First(now time.Time) {
-	b.fill(now, b.Percent/100)
+	b.refill(now, b.Percent/100)
 }
 
-// May reports whether a retry may be made.
+// May reports whether the budget allows a retry, without spending it.
 func (b *RetryBudget) May(now time.Time) bool {
-	b.fill(now, 0)
+	b.refill(now, 0)
 	return b.tokens >= 1 && b.Percent > 0
 }
 
-// Take reports whether a retry may be made, and spends one if so. When it may
-// not, the request is answered with result.RetryBudget.
+// Take spends one retry if the budget allows it, and reports whether it did. If
+// not, the caller answers the request with result.RetryBudget.
 func (b *RetryBudget) Take(now time.Time) bool {
 	if !b.May(now) {
 		return false
--- a/internal/caller/admission/retry_test.go
+++ b/internal/caller/admission/retry_test.go
@@ -17,12 +17,12 @@
 			}
 		}
 	}
-	// A tenth of the first attempts, one a second, and what was saved up.
-	if most := 1000 + 10 + 20; retries > most || retries < 1000 {
-		t.Errorf("%d retries of 10000 first attempts, want 1000 to %d", retries, most)
+	// A tenth of the first attempts, one retry per second, and the burst.
+	if maxRetries := 1000 + 10 + 20; retries > maxRetries || retries < 1000 {
+		t.Errorf("%d retries for 10000 first attempts, want 1000 to %d", retries, maxRetries)
 	}
 	b.Percent = 0
 	if b.Take(now.Add(time.Hour)) {
-		t.Error("a budget of zero allowed a retry")
+		t.Error("a zero budget allowed a retry")
 	}
 }
--- a/internal/caller/admission/route.go
+++ b/internal/caller/admission/route.go
@@ -6,14 +6,16 @@
 )
 
 const (
-	// bandsPerOctave sets how near two worth densities are to count as equal.
+	// bandsPerOctave is the number of bands per doubling of the value density.
+	// Densities in the same band count as equal.
 	bandsPerOctave = 4
-	// bandCount spans 16 octaves around a density of one worth a second.
+	// bandCount covers 16 octaves around a value density of 1 worth per second.
 	bandCount = 64
 )
 
-// band returns the class of a worth density; higher is worth more.
-func band(worth, work float64) int {
+// densityBand returns the band of the value density worth/work; higher bands
+// have higher densities.
+func densityBand(worth, work float64) int {
 	if worth <= 0 || work <= 0 {
 		return 0
 	}
@@ -21,12 +23,12 @@
 	return min(max(b, 0), bandCount-1)
 }
 
-// Positions of an item in the heaps that hold it.
+// Indices into item.index, one for each heap that an item can be in.
 const (
-	slotFlow = iota
-	slotStart
-	slotDisplace
-	itemSlots
+	heapFlow = iota
+	heapLatestStart
+	heapDisplaceable
+	numItemHeaps
 )
 
 // item is one open request.
@@ -35,19 +37,20 @@
 	account *account
 	flow    *flow
 	// work is the expected running time in seconds.
-	work    float64
-	band    int
-	seq     uint64
-	arrived time.Time
-	// latest is the last moment at which a start can meet the deadline.
-	latest  time.Time
-	started time.Time
-	running bool
-	// kept says that it may not be displaced, depth how many its account had
-	// waiting for its weight when it came, itself included.
-	kept  bool
-	depth float64
-	pos   [itemSlots]int
+	work      float64
+	band      int
+	seq       uint64
+	arrivedAt time.Time
+	// latestStart is the latest start time that meets the deadline.
+	latestStart time.Time
+	startedAt   time.Time
+	running     bool
+	// protected reports that the item may not be displaced. weightedDepth is
+	// the number of requests that its account had waiting on arrival, this one
+	// included, divided by the account's weight.
+	protected     bool
+	weightedDepth float64
+	index         [numItemHeaps]int
 }
 
 // beforeInFlow orders the requests of one account on one route.
@@ -64,79 +67,81 @@
 	return a.seq < b.seq
 }
 
-func startsEarlier(a, b *item) bool {
-	if !a.latest.Equal(b.latest) {
-		return a.latest.Before(b.latest)
+func latestStartBefore(a, b *item) bool {
+	if !a.latestStart.Equal(b.latestStart) {
+		return a.latestStart.Before(b.latestStart)
 	}
 	return a.seq < b.seq
 }
 
-// Positions of a flow in the heaps of its route.
+// Indices into flow.index, one for each heap that a flow can be in.
 const (
-	slotVirtual = iota
-	slotWorth
-	flowSlots
+	heapVirtualTime = iota
+	heapDensity
+	numFlowHeaps
 )
 
-// flow is the waiting work of one account on one route.
+// flow is the queue of one account on one route.
 type flow struct {
 	account *account
 	queue   itemHeap
 	work    float64
-	// virtual is the work given to the account, divided by its weight.
-	virtual float64
-	seq     uint64
-	pos     [flowSlots]int
+	// virtualTime is the work started for the account divided by its weight.
+	virtualTime float64
+	seq         uint64
+	index       [numFlowHeaps]int
 }
 
-func leastServed(a, b *flow) bool {
-	if a.virtual != b.virtual {
-		return a.virtual < b.virtual
+func virtualTimeBefore(a, b *flow) bool {
+	if a.virtualTime != b.virtualTime {
+		return a.virtualTime < b.virtualTime
 	}
 	return a.seq < b.seq
 }
 
-func mostWorth(a, b *flow) bool {
+func densityBefore(a, b *flow) bool {
 	x, y := a.queue.head(), b.queue.head()
 	if x.band != y.band {
 		return x.band > y.band
 	}
-	return leastServed(a, b)
+	return virtualTimeBefore(a, b)
 }
 
 // route is the queue of one model or service.
 type route struct {
-	flows     map[string]*flow
-	byVirtual flowHeap
-	byWorth   flowHeap
-	// virtual never falls; an account that comes back begins here, so that
-	// time without demand earns no claim on the present.
-	virtual    float64
+	flows         map[string]*flow
+	byVirtualTime flowHeap
+	byDensity     flowHeap
+	// virtualTime never decreases. An account that becomes active again starts
+	// no earlier than this, so that idle time earns no credit.
+	virtualTime float64
+	// fairCredit is the work that is due to picks by fair share.
 	fairCredit float64
-	// bandWork is the waiting work by band, weight the sum over waiting flows.
-	bandWork [bandCount]float64
-	inflow   inflow
-	weight   float64
-	waiting  int
-	running  int
-	drain    drainMeter
-	runs     runStats
-	refused  spread
+	// bandWork is the waiting work by band, and activeWeight the sum of the
+	// weights of flows with waiting requests.
+	bandWork     [bandCount]float64
+	arrivals     arrivalMeter
+	activeWeight float64
+	waiting      int
+	running      int
+	drain        drainMeter
+	runTimes     runStats
+	refusals     refusalTracker
 }
 
 func newRoute() *route {
 	return &route{
-		flows:     make(map[string]*flow),
-		byVirtual: flowHeap{less: leastServed, slot: slotVirtual},
-		byWorth:   flowHeap{less: mostWorth, slot: slotWorth},
+		flows:         make(map[string]*flow),
+		byVirtualTime: flowHeap{less: virtualTimeBefore, slot: heapVirtualTime},
+		byDensity:     flowHeap{less: densityBefore, slot: heapDensity},
 	}
 }
 
-// flowOf returns the flow of a, made when needed.
-func (r *route) flowOf(a *account, seq uint64) *flow {
+// flowFor returns the flow of a, creating it if needed.
+func (r *route) flowFor(a *account, seq uint64) *flow {
 	f := r.flows[a.limits.Account]
 	if f == nil {
-		f = &flow{account: a, seq: seq, queue: itemHeap{less: beforeInFlow, slot: slotFlow}}
+		f = &flow{account: a, seq: seq, queue: itemHeap{less: beforeInFlow, kind: heapFlow}}
 		r.flows[a.limits.Account] = f
 	}
 	return f
@@ -144,19 +149,19 @@
 
 func (r *route) add(it *item) {
 	f := it.flow
-	first := f.queue.Len() == 0
+	wasEmpty := f.queue.Len() == 0
 	f.queue.add(it)
 	f.work += it.work
 	r.bandWork[it.band] += it.work
 	r.waiting++
-	if !first {
-		r.byWorth.fix(f)
+	if !wasEmpty {
+		r.byDensity.fix(f)
 		return
 	}
-	f.virtual = math.Max(f.virtual, r.virtual)
-	r.weight += f.account.limits.Weight
-	r.byVirtual.add(f)
-	r.byWorth.add(f)
+	f.virtualTime = math.Max(f.virtualTime, r.virtualTime)
+	r.activeWeight += f.account.limits.Weight
+	r.byVirtualTime.add(f)
+	r.byDensity.add(f)
 }
 
 func (r *route) remove(it *item) {
@@ -166,20 +171,20 @@
 	r.bandWork[it.band] = math.Max(0, r.bandWork[it.band]-it.work)
 	r.waiting--
 	if f.queue.Len() > 0 {
-		r.byWorth.fix(f)
+		r.byDensity.fix(f)
 		return
 	}
 	f.work = 0
-	r.byVirtual.remove(f)
-	// The emptied flow has no head to compare by: it leaves by position.
-	r.removeFromWorth(f)
-	r.recountWeight()
+	r.byVirtualTime.remove(f)
+	// The empty flow has no head request to compare, so it is removed by index.
+	r.removeEmptyFlow(f)
+	r.resetWeightIfEmpty()
 }
 
-// removeFromWorth takes out a flow whose queue has become empty.
-func (r *route) removeFromWorth(f *flow) {
-	h := &r.byWorth
-	i, last := f.pos[slotWorth], len(h.flows)-1
+// removeEmptyFlow removes a flow with an empty queue from byDensity.
+func (r *route) removeEmptyFlow(f *flow) {
+	h := &r.byDensity
+	i, last := f.index[heapDensity], len(h.flows)-1
 	h.Swap(i, last)
 	h.flows[last] = nil
 	h.flows = h.flows[:last]
@@ -188,40 +193,41 @@
 	}
 }
 
-// recountWeight drops rounding errors whenever the queue empties.
-func (r *route) recountWeight() {
-	if len(r.byVirtual.flows) == 0 {
-		r.weight = 0
+// resetWeightIfEmpty discards accumulated rounding errors when no flow is
+// waiting.
+func (r *route) resetWeightIfEmpty() {
+	if len(r.byVirtualTime.flows) == 0 {
+		r.activeWeight = 0
 	}
 }
 
-// pick returns the request that is to start next, or nil.
+// pick returns the request to start next, or nil.
 //
-// The load it is made for is lasting saturation. Picks by worth alone would
-// starve accounts of little worth, and picks by fair share alone would spend
-// scarce capacity on work of little worth; fairPart of the work goes by fair
-// share, which bounds both harms.
+// Under sustained saturation, picking by value density alone would starve
+// accounts of low worth, and picking by fair share alone would spend scarce
+// capacity on work of low worth. A fixed fraction of the work is picked by fair
+// share, which bounds both effects.
 func (r *route) pick() (it *item, fair bool) {
 	if r.waiting == 0 {
 		return nil, false
 	}
 	if r.fairCredit >= 0 {
-		return r.byVirtual.flows[0].queue.head(), true
+		return r.byVirtualTime.flows[0].queue.head(), true
 	}
-	return r.byWorth.flows[0].queue.head(), false
+	return r.byDensity.flows[0].queue.head(), false
 }
 
-// charge accounts for the start of it. The item must have left the queue.
+// charge accounts for the start of an item, which must have left the queue.
 func (r *route) charge(it *item, fairPart float64, fair, queued bool) {
 	f := it.flow
 	if f.queue.Len() == 0 {
-		f.virtual = math.Max(f.virtual, r.virtual)
+		f.virtualTime = math.Max(f.virtualTime, r.virtualTime)
 	}
-	r.virtual = math.Max(r.virtual, r.leastVirtual(f))
-	f.virtual += it.work / f.account.limits.Weight
+	r.virtualTime = math.Max(r.virtualTime, r.minVirtualTime(f))
+	f.virtualTime += it.work / f.account.limits.Weight
 	if f.queue.Len() > 0 {
-		r.byVirtual.fix(f)
-		r.byWorth.fix(f)
+		r.byVirtualTime.fix(f)
+		r.byDensity.fix(f)
 	}
 	if !queued {
 		return
@@ -232,56 +238,58 @@
 	}
 }
 
-// leastVirtual returns the least virtual time among f and the waiting flows.
-func (r *route) leastVirtual(f *flow) float64 {
-	if len(r.byVirtual.flows) == 0 {
-		return f.virtual
+// minVirtualTime returns the minimum virtual time of f and the waiting flows.
+func (r *route) minVirtualTime(f *flow) float64 {
+	if len(r.byVirtualTime.flows) == 0 {
+		return f.virtualTime
 	}
-	return math.Min(f.virtual, r.byVirtual.flows[0].virtual)
+	return math.Min(f.virtualTime, r.byVirtualTime.flows[0].virtualTime)
 }
 
-// correct replaces the expected by the actual running time, so that accounts
-// gain nothing from estimates that are too low.
-func (r *route) correct(it *item, actual float64) {
-	const most = 4 // a stalled endpoint is not the account's doing
+// correctCharge replaces the expected running time by the actual one in the
+// charge to the account, so that accounts gain nothing from estimates that are
+// too low.
+func (r *route) correctCharge(it *item, actual float64) {
+	const maxRatio = 4 // bounds the charge for a stalled endpoint, which the account does not cause
 	f := it.flow
-	f.virtual += (math.Min(actual, most*it.work) - it.work) / f.account.limits.Weight
+	f.virtualTime += (math.Min(actual, maxRatio*it.work) - it.work) / f.account.limits.Weight
 	if f.queue.Len() > 0 {
-		r.byVirtual.fix(f)
-		r.byWorth.fix(f)
+		r.byVirtualTime.fix(f)
+		r.byDensity.fix(f)
 	}
 }
 
-// wait estimates how long a new request waits: the lesser of the way by worth
-// and the way by fair share. Zero means that the drain rate is not known.
+// estimateWait estimates how long a new request in minBand waits: the lesser of
+// its wait by value density and its wait by fair share. Zero means that the
+// drain rate is unknown.
 //
-// By worth, the work of the same and of higher bands goes first, and what
-// arrives in higher bands meanwhile too; leastLeft bounds how much is made of
-// such arrivals, because bursts end. With equal worth the estimate counts a
-// subset of the waiting work, so it never exceeds the wait that a first-in
-// first-out queue would give.
+// By value density, the waiting work in the same and higher bands goes first,
+// and so does work that arrives in higher bands meanwhile. minResidualFraction
+// limits the effect of such arrivals, because bursts end. If all requests are
+// of equal worth, the estimate counts a subset of the waiting work and never
+// exceeds the wait in a FIFO queue.
 //
-// By fair share, the account's own waiting work goes first, without its next
-// request: that one is served when the account has had least, however many
-// others wait.
-func (r *route) wait(f *flow, b int, fairPart float64) time.Duration {
+// By fair share, the account's own waiting work goes first, except its next
+// request: that one is served when the account has the least virtual time,
+// however many other requests are waiting.
+func (r *route) estimateWait(f *flow, minBand int, fairPart float64) time.Duration {
 	rate := r.drain.rate(r.running)
 	if rate <= 0 {
 		return 0
 	}
-	var ahead float64
-	for _, w := range r.bandWork[b:] {
-		ahead += w
+	var workAhead float64
+	for _, w := range r.bandWork[minBand:] {
+		workAhead += w
 	}
-	ahead /= math.Max(leastLeft, 1-r.inflow.above(b)/rate)
-	weight := r.weight
+	workAhead /= math.Max(minResidualFraction, 1-r.arrivals.above(minBand)/rate)
+	weight := r.activeWeight
 	if f.queue.Len() == 0 {
 		weight += f.account.limits.Weight
 	}
-	own := f.work
+	accountWork := f.work
 	if h := f.queue.head(); h != nil {
-		own -= h.work
+		accountWork -= h.work
 	}
-	byFair := own * weight / (f.account.limits.Weight * fairPart)
-	return seconds(math.Min(ahead, byFair) / rate)
+	fairWork := accountWork * weight / (f.account.limits.Weight * fairPart)
+	return toDuration(math.Min(workAhead, fairWork) / rate)
 }
--- a/internal/caller/admission/share.go
+++ b/internal/caller/admission/share.go
@@ -2,74 +2,77 @@
 
 import "time"
 
-// Shares divide the limits of one account over the entries of a data centre.
+// An account's limits are divided over the entries of a data centre as follows.
 //
-// Each entry is entitled to one part in Entries of each limit. What it does
-// not need it deposits with the account's lender, which is the entry that
-// Lender chooses, and the lender lends the deposits to entries with more
-// demand. An entry uses its entitlement less what it has promised away plus
-// what it has been lent.
+// Each entry is entitled to 1/Entries of each limit. It deposits what it does
+// not need with the account's lender, which is the entry that Lender selects,
+// and the lender lends the deposits to entries with higher demand. An entry may
+// use its entitlement, less its deposits, plus its loans.
 //
-// The sum of what all entries use never exceeds the limit, whatever messages
-// are lost, late or doubled, and also when entries disagree for a while on who
-// the lender is: a share is used by its owner or lent on, never both. A
-// deposit is a promise not to use a part for Lapse from the moment of the
-// report. The report echoes the lender's newest stamp, so the lender knows
-// that the promise lasts at least until the stamp plus Lapse on its own clock,
-// however long the report travelled. A grant ends before the promises that
-// back it and counts, at the borrower, from when it asked. Clocks need to run
-// at the same rate but need not show the same time.
+// The sum over all entries never exceeds the limit, even if messages are lost,
+// delayed or duplicated, and even while entries disagree about which entry is
+// the lender: a share is used either by its owner or by a borrower, never by
+// both. A deposit is a promise not to use a number of units for Lapse from the
+// time of the report. The report echoes the lender's newest stamp, so the
+// lender knows that the deposit lasts at least until that stamp plus Lapse on
+// its own clock, regardless of network delay. A grant ends before the deposits
+// that back it, and the borrower counts its term from the time at which it sent
+// the report. Clocks must advance at the same rate but need not show the same
+// time.
 //
-// Without the lender, deposits and grants lapse and each entry falls back to
-// its entitlement.
+// If the lender is lost, deposits and grants expire, and each entry falls back
+// to its entitlement.
 
-// WholeShare is the whole of an account's limit. It has many divisors, so that
-// small concurrency limits divide without a remainder.
+// WholeShare is the number of units in an account's whole limit. It has many
+// divisors, so that small concurrency limits divide without a remainder.
 const WholeShare = 720720
 
-// DefaultLapse is how long a deposit holds. A shorter one frees the shares of
-// a lost lender sooner; a longer one needs fewer reports.
+// DefaultLapse is the default duration of a deposit. A shorter one frees the
+// shares held by a lost lender sooner; a longer one needs fewer reports.
 const DefaultLapse = 3 * time.Second
 
 const (
-	// reportsPerLapse is how often a holder should report: a loan lasts for
-	// three reports, so that two in a row may be lost.
+	// reportsPerLapse is the number of reports that a holder sends per Lapse. A
+	// loan lasts for three report intervals, so that two reports in a row may
+	// be lost.
 	reportsPerLapse = 6
-	// loansPerLapse divides the lapse into the duration of a loan.
+	// loansPerLapse is the number of loan terms per Lapse.
 	loansPerLapse = 2
-	// listAll is how many accounts a report lists whether they are in demand
-	// or not. With more accounts than this, an idle one is listed only after
-	// its lender has asked for it, so that reports grow with the accounts in
-	// use and not with those in the preset.
-	listAll = 64
+	// listAllMax is the maximum number of accounts for which a report lists all
+	// accounts. With more accounts, an idle account is listed only after its
+	// lender has asked for it, so that reports grow with the accounts in use
+	// and not with those in the preset.
+	listAllMax = 64
 )
 
-// ShareStamp is a moment on a lender's clock.
+// ShareStamp is a reading of a lender's clock.
 type ShareStamp struct {
 	// Incarnation changes with each start of the lender.
 	Incarnation uint64
-	// At is nanoseconds since the lender's own epoch.
+	// At is the time since the lender's own epoch, in nanoseconds.
 	At int64
 }
 
-// ShareDemand is one account's part of a report, in units of WholeShare.
+// ShareDemand is the part of a report about one account, in units of which
+// WholeShare make up the limit.
 type ShareDemand struct {
 	Account string
-	// Deposit is what the holder promises not to use.
+	// Deposit is the number of units that the holder promises not to use.
 	Deposit int64
-	// Want is what it wants to be lent.
+	// Want is the number of units that the holder asks to borrow.
 	Want int64
-	// Quantum is the least useful part: that of one open request.
+	// Quantum is the smallest useful number of units: that of one open request.
 	Quantum int64
 }
 
-// ShareReport goes from a holder to a lender.
+// ShareReport is sent by a holder to a lender.
 type ShareReport struct {
 	Holder string
-	// Number grows with each report of the holder, also over its restarts.
+	// Number increases with each report of the holder, including across
+	// restarts.
 	Number uint64
-	// Echo is the newest stamp that the holder has from this lender; zero if
-	// none.
+	// Echo is the newest stamp that the holder has received from this lender;
+	// zero if none.
 	Echo     ShareStamp
 	Accounts []ShareDemand
 }
@@ -78,32 +81,34 @@
 type ShareGrant struct {
 	Account string
 	Units   int64
-	// For counts from the sending of the report that is answered.
+	// For is the term of the loan, counted from the sending of the report that
+	// the reply answers.
 	For time.Duration
 }
 
-// ShareReply answers a report.
+// ShareReply is a lender's reply to a report.
 type ShareReply struct {
 	Number uint64
 	Stamp  ShareStamp
 	Grants []ShareGrant
-	// Wanted names the accounts in demand, for deposits in the next report.
+	// Wanted lists the accounts in demand, so that the next report can include
+	// deposits for them.
 	Wanted []string
 }
 
-// Lender returns the entry that lends out the shares of an account, by
-// rendezvous hashing. It returns the empty string for no entries.
+// Lender selects the entry that lends the shares of an account, by rendezvous
+// hashing. It returns the empty string if there are no entries.
 func Lender(account string, entries []string) string {
-	var best string
-	var most uint64
+	var lender string
+	var highest uint64
 	for _, e := range entries {
 		h := hashPair(account, e)
-		if best == "" || h > most || (h == most && e < best) {
-			best, most = e, h
+		if lender == "" || h > highest || (h == highest && e < lender) {
+			lender, highest = e, h
 		}
 	}
-	return best
+	return lender
 }
 
-// entitlement returns the part of a limit that one of n entries owns.
+// entitlement returns the units of a limit that each of n entries owns.
 func entitlement(n int) int64 { return WholeShare / int64(max(1, n)) }
