--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -5,191 +5,198 @@
 	"time"
 )
 
-// Entry is what the store holds of one endpoint.
+// Entry is an endpoint's entry in the store.
 type Entry struct {
-	// ID is unique, but an endpoint that starts again may keep it.
+	// ID is unique among running endpoints; a restarted endpoint may keep it.
 	ID string
-	// Born is when the endpoint started, in milliseconds since 1970.
+	// Born is the start time of the endpoint in milliseconds since the Unix epoch.
 	Born uint64
-	// Service, Address (IP:port) and DataCentre tell what and where it is.
+	// Service is the name of the endpoint's service, Address its IP:port and DataCentre
+	// its data centre.
 	Service, Address, DataCentre string
-	// Slots is how many requests it runs at once, or zero if it doesn't say.
+	// Slots is the number of requests that the endpoint runs concurrently, or zero if
+	// it does not state one.
 	Slots int
-	// Draining says that it is about to leave.
+	// Draining reports that the endpoint is shutting down.
 	Draining bool
-	// Cold is how long it remained in cold start when it wrote the entry.
+	// Cold is the cold start time that was left when the endpoint wrote the entry.
 	Cold time.Duration
 }
 
-// Endpoint is an endpoint that may be sent work.
+// Endpoint is an endpoint that may receive requests.
 type Endpoint struct {
 	Entry
-	// ColdUntil is the end of its cold start.
+	// ColdUntil is the end of the endpoint's cold start.
 	ColdUntil time.Time
 }
 
-// ColdAt reports whether the endpoint is in cold start.
+// ColdAt reports whether the endpoint is in cold start at now.
 func (e *Endpoint) ColdAt(now time.Time) bool { return now.Before(e.ColdUntil) }
 
-// known is an endpoint and what the directory remembers of it.
-type known struct {
+// record is an endpoint with the state that the directory keeps for it.
+type record struct {
 	endpoint Endpoint
-	// lapsed is until when a vanished entry still holds; zero if it is there.
-	lapsed time.Time
-	// ended says that the endpoint is known to be there no more, whatever its
-	// entry says.
-	ended bool
+	// retainedUntil is when the retention of a vanished entry ends; zero if the entry
+	// is present.
+	retainedUntil time.Time
+	// replaced reports that another endpoint is known to have taken over the address,
+	// whatever the store entry says.
+	replaced bool
 }
 
-// usable reports whether the endpoint may be sent new work.
-func (d *Directory) usable(k *known, now time.Time) bool {
-	if k.ended || k.endpoint.Draining || d.out[k.endpoint.DataCentre] {
+// usable reports whether the endpoint may receive new requests.
+func (d *Directory) usable(rec *record, now time.Time) bool {
+	if rec.replaced || rec.endpoint.Draining || d.outOfService[rec.endpoint.DataCentre] {
 		return false
 	}
-	return k.lapsed.IsZero() || now.Before(k.lapsed)
+	return rec.retainedUntil.IsZero() || now.Before(rec.retainedUntil)
 }
 
-// Directory holds the endpoints. Set the exported fields before the first call.
+// Directory holds the known endpoints. Set the exported fields before the first call.
 // It is not safe for concurrent use.
 type Directory struct {
-	// LapseHold is how long entries that vanished while the store was away
-	// hold after its return. Living endpoints write theirs again within it.
+	// LapseHold is how long entries that vanished while the store was unavailable are
+	// retained after its recovery. Running endpoints write their entries again within
+	// this time.
 	LapseHold time.Duration
-	// ColdStart returns how long a starting endpoint of a service is cold; an
-	// endpoint of which nothing is known counts as just started.
+	// ColdStart returns the cold start time of a service's endpoints; nil means none.
+	// An endpoint in unknown state counts as just started.
 	ColdStart func(service string) time.Duration
 
-	entries map[string]*known
-	out     map[string]bool
-	// returned is when the store last came back.
-	returned time.Time
-	// lapse is when the first hold of a vanished entry ends; zero if none holds.
-	lapse time.Time
-	// settled says that the first whole listing has been taken in: endpoints
-	// that appear later have started while this process ran.
-	settled bool
+	entries      map[string]*record
+	outOfService map[string]bool
+	// storeRecovered is when the store last recovered; zero if it has not failed.
+	storeRecovered time.Time
+	// nextExpiry is when the first retention of a vanished entry ends; zero if no entry
+	// is retained.
+	nextExpiry time.Time
+	// listed reports that the first full listing has been applied: endpoints that
+	// appear later started while this process ran.
+	listed bool
 }
 
-// Returned notes that the store answers again after it was away.
-func (d *Directory) Returned(now time.Time) { d.returned = now }
+// Returned records that the store recovered from an outage at now.
+func (d *Directory) Returned(now time.Time) { d.storeRecovered = now }
 
-// Put takes in an entry as it stands in the store now.
+// Put adds or updates an endpoint from its current store entry. It ignores an entry
+// of an earlier start.
 func (d *Directory) Put(e Entry, now time.Time) {
-	d.init()
-	k := d.entries[e.ID]
-	if k != nil && e.Born < k.endpoint.Born {
+	d.initMaps()
+	rec := d.entries[e.ID]
+	if rec != nil && e.Born < rec.endpoint.Born {
 		return
 	}
-	fresh := k == nil || e.Born != k.endpoint.Born
-	if fresh {
-		k = &known{}
-		d.entries[e.ID] = k
+	isNew := rec == nil || e.Born != rec.endpoint.Born
+	if isNew {
+		rec = &record{}
+		d.entries[e.ID] = rec
 	}
-	k.lapsed = time.Time{}
-	until := now.Add(e.Cold)
-	if fresh && d.settled {
-		until = latest(until, now.Add(d.coldStart(e.Service)))
+	rec.retainedUntil = time.Time{}
+	coldUntil := now.Add(e.Cold)
+	if isNew && d.listed {
+		coldUntil = latest(coldUntil, now.Add(d.coldStart(e.Service)))
 	}
-	k.endpoint.Entry = e
-	k.endpoint.ColdUntil = latest(k.endpoint.ColdUntil, until)
-	d.supersede(k)
+	rec.endpoint.Entry = e
+	rec.endpoint.ColdUntil = latest(rec.endpoint.ColdUntil, coldUntil)
+	d.markReplaced(rec)
 }
 
-// supersede marks endpoints as ended at whose address another one has started
-// since.
+// markReplaced marks endpoints at whose address a later endpoint has started.
 //
-// Guard: an endpoint that starts again often does so under another id, and the
-// entry of the one before stays until it lapses, some seconds. Requests sent
-// there are answered as misdirected, and use up the attempts that their route
-// allows.
-func (d *Directory) supersede(k *known) {
+// A restarted endpoint often has another ID, and the entry of its predecessor remains
+// for some seconds until it expires. Requests sent for the predecessor are answered
+// as misdirected and use up the attempts that their route allows.
+func (d *Directory) markReplaced(rec *record) {
 	for _, other := range d.entries {
-		if other == k || other.endpoint.Address != k.endpoint.Address {
+		if other == rec || other.endpoint.Address != rec.endpoint.Address {
 			continue
 		}
-		if other.endpoint.Born < k.endpoint.Born {
-			other.ended = true
-		} else if other.endpoint.Born > k.endpoint.Born {
-			k.ended = true
+		if other.endpoint.Born < rec.endpoint.Born {
+			other.replaced = true
+		} else if other.endpoint.Born > rec.endpoint.Born {
+			rec.replaced = true
 		}
 	}
 }
 
-// Misdirected notes that the address of an endpoint was answered by another one:
-// the endpoint that started at born is there no more.
+// Misdirected records that another endpoint answered at the address of an endpoint:
+// the one that started at born is gone.
 func (d *Directory) Misdirected(id string, born uint64) {
-	if k := d.entries[id]; k != nil && k.endpoint.Born == born {
-		k.ended = true
+	if rec := d.entries[id]; rec != nil && rec.endpoint.Born == born {
+		rec.replaced = true
 	}
 }
 
-// Remove takes in that an entry has vanished.
+// Remove records that an entry has vanished from the store.
 //
-// Guard: entries lapse while the store is away, because endpoints can't renew
-// them. The store tells of that when it is back, and an entry VM that believed
-// it would refuse all requests until the endpoints have written theirs again,
-// for up to two seconds. So within LapseHold of its return a vanished entry
-// holds on; one that is missing after that is gone.
+// Entries expire while the store is unavailable, because endpoints cannot renew them.
+// The store reports these removals once it has recovered; an entry process that
+// applied them at once would refuse all requests for up to two seconds, until the
+// endpoints have written their entries again. A vanished entry is therefore retained
+// until LapseHold after the recovery; an entry that is missing after that is gone.
 func (d *Directory) Remove(id string, now time.Time) {
-	k := d.entries[id]
-	if k == nil {
+	rec := d.entries[id]
+	if rec == nil {
 		return
 	}
-	hold := d.returned.Add(d.LapseHold)
-	if d.returned.IsZero() || !now.Before(hold) || k.endpoint.Draining {
+	until := d.storeRecovered.Add(d.LapseHold)
+	if d.storeRecovered.IsZero() || !now.Before(until) || rec.endpoint.Draining {
 		delete(d.entries, id)
 		return
 	}
-	if k.lapsed.IsZero() {
-		k.lapsed = hold
-		d.noteLapse(hold)
+	if rec.retainedUntil.IsZero() {
+		rec.retainedUntil = until
+		d.noteExpiry(until)
 	}
 }
 
-func (d *Directory) noteLapse(hold time.Time) {
-	if d.lapse.IsZero() || hold.Before(d.lapse) {
-		d.lapse = hold
+func (d *Directory) noteExpiry(expiry time.Time) {
+	if d.nextExpiry.IsZero() || expiry.Before(d.nextExpiry) {
+		d.nextExpiry = expiry
 	}
 }
 
-// Lapsed reports whether a vanished entry has ceased to hold since Endpoints was last
-// called.
-func (d *Directory) Lapsed(now time.Time) bool { return !d.lapse.IsZero() && !now.Before(d.lapse) }
+// Lapsed reports whether the retention of a vanished entry has ended since the last
+// call of Endpoints.
+func (d *Directory) Lapsed(now time.Time) bool {
+	return !d.nextExpiry.IsZero() && !now.Before(d.nextExpiry)
+}
 
-// Whole takes in which entries the store holds in all; others have vanished.
+// Whole applies a full listing of the store: entries whose IDs are not in ids have
+// vanished.
 func (d *Directory) Whole(ids map[string]bool, now time.Time) {
-	d.init()
+	d.initMaps()
 	for _, id := range d.ids() {
 		if !ids[id] {
 			d.Remove(id, now)
 		}
 	}
-	d.settled = true
+	d.listed = true
 }
 
-// SetOut says that a data centre is taken out of service or back in. Endpoints
-// of one that comes back may have turned cold unseen, so they count as cold.
+// SetOut takes a data centre out of service or puts it back. Endpoints of a data
+// centre that is put back may have become cold unnoticed, so they count as cold.
 func (d *Directory) SetOut(dataCentre string, out bool, now time.Time) {
-	d.init()
-	if d.out[dataCentre] == out {
+	d.initMaps()
+	if d.outOfService[dataCentre] == out {
 		return
 	}
-	d.out[dataCentre] = out
+	d.outOfService[dataCentre] = out
 	if out {
 		return
 	}
-	for _, k := range d.entries {
-		if k.endpoint.DataCentre == dataCentre {
-			k.endpoint.ColdUntil = latest(k.endpoint.ColdUntil, now.Add(d.coldStart(k.endpoint.Service)))
+	for _, rec := range d.entries {
+		if rec.endpoint.DataCentre == dataCentre {
+			rec.endpoint.ColdUntil = latest(rec.endpoint.ColdUntil, now.Add(d.coldStart(rec.endpoint.Service)))
 		}
 	}
 }
 
-// Outs returns the data centres that are out of service.
+// Outs returns the data centres that are out of service, sorted by name.
 func (d *Directory) Outs() []string {
 	var out []string
-	for dc, is := range d.out {
-		if is {
+	for dc, isOut := range d.outOfService {
+		if isOut {
 			out = append(out, dc)
 		}
 	}
@@ -197,51 +204,51 @@
 	return out
 }
 
-// Turned notes that an endpoint said itself for how long it is cold.
+// Turned records that an endpoint reported how much longer it is cold.
 func (d *Directory) Turned(id string, cold time.Duration, now time.Time) {
-	if k := d.entries[id]; k != nil {
-		k.endpoint.ColdUntil = latest(k.endpoint.ColdUntil, now.Add(cold))
+	if rec := d.entries[id]; rec != nil {
+		rec.endpoint.ColdUntil = latest(rec.endpoint.ColdUntil, now.Add(cold))
 	}
 }
 
-// Endpoints returns the endpoints that may be sent new work, in order of their
-// ids. Each is a copy.
+// Endpoints returns copies of the endpoints that may receive new requests, sorted by
+// ID. It drops vanished entries whose retention has ended.
 func (d *Directory) Endpoints(now time.Time) []Endpoint {
 	var out []Endpoint
-	d.lapse = time.Time{}
+	d.nextExpiry = time.Time{}
 	for _, id := range d.ids() {
-		k := d.entries[id]
-		if !k.lapsed.IsZero() && !now.Before(k.lapsed) {
+		rec := d.entries[id]
+		if !rec.retainedUntil.IsZero() && !now.Before(rec.retainedUntil) {
 			delete(d.entries, id)
 			continue
 		}
-		if !k.lapsed.IsZero() {
-			d.noteLapse(k.lapsed)
+		if !rec.retainedUntil.IsZero() {
+			d.noteExpiry(rec.retainedUntil)
 		}
-		if !d.usable(k, now) {
+		if !d.usable(rec, now) {
 			continue
 		}
-		out = append(out, k.endpoint)
+		out = append(out, rec.endpoint)
 	}
 	return out
 }
 
-// Usable returns the endpoint with the id if it may be sent new work.
+// Usable returns the endpoint with the ID and whether it may receive new requests.
 func (d *Directory) Usable(id string, now time.Time) (Endpoint, bool) {
-	k := d.entries[id]
-	if k == nil || !d.usable(k, now) {
+	rec := d.entries[id]
+	if rec == nil || !d.usable(rec, now) {
 		return Endpoint{}, false
 	}
-	return k.endpoint, true
+	return rec.endpoint, true
 }
 
-// Len returns how many entries are known, whether usable or not.
+// Len returns the number of known entries, usable or not.
 func (d *Directory) Len() int { return len(d.entries) }
 
-func (d *Directory) init() {
+func (d *Directory) initMaps() {
 	if d.entries == nil {
-		d.entries = map[string]*known{}
-		d.out = map[string]bool{}
+		d.entries = map[string]*record{}
+		d.outOfService = map[string]bool{}
 	}
 }
 
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -34,34 +34,34 @@
 	}
 }
 
-// All callers are refused after an outage of the store: leases lapsed while it
-// was away, it tells of the vanished entries when it is back, and the endpoints
-// need two seconds to write theirs again.
+// Guards against refusing all callers after an outage of the store: leases expired
+// during the outage, the store reports the vanished entries when it recovers, and the
+// endpoints need two seconds to write them again.
 func TestLapsedEntriesHoldAfterAnOutage(t *testing.T) {
 	d := newDirectory()
 	d.Put(entry("x", 1, "1:1"), start)
 	d.Put(entry("y", 1, "2:1"), start)
-	back := start.Add(10 * time.Second)
-	d.Returned(back)
-	d.Remove("x", back)
-	d.Remove("y", back)
-	wantIDs(t, d, back.Add(1900*time.Millisecond), "x", "y")
-	d.Put(entry("x", 1, "1:1"), back.Add(time.Second))
-	wantIDs(t, d, back.Add(2100*time.Millisecond), "x")
+	recovered := start.Add(10 * time.Second)
+	d.Returned(recovered)
+	d.Remove("x", recovered)
+	d.Remove("y", recovered)
+	wantIDs(t, d, recovered.Add(1900*time.Millisecond), "x", "y")
+	d.Put(entry("x", 1, "1:1"), recovered.Add(time.Second))
+	wantIDs(t, d, recovered.Add(2100*time.Millisecond), "x")
 }
 
-// An endpoint that leaves gets requests seconds later, because its entry was
-// removed without a word of draining.
-func TestVanishedEntryIsGoneAtOnce(t *testing.T) {
+// Guards against sending requests for seconds to an endpoint that left: its entry was
+// removed without having been marked as draining.
+func TestRemovedEntryExpiresImmediately(t *testing.T) {
 	d := newDirectory()
 	d.Put(entry("x", 1, "1:1"), start)
 	d.Remove("x", start)
 	wantIDs(t, d, start)
 }
 
-// A draining endpoint whose entry vanishes during an outage is not taken for one
-// that merely lapsed.
-func TestDrainingEndpointGetsNothing(t *testing.T) {
+// Guards against retaining the entry of a draining endpoint that vanished in an
+// outage as if it had merely expired.
+func TestDrainingEndpointIsNotUsable(t *testing.T) {
 	d := newDirectory()
 	e := entry("x", 1, "1:1")
 	e.Draining = true
@@ -70,13 +70,13 @@
 	d.Returned(start)
 	d.Remove("x", start)
 	if d.Len() != 0 {
-		t.Fatal("a draining endpoint that vanished is held")
+		t.Fatal("the vanished entry of a draining endpoint is retained")
 	}
 }
 
-// After a loss of power engines start under new ids at the same addresses. The
-// entries of the ones before stay for some seconds, and requests sent there are
-// answered as misdirected until callers are out of attempts.
+// After a power loss, engines start under new IDs at their previous addresses, and
+// the old entries remain for some seconds. Guards against sending requests for the
+// old ones: they are answered as misdirected until callers run out of attempts.
 func TestLaterStartAtAnAddressEndsTheEarlierOne(t *testing.T) {
 	for _, order := range [][]Entry{
 		{entry("old", 1, "1:1"), entry("new", 2, "1:1")},
@@ -90,8 +90,9 @@
 	}
 }
 
-// Another service has taken an address; its answer says so.
-func TestMisdirectedEndsAnEndpointUntilItStartsAgain(t *testing.T) {
+// Another service has taken over an address and says so in its answer. Guards against
+// using the endpoint again because of its old entry.
+func TestMisdirectedEndpointIsUnusableUntilRestart(t *testing.T) {
 	d := newDirectory()
 	d.Put(entry("x", 1, "1:1"), start)
 	d.Misdirected("x", 1)
@@ -102,8 +103,9 @@
 	wantIDs(t, d, start, "x")
 }
 
-// A late answer of the store tells of an endpoint's earlier start.
-func TestEarlierStartDoesNotComeBack(t *testing.T) {
+// Guards against a delayed answer of the store that replaces an endpoint's entry with
+// that of an earlier start.
+func TestEntryOfEarlierStartIsIgnored(t *testing.T) {
 	d := newDirectory()
 	d.Put(entry("x", 2, "1:1"), start)
 	d.Put(entry("x", 1, "9:9"), start)
@@ -120,15 +122,15 @@
 		}
 		return e.ColdAt(now)
 	}
-	t.Run("one that starts under traffic is cold whatever its entry says", func(t *testing.T) {
+	t.Run("an endpoint that starts after the first listing is cold whatever its entry says", func(t *testing.T) {
 		d := newDirectory()
 		d.Whole(nil, start)
 		d.Put(entry("x", 1, "1:1"), start)
 		if !coldAt(d, "x", start.Add(2900*time.Millisecond)) || coldAt(d, "x", start.Add(3100*time.Millisecond)) {
-			t.Fatal("not cold for its cold start")
+			t.Fatal("not cold for exactly the cold start time")
 		}
 	})
-	t.Run("one that was there before is not", func(t *testing.T) {
+	t.Run("an endpoint of the first listing is not cold", func(t *testing.T) {
 		d := newDirectory()
 		d.Put(entry("x", 1, "1:1"), start)
 		d.Whole(map[string]bool{"x": true}, start)
@@ -136,7 +138,7 @@
 			t.Fatal("cold")
 		}
 	})
-	t.Run("one that says it turned cold is", func(t *testing.T) {
+	t.Run("an endpoint that reports a cold start is cold", func(t *testing.T) {
 		d := newDirectory()
 		d.Put(entry("x", 1, "1:1"), start)
 		d.Turned("x", time.Second, start)
@@ -144,7 +146,7 @@
 			t.Fatal("not cold")
 		}
 	})
-	t.Run("those of a data centre that comes back are", func(t *testing.T) {
+	t.Run("endpoints of a data centre that is put back into service are cold", func(t *testing.T) {
 		d := newDirectory()
 		d.Put(entry("x", 1, "1:1"), start)
 		d.SetOut("a", true, start)
--- a/internal/directory/doc.go
+++ b/internal/directory/doc.go
@@ -1,8 +1,9 @@
-// Package directory decides which endpoints exist and may be sent work, from
-// what the platform's store tells of them.
+// Package directory tracks the endpoints that are registered in the platform's store
+// and decides which of them may receive new requests.
 //
-// An endpoint is named by its id and its start: one that starts again under the
-// id it had knows nothing of before. Endpoints that leave or are gone get
-// nothing new. Entries that vanish because the store was away are no sign that
-// their endpoints are gone, so they hold for a while after its return.
+// An endpoint is identified by its ID and its start time: an endpoint that restarts
+// under its previous ID has none of its earlier state. Endpoints that are draining or
+// gone receive no new requests. Store entries that expired while the store was
+// unavailable do not prove that their endpoints are gone, so they are retained for a
+// while after the store recovers.
 package directory
