--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,7 +1,7 @@
-// Package routing holds what operators have configured, in the product's own
-// terms: which request goes to which service under which limits, and whose
-// account a key names.
+// Package routing holds the operators' configuration in the relay's own types, independent of the
+// format in which the platform stores it: which service handles a request and under which limits,
+// and to which account a key belongs.
 //
-// A Table is immutable. Whoever receives tables keeps the newest by version, so
-// that a late or repeated table never takes a newer one's place.
+// A Table is immutable. A holder of tables keeps the one with the highest version, so that a
+// delayed or repeated update never replaces a newer table.
 package routing
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -6,64 +6,64 @@
 	"time"
 )
 
-// Repeat says how often a request may run.
+// Repeat says whether a request may run more than once.
 type Repeat int
 
-// The kinds of requests.
+// Values of Repeat.
 const (
-	// RunOnce requests may run at most once for each attempt of a caller.
+	// RunOnce requests run at most once for each attempt of a caller.
 	RunOnce Repeat = iota
 	// Idempotent requests may run more than once.
 	Idempotent
-	// Stream requests are answered by numbered events and run once, unless
-	// their route is resumable.
+	// Stream requests are answered with numbered events. They run once, unless their route is
+	// resumable.
 	Stream
 )
 
-// String returns the kind's camel-case name.
+// String returns the camel-case name used in metrics.
 func (r Repeat) String() string {
 	return [...]string{"runOnce", "idempotent", "stream"}[r]
 }
 
-// Split is one target of a route with its share of the traffic.
+// Split is one target service of a route with its weight in the traffic split.
 type Split struct {
 	Service string
 	// Weight is relative to the sum of the route's weights.
 	Weight float64
 }
 
-// Route says how requests of one host and path prefix are served.
+// Route defines how requests with one host and path prefix are handled.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Repeat Repeat
-	// Timeout is the longest that a caller is kept waiting; zero means no bound.
+	// Timeout bounds the handling of a request; zero means no bound.
 	Timeout time.Duration
-	// Target is the time to the (first part of the) answer in which it has its
-	// full worth, and Gap the longest pause between events.
+	// Target is the time to the first part of the answer (for a plain answer, the whole of it) up
+	// to which the answer has its full value. Gap is the longest acceptable pause between events.
 	Target, Gap time.Duration
-	// Patience is after how long without a part of the answer a caller leaves;
-	// zero means not before its time is over.
+	// Patience is the time without any part of the answer after which a caller gives up; zero means
+	// that it waits until its deadline.
 	Patience time.Duration
-	// Priority is the rank of the requests; 0 is the highest.
+	// Priority orders requests; 0 is the highest priority.
 	Priority int
-	// MaxAttempts is how many endpoints one attempt of a caller may be sent to.
+	// MaxAttempts is the number of endpoints to which one attempt of a caller may be sent.
 	MaxAttempts int
-	// Anonymous says that no account key is needed.
+	// Anonymous means that requests need no account key.
 	Anonymous bool
-	// Resumable says that a broken stream may go on at another endpoint.
+	// Resumable means that an interrupted stream may continue at another endpoint.
 	Resumable bool
 	Splits    []Split
 }
 
-// MayRepeat reports whether a request that may have run may run again.
+// MayRepeat reports whether a request may be sent again after it may already have run.
 func (r *Route) MayRepeat() bool {
 	return r.Repeat == Idempotent || r.Repeat == Stream && r.Resumable
 }
 
-// Pick returns the service for a request whose draw is in [0, 1), and "" when
-// the route has none.
+// Pick returns the service for a random number draw in [0, 1), in proportion to the weights of the
+// splits. It returns "" if the route has none.
 func (r *Route) Pick(draw float64) string {
 	sum := 0.0
 	for _, s := range r.Splits {
@@ -82,75 +82,74 @@
 	return r.Splits[len(r.Splits)-1].Service
 }
 
-// Service describes the endpoints of one service.
+// Service describes a service whose requests are balanced over a set of endpoints.
 type Service struct {
 	Name string
-	// HealthPath is asked for an endpoint's health.
+	// HealthPath is the path of an endpoint's health check.
 	HealthPath string
-	// MaxConns is how many connections one endpoint accepts from all callers
-	// together.
+	// MaxConns is the number of connections that one endpoint accepts from all clients together.
 	MaxConns int
-	// ColdStart is how long an endpoint stays cold after its start, and
-	// ColdRate how many requests a second it bears meanwhile. A rate of zero
-	// means that the service has no cold start.
+	// ColdStart is how long an endpoint stays cold after it starts, and ColdRate the number of
+	// requests per second that a cold endpoint can handle. A rate of zero means that the service
+	// has no cold start.
 	ColdStart time.Duration
 	ColdRate  float64
-	// Engine is nil for a plain service.
+	// Engine is nil for a service without model engines.
 	Engine *Engine
 }
 
-// Engine describes the model engines of a service.
+// Engine holds the performance parameters of a service's model engines.
 type Engine struct {
-	// Slots is how many requests one engine runs at once.
+	// Slots is the number of requests that one engine runs concurrently.
 	Slots int
-	// MemoryTokens is how many tokens of context one engine holds.
+	// MemoryTokens is the number of context tokens that one engine can hold.
 	MemoryTokens int
-	// Stride is how many token steps one pass takes.
+	// Stride is the number of token steps in one pass.
 	Stride int
-	// Step is the time of a token step, PerSequence what each writing request
-	// adds to it, and PerThousand what each thousand tokens of context add.
+	// Step is the duration of a token step. Each request that is producing output adds PerSequence
+	// to it, and each thousand tokens of context add PerThousand.
 	Step, PerSequence, PerThousand time.Duration
-	// ReadRate is how many prompt tokens are read a second, and Chunk how many
-	// of them in one step at most.
+	// ReadRate is the number of prompt tokens read per second, and Chunk the largest number of them
+	// read in one step.
 	ReadRate float64
 	Chunk    int
-	// MeanPrompt and MeanOutput are the usual tokens of a request.
+	// MeanPrompt and MeanOutput are the mean numbers of tokens of a request.
 	MeanPrompt, MeanOutput int
-	// ReportLag is how old a report is that an engine gives to another VM.
+	// ReportLag is the age of an engine's load report when another VM receives it.
 	ReportLag time.Duration
 	Experts   Experts
 }
 
-// Experts describes how experts are placed on the ranks of a group.
+// Experts describes how the experts of a model are placed on the ranks of a group.
 type Experts struct {
-	// Sets is how many sets of layers have a placement each, Count how many
-	// experts a set has, Slots how many experts a rank holds of a set and
-	// Spare how many further ones it can load while those are in use.
+	// Sets is the number of sets of layers with a placement of their own, and Count the number of
+	// experts in a set. Of each set a rank holds Slots experts, and can load Spare more while those
+	// are in use.
 	Sets, Count, Slots, Spare int
-	// Bytes is the size of one expert's weights, and LinkRate how many bytes a
-	// second a rank loads.
+	// Bytes is the size of one expert's weights, and LinkRate the rate, in bytes per second, at
+	// which a rank loads weights.
 	Bytes, LinkRate float64
-	// Share is the part of a pass's work that experts do.
+	// Share is the fraction of a pass's work that is done by experts.
 	Share float64
 }
 
 // Account is a client account.
 type Account struct {
 	Name string
-	// Priority goes before the route's; it is -1 when the account has none.
+	// Priority overrides the route's priority; -1 means that the account has none.
 	Priority int
 }
 
-// Limits bounds what callers send.
+// Limits bounds the size and duration of callers' requests.
 type Limits struct {
-	// HeaderBytes and BodyBytes bound a request.
+	// HeaderBytes and BodyBytes bound the size of a request.
 	HeaderBytes, BodyBytes int
-	// HeaderTimeout bounds the arrival of a head and IdleTimeout the time
-	// between two requests.
+	// HeaderTimeout bounds the time in which the request header must arrive, and IdleTimeout the
+	// time between two requests on a connection.
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// Table is one version of the configuration. Build it with NewTable.
+// Table is one immutable version of the configuration. Create it with NewTable.
 type Table struct {
 	version  uint64
 	hosts    map[string][]*Route
@@ -161,13 +160,14 @@
 	limits   Limits
 }
 
-// Keyed is an account with its keys.
+// Keyed is an account together with its keys.
 type Keyed struct {
 	Account Account
 	Keys    []string
 }
 
-// NewTable returns a table. Accounts is nil when requests need no key at all.
+// NewTable returns a table of the given version. A nil accounts means that requests need no account
+// key. The table keeps the arguments, which must not be changed afterwards.
 func NewTable(version uint64, routes []*Route, services []*Service, accounts []Keyed, limits Limits) *Table {
 	t := &Table{
 		version:  version,
@@ -200,17 +200,17 @@
 	return t
 }
 
-// Version returns the version, which grows with each change.
+// Version returns the version, which increases with each change.
 func (t *Table) Version() uint64 { return t.version }
 
-// Routes returns how many routes there are.
+// Routes returns the number of routes.
 func (t *Table) Routes() int { return t.routes }
 
-// Limits returns the bounds on what callers send.
+// Limits returns the bounds on callers' requests.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Route returns the route with the longest prefix that begins path among those
-// of host, or nil.
+// Route returns the route of the host with the longest prefix that matches path, or nil if there is
+// none.
 func (t *Table) Route(host, path string) *Route {
 	for _, r := range t.hosts[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -220,10 +220,10 @@
 	return nil
 }
 
-// Service returns a service by its name, or nil.
+// Service returns the service with the given name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Services returns all services in no particular order.
+// Services returns all services in unspecified order.
 func (t *Table) Services() []*Service {
 	out := make([]*Service, 0, len(t.services))
 	for _, s := range t.services {
@@ -232,7 +232,7 @@
 	return out
 }
 
-// Accounts returns the names of all accounts in no particular order.
+// Accounts returns the names of all accounts in unspecified order.
 func (t *Table) Accounts() []string {
 	out := make([]string, 0, len(t.accounts))
 	for name := range t.accounts {
@@ -241,8 +241,8 @@
 	return out
 }
 
-// Gaps returns for each service with streams the shortest of the longest pauses
-// between events that its routes allow.
+// Gaps returns the smallest Gap of all routes to each service. Services whose routes set no Gap are
+// absent.
 func (t *Table) Gaps() map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for _, routes := range t.hosts {
@@ -260,8 +260,8 @@
 	return out
 }
 
-// NeedsKeys reports whether requests need an account's key at all.
+// NeedsKeys reports whether requests need an account key, except on anonymous routes.
 func (t *Table) NeedsKeys() bool { return t.keys != nil }
 
-// Account returns the account that holds key, or nil.
+// Account returns the account to which key belongs, or nil.
 func (t *Table) Account(key string) *Account { return t.keys[key] }
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func table() *Table {
+func testTable() *Table {
 	routes := []*Route{
 		{Name: "all", Host: "h", Prefix: "/", Splits: []Split{{Service: "s", Weight: 1}}},
 		{Name: "deep", Host: "h", Prefix: "/a/b/", Gap: 200 * time.Millisecond, Splits: []Split{{"s", 90}, {"u", 10}}},
@@ -17,18 +17,18 @@
 
 func TestRouteIsTheLongestPrefix(t *testing.T) {
 	for path, want := range map[string]string{"/a/b/c": "deep", "/a/bc": "mid", "/z": "all", "/a/": "mid"} {
-		if r := table().Route("h", path); r == nil || r.Name != want {
+		if r := testTable().Route("h", path); r == nil || r.Name != want {
 			t.Errorf("%s: %v, want %s", path, r, want)
 		}
 	}
-	if r := table().Route("other", "/a/"); r != nil {
-		t.Errorf("route %s of another host", r.Name)
+	if r := testTable().Route("other", "/a/"); r != nil {
+		t.Errorf("got route %s for an unknown host", r.Name)
 	}
 }
 
 func TestPickFollowsWeights(t *testing.T) {
 	n := map[string]int{}
-	r := table().Route("h", "/a/b/")
+	r := testTable().Route("h", "/a/b/")
 	for i := range 1000 {
 		n[r.Pick(float64(i)/1000)]++
 	}
@@ -36,12 +36,12 @@
 		t.Fatalf("%v", n)
 	}
 	if got := (&Route{}).Pick(0.5); got != "" {
-		t.Fatalf("a route without services gave %q", got)
+		t.Fatalf("a route without splits gave %q", got)
 	}
 }
 
 func TestAccountsAndGaps(t *testing.T) {
-	tb := table()
+	tb := testTable()
 	if a := tb.Account("k2"); a == nil || a.Name != "x" {
 		t.Fatalf("%v", a)
 	}
@@ -52,7 +52,7 @@
 		t.Fatalf("%v", g)
 	}
 	if NewTable(1, nil, nil, nil, Limits{}).NeedsKeys() {
-		t.Fatal("a table without accounts needs keys")
+		t.Fatal("a table without accounts requires keys")
 	}
 }
 
