--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -13,10 +13,10 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// mostAnswer bounds an answer that is kept until it is whole.
-const mostAnswer = 8 << 20
+// maxAnswerBytes bounds the size of an answer that is buffered until it is complete.
+const maxAnswerBytes = 8 << 20
 
-// Whole is an answer that has come to its end.
+// Whole is a complete buffered answer.
 type Whole struct {
 	Status int
 	Header http.Header
@@ -24,98 +24,98 @@
 }
 
 var (
-	errUnsigned = errors.New("relay: a success without the endpoint's signature")
-	errEncoded  = errors.New("relay: the body is encoded, which nobody asked for")
-	errUnnamed  = errors.New("relay: a success that doesn't name its request")
-	errTooLong  = errors.New("relay: the answer is too long")
-	errOrder    = errors.New("relay: events are missing or out of order")
+	errUnsigned          = errors.New("relay: a success without the endpoint's signature")
+	errEncoded           = errors.New("relay: the body is encoded, which nobody asked for")
+	errRequestIDMismatch = errors.New("relay: a success that doesn't name its request")
+	errAnswerTooLarge    = errors.New("relay: the answer is too long")
+	errEventOrder        = errors.New("relay: events are missing or out of order")
 )
 
-// attempt sends the request to one endpoint and passes its answer on.
+// attempt sends the request to one endpoint and forwards its answer.
 func (j *job) attempt(ctx context.Context, p Place) Outcome {
 	r := j.relay
-	req := j.request(p)
+	req := j.endpointRequest(p)
 	a, err := r.Client.Do(ctx, p.Endpoint.Address, req)
 	if err != nil {
-		return j.lost(err)
+		return j.lostOutcome(err)
 	}
 	defer a.Close()
-	told := r.Dialect.ReadAnswer(a.Status, a.Header)
-	if told.Cold > 0 {
-		r.Belief.Turned(p.Endpoint.ID, told.Cold, r.Now())
+	info := r.Dialect.ReadAnswer(a.Status, a.Header)
+	if info.Cold > 0 {
+		r.Belief.Turned(p.Endpoint.ID, info.Cold, r.Now())
 	}
-	if told.Wrong {
+	if info.Wrong {
 		r.Belief.Misdirected(p)
 	} else {
-		j.noteLimit(p, told)
+		j.recordLimit(p, info)
 	}
-	if told.NotRun {
+	if info.NotRun {
 		_, _ = io.Copy(io.Discard, a)
-		return NotRun{Sent: true, Code: refusedCode(told, a.Status)}
+		return NotRun{Sent: true, Code: notRunCode(info, a.Status)}
 	}
-	if err := j.check(a, told); err != nil {
+	if err := j.checkAnswer(a, info); err != nil {
 		return Unknown{Cause: err}
 	}
 	if j.route.Repeat == routing.Stream && a.Status == http.StatusOK {
-		return j.stream(ctx, p, a)
+		return j.forwardStream(ctx, p, a)
 	}
-	return j.whole(ctx, p, a)
+	return j.forwardWhole(ctx, p, a)
 }
 
-// noteLimit takes in what an answer says of how many requests the endpoint takes. An answer
-// that neither names a limit nor bears the endpoint's signature says nothing.
-func (j *job) noteLimit(p Place, told Told) {
-	if told.Limit < 0 && !told.Signed {
+// recordLimit records the request rate that the endpoint accepts according to its answer. An answer
+// that has neither a limit nor the endpoint's signature says nothing about limits.
+func (j *job) recordLimit(p Place, info Told) {
+	if info.Limit < 0 && !info.Signed {
 		return
 	}
 	now := j.relay.Now()
-	if j.relay.Belief.Limited(p, told.Limit, now) {
-		j.logLimit(p, told.Limit)
+	if j.relay.Belief.Limited(p, info.Limit, now) {
+		j.logLimit(p, info.Limit)
 	}
 }
 
-// request is the caller's request as the endpoint gets it.
-func (j *job) request(p Place) *direct.Request {
+// endpointRequest returns the caller's request as it is sent to the endpoint.
+func (j *job) endpointRequest(p Place) *direct.Request {
 	h := caller.EndToEnd(j.raw.Header)
-	s := Stamp{Endpoint: p.Endpoint.ID, Left: j.end.Sub(j.relay.Now()), Urgency: j.urgency()}
+	s := Stamp{Endpoint: p.Endpoint.ID, Left: j.deadline.Sub(j.relay.Now()), Urgency: j.urgency()}
 	if j.account != nil {
 		s.Account = j.account.Name
 	}
-	if j.started {
-		s.Resume = formatID(j.last)
+	if j.headSent {
+		s.Resume = formatEventID(j.lastEventID)
 	}
 	j.relay.Dialect.WriteRequest(h, s)
 	return &direct.Request{
 		Method: j.raw.Method, Target: j.raw.Target, Host: j.raw.Host, Header: h, Body: j.raw.Body,
-		Mine:  j.mine,
+		Mine:  j.isOwnAnswer,
 		Fresh: !j.route.MayRepeat(),
 	}
 }
 
-// mine reports whether an answer names this request, or none.
-func (j *job) mine(h http.Header) bool {
+// isOwnAnswer reports whether an answer carries this request's ID, or none.
+func (j *job) isOwnAnswer(h http.Header) bool {
 	id := j.relay.Dialect.ReadAnswer(http.StatusOK, h).ID
 	return id == "" || id == j.facts.ID
 }
 
-// mostUrgency is the least urgent value that an endpoint takes.
-const mostUrgency = 9
+// maxUrgency is the least urgent value that endpoints accept.
+const maxUrgency = 9
 
 func (j *job) urgency() int {
 	p := j.route.Priority
 	if j.account != nil && j.account.Priority >= 0 {
 		p = j.account.Priority
 	}
-	return min(max(p, 0), mostUrgency)
+	return min(max(p, 0), maxUrgency)
 }
 
-// lost is the outcome of an exchange that brought no head of an answer.
-func (j *job) lost(err error) Outcome {
+// lostOutcome returns the outcome of an exchange that failed before or while the answer arrived.
+func (j *job) lostOutcome(err error) Outcome {
 	switch {
 	case direct.IsNotSent(err):
 		return NotRun{Code: result.EndpointDown, Cause: err}
-	case j.started:
-		return j.cut(err)
+	case j.headSent:
+		return j.brokenOutcome(err)
 	case errors.Is(err, context.Canceled):
 		return Gone{Cause: err}
 	default:
@@ -123,16 +123,16 @@
 	}
 }
 
-// cut is the outcome of a stream of which the caller has a part.
-func (j *job) cut(err error) Outcome {
+// brokenOutcome returns the outcome of a stream that failed after a part of it was forwarded.
+func (j *job) brokenOutcome(err error) Outcome {
 	if errors.Is(err, context.Canceled) {
 		return Gone{Cause: err}
 	}
 	return Broken{Cause: err}
 }
 
-// refusedCode names why an endpoint did not run a request.
-func refusedCode(t Told, status int) result.Code {
+// notRunCode returns the result code for a request that an endpoint did not run.
+func notRunCode(t Told, status int) result.Code {
 	switch {
 	case t.Wrong:
 		return result.NoEndpoint
@@ -143,9 +143,8 @@
 	}
 }
 
-// check refuses successes that are not the endpoint's own whole answer to this
-// request.
-func (j *job) check(a *direct.Answer, t Told) error {
+// checkAnswer rejects encoded bodies, and successes that are unsigned or answer another request.
+func (j *job) checkAnswer(a *direct.Answer, t Told) error {
 	switch {
 	case a.Header.Get("Content-Encoding") != "":
 		return errEncoded
@@ -154,20 +153,20 @@
 	case !t.Signed:
 		return errUnsigned
 	case t.ID != j.facts.ID:
-		return errUnnamed
+		return errRequestIDMismatch
 	}
 	return nil
 }
 
-// whole reads an answer to its end before any of it goes to the caller, so that
-// one which breaks off can still be asked for elsewhere.
-func (j *job) whole(ctx context.Context, p Place, a *direct.Answer) Outcome {
-	body, err := io.ReadAll(io.LimitReader(a, mostAnswer+1))
-	if err == nil && len(body) > mostAnswer {
-		err = errTooLong
+// forwardWhole reads the complete answer before it forwards any of it, so that the request can
+// still be sent to another endpoint if the answer is cut off.
+func (j *job) forwardWhole(ctx context.Context, p Place, a *direct.Answer) Outcome {
+	body, err := io.ReadAll(io.LimitReader(a, maxAnswerBytes+1))
+	if err == nil && len(body) > maxAnswerBytes {
+		err = errAnswerTooLarge
 	}
 	if err != nil {
-		return j.lostCtx(ctx, err)
+		return j.readErrorOutcome(ctx, err)
 	}
 	now := j.relay.Now()
 	j.relay.Belief.Heard(p, now)
@@ -175,24 +174,24 @@
 	if a.Status >= http.StatusInternalServerError {
 		return Failed{Answer: answer}
 	}
-	j.firstPart = now
+	j.firstPartAt = now
 	if err := j.reply.AnswerRaw(answer.Status, answer.Header, body); err != nil {
 		return Gone{Cause: err}
 	}
 	return Delivered{}
 }
 
-// lostCtx is lost for an answer that broke while it was read.
-func (j *job) lostCtx(ctx context.Context, err error) Outcome {
+// readErrorOutcome returns the outcome of an answer that failed while it was read.
+func (j *job) readErrorOutcome(ctx context.Context, err error) Outcome {
 	if ctx.Err() != nil {
 		err = errors.Join(ctx.Err(), err)
 	}
-	return j.lost(err)
+	return j.lostOutcome(err)
 }
 
-// stream passes events on as they come. The head goes to the caller with the
-// first event, so that an endpoint which fails before it can be replaced.
-func (j *job) stream(ctx context.Context, p Place, a *direct.Answer) Outcome {
+// forwardStream forwards events as they arrive. The header is sent to the caller with the first
+// event, so that another endpoint can take over if this one fails before that.
+func (j *job) forwardStream(ctx context.Context, p Place, a *direct.Answer) Outcome {
 	events := direct.NewEvents(a)
 	for {
 		ev, err := events.Next()
@@ -200,45 +199,45 @@
 			return j.endStream(a)
 		}
 		if err != nil {
-			return j.lostCtx(ctx, err)
+			return j.readErrorOutcome(ctx, err)
 		}
-		if ev.HasID && ev.ID <= j.last {
+		if ev.HasID && ev.ID <= j.lastEventID {
 			continue
 		}
-		if ev.HasID && ev.ID != j.last+1 {
-			return j.lostCtx(ctx, errOrder)
+		if ev.HasID && ev.ID != j.lastEventID+1 {
+			return j.readErrorOutcome(ctx, errEventOrder)
 		}
-		if err := j.pass(p, a, ev); err != nil {
+		if err := j.forwardEvent(p, a, ev); err != nil {
 			return Gone{Cause: err}
 		}
 	}
 }
 
-func (j *job) pass(p Place, a *direct.Answer, ev direct.Event) error {
+func (j *job) forwardEvent(p Place, a *direct.Answer, ev direct.Event) error {
 	now := j.relay.Now()
 	j.relay.Belief.Heard(p, now)
-	if pause := now.Sub(j.lastPart); j.started && pause > j.longestPause {
-		j.longestPause, j.pauseEnded = pause, now
+	if pause := now.Sub(j.lastPartAt); j.headSent && pause > j.longestPause {
+		j.longestPause, j.pauseEndedAt = pause, now
 	}
-	j.lastPart = now
-	if !j.started {
-		j.started, j.firstPart = true, now
+	j.lastPartAt = now
+	if !j.headSent {
+		j.headSent, j.firstPartAt = true, now
 		if err := j.reply.BeginRaw(a.Status, caller.EndToEnd(a.Header)); err != nil {
 			return err
 		}
 	}
 	if ev.HasID {
-		j.last = ev.ID
+		j.lastEventID = ev.ID
 	}
 	return j.reply.Piece(ev.Raw)
 }
 
 func (j *job) endStream(a *direct.Answer) Outcome {
-	if !j.started {
+	if !j.headSent {
 		if err := j.reply.BeginRaw(a.Status, caller.EndToEnd(a.Header)); err != nil {
 			return Gone{Cause: err}
 		}
-		j.started = true
+		j.headSent = true
 	}
 	if err := j.reply.End(); err != nil {
 		return Gone{Cause: err}
@@ -246,7 +245,7 @@
 	return Delivered{}
 }
 
-// Sweep closes connections that were unused for long, until ctx ends.
+// Sweep closes idle connections once a second until ctx ends.
 func (r *Relay) Sweep(ctx context.Context) error {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
--- a/internal/relay/belief.go
+++ b/internal/relay/belief.go
@@ -15,159 +15,158 @@
 )
 
 const (
-	// lapseHold is how long entries of endpoints that vanished while the store
-	// was away hold after its return: living endpoints write theirs again
-	// within about two seconds.
+	// lapseHold is how long, after the store comes back, endpoints whose entries vanished while it
+	// was away are kept. Running endpoints write their entries again within about two seconds.
 	lapseHold = 2 * time.Second
-	// startHold is how long after its start a process holds requests until it
+	// startupHold is how long after its start the process holds requests that arrive before it
 	// knows a configuration.
-	startHold = time.Second
-	// plainSlots is what a plain service's endpoint bears if it doesn't say.
-	plainSlots = 4
-	// reportEvery is how often endpoints without load reports are told to the
-	// picture anew, well within the age at which it takes a load for unknown.
-	reportEvery = time.Second
-	// loadStale is the age from which a load report is no better than this
-	// entry's own count: by then half of what ran has ended.
-	loadStale = 1500 * time.Millisecond
-	// workStale is the age from which what another entry told of its work
-	// counts no more. Entries tell of it at least once a second.
-	workStale = 2500 * time.Millisecond
-	// failuresInARow is from which reported failure on an endpoint is left
-	// alone for a while.
-	failuresInARow = 2
-	// queueBeyond is how many requests beyond its slots a plain service's
-	// endpoint is given. Its work takes a fifth of the target, so a short queue
-	// there ends in time and keeps it busy.
-	queueBeyond = 4
+	startupHold = time.Second
+	// defaultSlots is the number of slots of an endpoint that reports none.
+	defaultSlots = 4
+	// reportInterval is how often the selector gets a new report of endpoints without load reports.
+	// It is well below the age at which the selector treats a load as unknown.
+	reportInterval = time.Second
+	// maxLoadAge is the age from which a load report is no better than this entry's own count: half
+	// of the requests that ran then have ended.
+	maxLoadAge = 1500 * time.Millisecond
+	// maxWorkAge is the age from which another entry's report of its work is ignored. Entries
+	// report at least once a second.
+	maxWorkAge = 2500 * time.Millisecond
+	// failureThreshold is the number of reported failures in a row after which an endpoint gets no
+	// requests for a while.
+	failureThreshold = 2
+	// extraQueue is how many requests beyond its slots an endpoint of a service without engines may
+	// be sent. A request there takes a fifth of the latency target, so a short queue ends in time
+	// and keeps the endpoint busy.
+	extraQueue = 4
 )
 
 // Budget is the retry budget of the whole fleet.
 type Budget struct {
-	// Share of the requests may be sent once more, and Slack more in each
-	// Window.
+	// Share is the fraction of requests that may be retried. Slack is the number of further retries
+	// allowed in each Window.
 	Share, Slack float64
 	Window       time.Duration
 }
 
-// Load is what is known of one endpoint's work, from a process beside it.
+// Load is one endpoint's load as reported by a process beside it.
 type Load struct {
 	// Address is the endpoint's IP:port.
 	Address         string
 	Running, Queued int
-	// Pace is how many times slower than usual the endpoint works; zero means
-	// unknown.
+	// Pace is the slowdown factor of the endpoint relative to its usual speed; zero means unknown.
 	Pace float64
-	// Closed says that the endpoint's group takes no requests, and Forming that
-	// it is about to.
+	// Closed means that the endpoint's group accepts no requests, and Forming that the group is
+	// about to accept them.
 	Closed, Forming bool
-	// At is when it was true, by this process's clock.
+	// At is when the load was measured, by this process's clock.
 	At time.Time
 }
 
-// Work is what another entry has given to endpoints.
+// Work is what another entry reports of its requests at endpoints.
 type Work struct {
-	// Entry is the entry's name; Born and Number order its messages.
+	// Entry is the entry's name. Born and Number order its messages.
 	Entry        string
 	Born, Number uint64
-	// Running holds the requests under way by endpoint id.
+	// Running holds the number of running requests by endpoint ID.
 	Running map[string]int
-	// Waiting names the services for which requests wait.
+	// Waiting lists the services with waiting requests.
 	Waiting []string
-	// At is when the message came.
+	// At is when the message arrived.
 	At time.Time
 }
 
-// Belief is what an entry believes of configuration, endpoints and load. Set
-// the exported fields before the first call. It is safe for concurrent use.
+// Belief is an entry's view of the configuration, the endpoints and their load, and its queue of
+// waiting requests. Set the exported fields, then call Begin before any other method. It is safe
+// for concurrent use.
 type Belief struct {
 	DataCentre string
 	// Name is the entry's own name.
 	Name string
 	Seed uint64
-	// Fresh is the age of what the process knows.
+	// Fresh tracks how old the known configuration and keys are.
 	Fresh *Freshness
-	// Changed, when set, is called when this entry's own work has changed. It
-	// must not block.
+	// Changed, if set, is called when this entry's own work or a limit reported to it changes, with
+	// an internal lock held. It must not block and must not call methods of the Belief.
 	Changed func()
 
-	mu        sync.Mutex // guards all below
-	retry     Budget
-	table     *routing.Table
-	dir       directory.Directory
-	picture   placement.Picture
-	cold      Shares
-	limited   Shares
-	budgets   map[string]*admission.RetryBudget
-	entries   map[string]time.Time // last seen; zero: listed now
-	endpoints map[string]directory.Endpoint
-	addresses map[string]directory.Endpoint
-	loads     map[string]Load
-	works     map[string]Work
-	// given is what all of works together have given, by endpoint.
-	given   map[string]int
-	queue   admission.Controller
-	waiters map[string]*waiter
-	gaps    map[string]time.Duration
-	longest map[string]time.Duration
-	turns   turns
-	// failures counts the failures in a row that an endpoint reported.
-	failures map[string]int
-	limits   limits
-	outages  outages
-	times    answerTimes
-	// probed is when a request last found out whether the group of a service is
-	// open.
-	probed map[string]time.Time
-	// arrivals measures the requests that come anew by service, and lateRunning
-	// counts those under way that could not be on time any more.
-	arrivals    map[string]*arrivals
+	mu           sync.Mutex // guards the fields below
+	retry        Budget
+	table        *routing.Table
+	dir          directory.Directory
+	selector     placement.Picture
+	coldShares   Shares
+	limitShares  Shares
+	retryBudgets map[string]*admission.RetryBudget
+	entries      map[string]time.Time // when the entry was delisted; zero while listed
+	endpoints    map[string]directory.Endpoint
+	addresses    map[string]directory.Endpoint
+	loads        map[string]Load
+	works        map[string]Work
+	// othersRunning is the sum of the running requests in works, by endpoint.
+	othersRunning   map[string]int
+	queue           admission.Controller
+	waiters         map[string]*waiter
+	maxPauses       map[string]time.Duration
+	longestTimeLeft map[string]time.Duration
+	recentStarts    startHistory
+	// failures counts the consecutive failures that each endpoint reported.
+	failures  map[string]int
+	limits    limits
+	outages   outages
+	latencies answerLatencies
+	// lastProbe is when a request was last sent to probe whether a service's group is open.
+	lastProbe map[string]time.Time
+	// arrivals measures the rate of new requests by service. lateRunning counts the running
+	// requests that were late when they were assigned.
+	arrivals    map[string]*arrivalRate
 	lateRunning map[string]int
-	// movables holds the attempts that may be moved, by endpoint, and attempts
-	// how many there were.
-	movables map[string]map[*attemptRun]bool
-	attempts uint64
-	own      map[string]int
-	fed      time.Time
-	dirty    bool
-	listed   bool
-	// known is closed when a configuration and the endpoints are known.
-	known chan struct{}
-	began time.Time
+	// movable holds the running attempts that may be moved, by endpoint. attemptSeq is the number
+	// of the last one.
+	movable         map[string]map[*movableAttempt]bool
+	attemptSeq      uint64
+	ownRunning      map[string]int
+	refreshedAt     time.Time
+	dirty           bool
+	endpointsListed bool
+	// ready is closed when a configuration and the endpoints are known.
+	ready     chan struct{}
+	startedAt time.Time
 }
 
-// Begin prepares the belief.
+// Begin initialises b. The time now counts as the start of the process.
 func (b *Belief) Begin(now time.Time) {
 	b.dir.LapseHold = lapseHold
 	b.dir.ColdStart = b.coldStart
-	b.picture = placement.Picture{DataCentre: b.DataCentre, Seed: b.Seed, Entries: 1}
-	b.budgets = map[string]*admission.RetryBudget{}
+	b.selector = placement.Picture{DataCentre: b.DataCentre, Seed: b.Seed, Entries: 1}
+	b.retryBudgets = map[string]*admission.RetryBudget{}
 	b.entries = map[string]time.Time{}
 	b.endpoints = map[string]directory.Endpoint{}
 	b.loads = map[string]Load{}
 	b.works = map[string]Work{}
-	b.given = map[string]int{}
+	b.othersRunning = map[string]int{}
 	b.waiters = map[string]*waiter{}
-	b.longest = map[string]time.Duration{}
-	b.queue.MaxWaiting = mostWaiting
-	b.own = map[string]int{}
+	b.longestTimeLeft = map[string]time.Duration{}
+	b.queue.MaxWaiting = maxWaiting
+	b.ownRunning = map[string]int{}
 	b.failures = map[string]int{}
-	b.probed = map[string]time.Time{}
-	b.arrivals = map[string]*arrivals{}
+	b.lastProbe = map[string]time.Time{}
+	b.arrivals = map[string]*arrivalRate{}
 	b.lateRunning = map[string]int{}
-	b.known = make(chan struct{})
-	b.cold.Name, b.limited.Name = b.Name, b.Name
-	b.began = now
+	b.ready = make(chan struct{})
+	b.coldShares.Name, b.limitShares.Name = b.Name, b.Name
+	b.startedAt = now
 }
 
-// SetRetry sets the fleet's retry budget; this entry takes its share.
+// SetRetry sets the fleet's retry budget, of which this entry uses its share.
 func (b *Belief) SetRetry(r Budget) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.retry = r
 }
 
-// coldStart runs with mu held, from the directory.
+// coldStart returns how long a starting endpoint of a service is cold. The directory calls it with
+// mu held.
 func (b *Belief) coldStart(service string) time.Duration {
 	if b.table == nil {
 		return 0
@@ -179,19 +178,16 @@
 	return s.ColdStart
 }
 
-// Table returns the configuration in force, or nil before there is one.
+// Table returns the current configuration, or nil if there is none yet.
 func (b *Belief) Table() *routing.Table {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.table
 }
 
-// SetTable takes in a configuration. It returns false for one that is not
-// newer.
-//
-// Guard: a repeated or overtaken answer of the store would put an older
-// configuration back into force, with routes and keys that operators have taken
-// away. Versions only grow, so the newer one stays.
+// SetTable replaces the configuration and reports whether t is newer than the current one. It
+// ignores any other table: a repeated or delayed answer of the store must not bring back routes and
+// keys that operators have removed. Versions only increase.
 func (b *Belief) SetTable(t *routing.Table, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -199,31 +195,31 @@
 		return false
 	}
 	b.table = t
-	b.noteKnown()
+	b.signalReady()
 	b.dirty = true
-	b.gaps = t.Gaps()
-	if err := b.queue.Configure(limitsOf(t), now); err != nil {
-		// The names of accounts are all that is configured, and they differ.
+	b.maxPauses = t.Gaps()
+	if err := b.queue.Configure(accountLimits(t), now); err != nil {
+		// Only the account names are configured, and they are distinct.
 		panic(err)
 	}
 	return true
 }
 
-// limitsOf lists the accounts, which have no limits of their own, and the one of
-// requests without an account.
-func limitsOf(t *routing.Table) []admission.Limits {
-	limits := []admission.Limits{{Account: anonymous}}
+// accountLimits returns the accounts and the one for requests without an account. None of them has
+// limits.
+func accountLimits(t *routing.Table) []admission.Limits {
+	limits := []admission.Limits{{Account: anonymousAccount}}
 	for _, name := range t.Accounts() {
 		limits = append(limits, admission.Limits{Account: name})
 	}
 	return limits
 }
 
-// anonymous names the account of requests that have none. No account's name has
-// a space in it.
-const anonymous = "no account"
+// anonymousAccount is the account of requests without one. Account names contain no space, so it
+// can't clash.
+const anonymousAccount = "no account"
 
-// Change changes the directory.
+// Change calls f with the directory. f must not call methods of b.
 func (b *Belief) Change(f func(*directory.Directory)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -231,63 +227,62 @@
 	b.dirty = true
 }
 
-// Listed notes that all endpoints have been read once.
+// Listed records that all endpoints have been read once.
 func (b *Belief) Listed() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.listed = true
-	b.noteKnown()
+	b.endpointsListed = true
+	b.signalReady()
 }
 
-// noteKnown closes known once there is all that a request needs, with mu held.
-func (b *Belief) noteKnown() {
-	if b.table != nil && b.listed && !b.Known() {
-		close(b.known)
+// signalReady closes ready once the configuration and the endpoints are known. mu must be held.
+func (b *Belief) signalReady() {
+	if b.table != nil && b.endpointsListed && !b.Known() {
+		close(b.ready)
 	}
 }
 
-// AwaitKnown waits until a configuration and the endpoints are known, if the
-// process has begun less than startHold ago, or until ctx ends.
+// AwaitKnown waits until a configuration and the endpoints are known, or ctx ends, or startupHold
+// has passed since the start of the process.
 //
-// Load: all processes of a fleet start anew, and callers come before the store has
-// told what is in force, within a few tenths of a second. Harm prevented: they are
-// refused, and most have asked for the last time. A process that still knows
-// nothing after that refuses at once: the store may be away for long.
+// When a whole fleet restarts, callers arrive a few tenths of a second before the store has
+// delivered the configuration. If they were refused, most of them would have used up their last
+// attempt. After startupHold requests are refused at once, as the store may be away for long.
 func (b *Belief) AwaitKnown(ctx context.Context, now time.Time) {
-	left := startHold - now.Sub(b.began)
+	left := startupHold - now.Sub(b.startedAt)
 	if left <= 0 {
 		return
 	}
 	t := time.NewTimer(left)
 	defer t.Stop()
 	select {
-	case <-b.known:
+	case <-b.ready:
 	case <-t.C:
 	case <-ctx.Done():
 	}
 }
 
-// Known reports whether the process knows a configuration and the endpoints.
+// Known reports whether a configuration and the endpoints are known.
 func (b *Belief) Known() bool {
 	select {
-	case <-b.known:
+	case <-b.ready:
 		return true
 	default:
 		return false
 	}
 }
 
-// LongestLeft returns the most time that a caller of the route has had left,
-// with the one given now.
+// LongestLeft records the time that a caller of the route has left and returns the largest value
+// recorded for the route.
 func (b *Belief) LongestLeft(route string, left time.Duration) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.longest[route] = max(b.longest[route], left)
-	return b.longest[route]
+	b.longestTimeLeft[route] = max(b.longestTimeLeft[route], left)
+	return b.longestTimeLeft[route]
 }
 
-// Waiting returns the services for which requests wait here that can be on time.
-// The others lay no claim to a part of the places.
+// Waiting returns the services with waiting requests that can meet their target. Late requests
+// claim no share of the slots.
 func (b *Belief) Waiting() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -296,39 +291,38 @@
 		return out
 	}
 	for _, w := range b.waiters {
-		if w.waits && !w.late && !slices.Contains(out, w.ask.Service.Name) {
+		if w.queued && !w.late && !slices.Contains(out, w.ask.Service.Name) {
 			out = append(out, w.ask.Service.Name)
 		}
 	}
 	return out
 }
 
-// Own returns the requests that this entry has under way by endpoint id.
+// Own returns the number of this entry's running requests by endpoint ID.
 func (b *Belief) Own() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return maps.Clone(b.own)
+	return maps.Clone(b.ownRunning)
 }
 
-// Turned notes for how long an endpoint says that it is cold.
+// Turned records how long an endpoint reports that it will stay cold.
 func (b *Belief) Turned(id string, cold time.Duration, now time.Time) {
 	b.Change(func(d *directory.Directory) { d.Turned(id, cold, now) })
 }
 
-// Misdirected notes that another endpoint answered at the address of a place.
+// Misdirected records that another endpoint answered at the address of a place.
 func (b *Belief) Misdirected(p Place) {
 	b.Change(func(d *directory.Directory) { d.Misdirected(p.Endpoint.ID, p.Endpoint.Born) })
 }
 
-// Endpoints returns how many endpoints may be sent new work.
+// Endpoints returns the number of endpoints that may be sent new requests.
 func (b *Belief) Endpoints(now time.Time) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.dir.Endpoints(now))
 }
 
-// LoadAge returns the age of the newest load report of an endpoint, or zero when
-// there is none.
+// LoadAge returns the age of the most recent load report, or zero if there is none.
 func (b *Belief) LoadAge(now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -344,14 +338,14 @@
 	return now.Sub(newest)
 }
 
-// Refusal returns a refusal of a request for a service, with when to come back.
-func (b *Belief) Refusal(service string, why result.Code, now time.Time) *result.Error {
+// Refusal returns the refusal of a request for a service, with a retry time.
+func (b *Belief) Refusal(service string, code result.Code, now time.Time) *result.Error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.refusal(service, why, now)
+	return b.refusal(service, code, now)
 }
 
 // refusal is Refusal with mu held.
-func (b *Belief) refusal(service string, why result.Code, now time.Time) *result.Error {
-	return result.New(why, "").WithRetryAfter(b.outages.comeBack(service, retryAfterFor(why), now))
+func (b *Belief) refusal(service string, code result.Code, now time.Time) *result.Error {
+	return result.New(code, "").WithRetryAfter(b.outages.retryAfter(service, retryAfterFor(code), now))
 }
--- a/internal/relay/belief_test.go
+++ b/internal/relay/belief_test.go
@@ -15,8 +15,8 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// engine is that of the deployments: 12 requests at once, 4 steps a pass.
-func engine() *routing.Engine {
+// testEngine returns the engine of the deployments: 12 concurrent requests, 4 steps per pass.
+func testEngine() *routing.Engine {
 	return &routing.Engine{
 		Slots: 12, Stride: 4, Step: 4550 * time.Microsecond, PerSequence: 905 * time.Microsecond,
 		PerThousand: 18 * time.Microsecond, MeanPrompt: 835, MeanOutput: 97,
@@ -24,7 +24,7 @@
 	}
 }
 
-func tableOf(version uint64, services ...*routing.Service) *routing.Table {
+func newTable(version uint64, services ...*routing.Service) *routing.Table {
 	var routes []*routing.Route
 	for _, s := range services {
 		routes = append(routes, &routing.Route{
@@ -38,11 +38,11 @@
 func newBelief(name string, services ...*routing.Service) *Belief {
 	b := &Belief{Name: name, DataCentre: "a", Seed: 1, Fresh: &Freshness{}}
 	b.Begin(start)
-	b.SetTable(tableOf(1, services...), start)
+	b.SetTable(newTable(1, services...), start)
 	return b
 }
 
-func list(b *Belief, n int, service string) {
+func listEndpoints(b *Belief, n int, service string) {
 	b.Change(func(d *directory.Directory) {
 		for i := range n {
 			d.Put(directory.Entry{
@@ -54,35 +54,35 @@
 	b.Listed()
 }
 
-// A late answer of the store tells of an older configuration, with a key that was
-// taken away since.
+// Guards against a delayed answer of the store that brings back an older configuration, with a key
+// that has been revoked since.
 func TestOlderConfigurationDoesNotComeBack(t *testing.T) {
 	b := newBelief("me", &routing.Service{Name: "quotes"})
-	if !b.SetTable(tableOf(9), start) || b.SetTable(tableOf(8), start) || b.SetTable(tableOf(9), start) {
-		t.Fatal("an older table was taken")
+	if !b.SetTable(newTable(9), start) || b.SetTable(newTable(8), start) || b.SetTable(newTable(9), start) {
+		t.Fatal("a table that is not newer was accepted")
 	}
 	if v := b.Table().Version(); v != 9 {
 		t.Fatalf("version %d", v)
 	}
 }
 
-// Nine entries place requests on twelve engines that run in lock-step; the
-// fullest engine slows all of them. Arrivals are Poisson at the usual rate of
-// heavy days (56 a second that last 1.3 s each, so six an engine), and entries
-// hear of each other's work 25 ms late.
+// Nine entries place requests on twelve engines that run in lockstep, so the fullest engine slows
+// all of them. Arrivals are Poisson at the usual rate of busy days (56 per second that last 1.3 s
+// each, so six per engine), and entries learn of each other's work up to 25 ms late. Guards against
+// an uneven distribution.
 func TestEntriesFillEnginesEvenly(t *testing.T) {
 	const entries, engines, rate, lasts = 9, 12, 56.0, 1300 * time.Millisecond
 	for seed := range uint64(5) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		fleet := make([]*Belief, entries)
 		for i := range fleet {
-			fleet[i] = newBelief(fmt.Sprintf("entry%d", i), &routing.Service{Name: "quotes", Engine: engine()})
-			list(fleet[i], engines, "quotes")
+			fleet[i] = newBelief(fmt.Sprintf("entry%d", i), &routing.Service{Name: "quotes", Engine: testEngine()})
+			listEndpoints(fleet[i], engines, "quotes")
 		}
-		w := &fleetWorld{fleet: fleet, engines: engines}
+		w := &fleetModel{fleet: fleet, engines: engines}
 		for ms := range 15000 {
 			now := start.Add(time.Duration(ms) * time.Millisecond)
-			w.endDue(now)
+			w.endExpired(now)
 			if ms%25 == 0 {
 				w.exchange(now)
 			}
@@ -90,23 +90,23 @@
 				w.place(rng.IntN(entries), now, lasts)
 			}
 			if ms > 3000 {
-				w.look()
+				w.sampleExcess()
 			}
 		}
-		if mean := w.excess / float64(w.looks); mean > 2.2 {
+		if mean := w.excessSum / float64(w.samples); mean > 2.2 {
 			t.Fatalf("seed %d: the fullest engine has %.2f requests more than the mean", seed, mean)
 		}
 	}
 }
 
-// fleetWorld is entries and engines without a network.
-type fleetWorld struct {
-	fleet   []*Belief
-	engines int
-	open    []openRequest
-	number  uint64
-	excess  float64
-	looks   int
+// fleetModel simulates entries and engines without a network.
+type fleetModel struct {
+	fleet     []*Belief
+	engines   int
+	open      []openRequest
+	number    uint64
+	excessSum float64
+	samples   int
 }
 
 type openRequest struct {
@@ -115,7 +115,7 @@
 	until time.Time
 }
 
-func (w *fleetWorld) place(i int, now time.Time, lasts time.Duration) {
+func (w *fleetModel) place(i int, now time.Time, lasts time.Duration) {
 	b := w.fleet[i]
 	p, e := b.Choose(b.Table().Service("quotes"), placement.Query{Tokens: 900}, now)
 	if e == nil {
@@ -123,20 +123,20 @@
 	}
 }
 
-func (w *fleetWorld) endDue(now time.Time) {
-	rest := w.open[:0]
+func (w *fleetModel) endExpired(now time.Time) {
+	remaining := w.open[:0]
 	for _, o := range w.open {
 		if now.Before(o.until) {
-			rest = append(rest, o)
+			remaining = append(remaining, o)
 			continue
 		}
 		w.fleet[o.entry].Heard(o.place, now)
 		w.fleet[o.entry].Ended(o.place, Delivered{}, now)
 	}
-	w.open = rest
+	w.open = remaining
 }
 
-func (w *fleetWorld) exchange(now time.Time) {
+func (w *fleetModel) exchange(now time.Time) {
 	w.number++
 	works := make([]Work, 0, len(w.fleet))
 	for _, from := range w.fleet {
@@ -147,24 +147,25 @@
 	}
 }
 
-func (w *fleetWorld) look() {
+func (w *fleetModel) sampleExcess() {
 	n := map[string]int{}
 	for _, o := range w.open {
 		n[o.place.Endpoint.ID]++
 	}
-	top := 0
+	maxRunning := 0
 	for _, k := range n {
-		top = max(top, k)
+		maxRunning = max(maxRunning, k)
 	}
-	w.excess += float64(top) - float64(len(w.open))/float64(w.engines)
-	w.looks++
+	w.excessSum += float64(maxRunning) - float64(len(w.open))/float64(w.engines)
+	w.samples++
 }
 
-// One of twelve engines turns six times slower; all passes wait for it, so all
-// look alike to entries. Its report names it.
+// One engine of a group is six times slower. All passes wait for it, so entries observe the same
+// latency from all engines, and only its load report identifies it. Guards against requests that
+// are sent to the slow engine all the same.
 func TestSlowEngineGetsNoRequests(t *testing.T) {
-	b := newBelief("me", &routing.Service{Name: "quotes", Engine: engine()})
-	list(b, 4, "quotes")
+	b := newBelief("me", &routing.Service{Name: "quotes", Engine: testEngine()})
+	listEndpoints(b, 4, "quotes")
 	now := start
 	_, _ = b.Choose(b.Table().Service("quotes"), placement.Query{}, now)
 	loads := []Load{{Address: "10.0.0.2:1", Pace: 6.3, At: now}}
@@ -183,15 +184,15 @@
 	}
 }
 
-// clockAt returns a clock that stands still.
-func clockAt(now time.Time) func() time.Time { return func() time.Time { return now } }
+// fixedClock returns a clock that always reads now.
+func fixedClock(now time.Time) func() time.Time { return func() time.Time { return now } }
 
-func askFor(id string, s *routing.Service, now time.Time) Ask {
-	return Ask{Service: s, ID: id, Account: anonymous, TargetTime: 500 * time.Millisecond, Target: now.Add(500 * time.Millisecond), End: now.Add(8 * time.Second)}
+func newAsk(id string, s *routing.Service, now time.Time) Ask {
+	return Ask{Service: s, ID: id, Account: anonymousAccount, TargetTime: 500 * time.Millisecond, Target: now.Add(500 * time.Millisecond), End: now.Add(8 * time.Second)}
 }
 
-// fill gives every place of a service away.
-func fill(t *testing.T, b *Belief, s *routing.Service, now time.Time) []Place {
+// takeAllPlaces takes all places of a service.
+func takeAllPlaces(t *testing.T, b *Belief, s *routing.Service, now time.Time) []Place {
 	t.Helper()
 	var out []Place
 	for {
@@ -203,19 +204,19 @@
 	}
 }
 
-// All engines are full for a moment. A request waits for the place that a stream
-// gives free instead of being refused, because it can still be on time.
+// All engines are full for a moment. Guards against the refusal of a request that can still meet
+// its target in the slot of a stream that ends.
 func TestRequestWaitsForAPlace(t *testing.T) {
-	b := newBelief("me", &routing.Service{Name: "quotes", Engine: engine()})
-	list(b, 2, "quotes")
+	b := newBelief("me", &routing.Service{Name: "quotes", Engine: testEngine()})
+	listEndpoints(b, 2, "quotes")
 	s := b.Table().Service("quotes")
-	held := fill(t, b, s, start)
-	if want := 2 * batch.MostWriters(engine(), 120*time.Millisecond); len(held) != want {
+	held := takeAllPlaces(t, b, s, start)
+	if want := 2 * batch.MostWriters(testEngine(), 120*time.Millisecond); len(held) != want {
 		t.Fatalf("%d places, want %d", len(held), want)
 	}
 	done := make(chan *result.Error, 1)
 	go func() {
-		_, e := b.Admit(context.Background(), askFor("r1", s, start), clockAt(start))
+		_, e := b.Admit(context.Background(), newAsk("r1", s, start), fixedClock(start))
 		done <- e
 	}()
 	for len(b.Waiting()) == 0 {
@@ -227,60 +228,60 @@
 	}
 }
 
-// Engines stay full. A request is refused at the moment from which its answer
-// would be late, and not held until its caller gives up.
+// Engines stay full. Guards against a request that is held until its caller gives up, instead of
+// being refused when its answer would be late.
 func TestRequestIsRefusedWhenItsTargetIsOutOfReach(t *testing.T) {
-	b := newBelief("me", &routing.Service{Name: "quotes", Engine: engine()})
-	list(b, 1, "quotes")
+	b := newBelief("me", &routing.Service{Name: "quotes", Engine: testEngine()})
+	listEndpoints(b, 1, "quotes")
 	s := b.Table().Service("quotes")
-	fill(t, b, s, start)
+	takeAllPlaces(t, b, s, start)
 	began := time.Now()
 	clock := func() time.Time { return start.Add(time.Since(began)) }
-	_, e := b.Admit(context.Background(), askFor("r1", s, start), clock)
+	_, e := b.Admit(context.Background(), newAsk("r1", s, start), clock)
 	if e == nil || e.Code().Effect() != result.NotRun || e.RetryAfter() <= 0 {
 		t.Fatalf("%v", e)
 	}
 	if n := len(b.Waiting()); n != 0 {
-		t.Fatalf("%d services still wait", n)
+		t.Fatalf("%d services still have waiting requests", n)
 	}
 }
 
-// The service has no endpoint at all. Waiting changes nothing, so callers hear
-// of it at once.
-func TestNothingToWaitFor(t *testing.T) {
-	b := newBelief("me", &routing.Service{Name: "quotes", Engine: engine()})
+// Guards against requests that wait for a service without any endpoint, for which waiting is
+// pointless.
+func TestNoEndpointIsRefusedAtOnce(t *testing.T) {
+	b := newBelief("me", &routing.Service{Name: "quotes", Engine: testEngine()})
 	b.Listed()
-	_, e := b.Admit(context.Background(), askFor("r1", b.Table().Service("quotes"), start), clockAt(start))
+	_, e := b.Admit(context.Background(), newAsk("r1", b.Table().Service("quotes"), start), fixedClock(start))
 	if e == nil || e.Code() != result.NoEndpoint {
 		t.Fatalf("%v", e)
 	}
 }
 
-// A caller leaves while its request waits; its place must not be lost.
+// Guards against a slot that is lost when a caller disconnects while its request waits.
 func TestCallerLeavesWhileItWaits(t *testing.T) {
-	b := newBelief("me", &routing.Service{Name: "quotes", Engine: engine()})
-	list(b, 1, "quotes")
+	b := newBelief("me", &routing.Service{Name: "quotes", Engine: testEngine()})
+	listEndpoints(b, 1, "quotes")
 	s := b.Table().Service("quotes")
-	held := fill(t, b, s, start)
+	held := takeAllPlaces(t, b, s, start)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, e := b.Admit(ctx, askFor("r1", s, start), clockAt(start)); e == nil {
+	if _, e := b.Admit(ctx, newAsk("r1", s, start), fixedClock(start)); e == nil {
 		t.Fatal("placed")
 	}
 	b.Ended(held[0], Delivered{}, start)
 	if p, e := b.Choose(s, placement.Query{}, start); e != nil {
-		t.Fatalf("the free place is lost: %v", e)
+		t.Fatalf("the free slot is lost: %v", e)
 	} else if p.Endpoint.ID == "" {
 		t.Fatal("no endpoint")
 	}
 }
 
-// All but one endpoint of a service have been taken away. One in seven look-ups
-// fails for its own reasons; after each the last endpoint was left alone, and
-// callers were refused though it had places.
+// A service has one endpoint left, and one in seven of its requests fails for reasons of its own.
+// Guards against the exclusion of the endpoint after each failure, by which callers were refused
+// although it had free slots.
 func TestLastEndpointIsNotLeftAloneForOneFailure(t *testing.T) {
 	b := newBelief("me", &routing.Service{Name: "orders"})
-	list(b, 1, "orders")
+	listEndpoints(b, 1, "orders")
 	s := b.Table().Service("orders")
 	now := start
 	for i := range 50 {
@@ -295,10 +296,10 @@
 		}
 		b.Ended(p, Delivered{}, now)
 	}
-	t.Run("one that fails again and again is", func(t *testing.T) {
+	t.Run("repeated failures exclude the endpoint", func(t *testing.T) {
 		p, _ := b.Choose(s, placement.Query{}, now)
 		b.Ended(p, Delivered{}, now)
-		for range failuresInARow {
+		for range failureThreshold {
 			p, e := b.Choose(s, placement.Query{}, now)
 			if e != nil {
 				t.Fatal(e)
@@ -306,7 +307,7 @@
 			b.Ended(p, Failed{Answer: &Whole{Status: 500}}, now)
 		}
 		if _, e := b.Choose(s, placement.Query{}, now); e == nil {
-			t.Fatal("it is asked on at once")
+			t.Fatal("no backoff after repeated failures")
 		}
 	})
 }
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -9,23 +9,23 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/routing"
 )
 
-// benchSizes are numbers of engines of a service, those of the sites so far and beyond.
+// benchSizes are numbers of engines of a service, as in existing deployments and beyond.
 var benchSizes = []int{12, 64, 129, 512}
 
-// benchBelief is what an entry of a fleet of 36 believes of n engines.
+// benchBelief returns the view of an entry in a fleet of 36 with n engines.
 func benchBelief(n int) (*Belief, *routing.Service) {
-	e := engine()
+	e := testEngine()
 	e.Experts.Sets = 12
 	b := newBelief("entry0", &routing.Service{Name: "quotes", Engine: e})
-	list(b, n, "quotes")
+	listEndpoints(b, n, "quotes")
 	for i := range 36 {
 		b.SetEntry(fmt.Sprint("entry", i), true, start)
 	}
 	return b, b.Table().Service("quotes")
 }
 
-// loadsOf is what leaders tell of n engines.
-func loadsOf(n int, now time.Time) []Load {
+// newLoads returns the leaders' load reports for n engines.
+func newLoads(n int, now time.Time) []Load {
 	loads := make([]Load, 0, n)
 	for i := range n {
 		loads = append(loads, Load{Address: fmt.Sprintf("10.0.0.%d:1", i), Running: i % 5, Pace: 1, At: now})
@@ -33,20 +33,20 @@
 	return loads
 }
 
-// BenchmarkAdmit is a request's way through all decisions: a place, its first part, its
-// end.
+// BenchmarkAdmit measures all decisions for one request: its admission, the first part of its
+// answer and its end.
 func BenchmarkAdmit(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("engines=", n), func(b *testing.B) {
 			belief, s := benchBelief(n)
 			now := start
 			clock := func() time.Time { return now }
-			belief.SetLoads(loadsOf(n, now), now)
+			belief.SetLoads(newLoads(n, now), now)
 			b.ReportAllocs()
 			for i := range b.N {
 				now = now.Add(time.Millisecond)
 				p, e := belief.Admit(context.Background(), Ask{
-					Service: s, ID: fmt.Sprint(i), Account: anonymous, Target: now.Add(400 * time.Millisecond),
+					Service: s, ID: fmt.Sprint(i), Account: anonymousAccount, Target: now.Add(400 * time.Millisecond),
 					End: now.Add(8 * time.Second), TargetTime: 400 * time.Millisecond,
 				}, clock)
 				if e != nil {
@@ -59,7 +59,8 @@
 	}
 }
 
-// BenchmarkSetLoads is a leader's word of all engines, which comes ten times a second.
+// BenchmarkSetLoads measures a leader's load report for all engines, which arrives ten times per
+// second.
 func BenchmarkSetLoads(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("engines=", n), func(b *testing.B) {
@@ -69,7 +70,7 @@
 			for range b.N {
 				now = now.Add(time.Millisecond)
 				b.StopTimer()
-				loads := loadsOf(n, now)
+				loads := newLoads(n, now)
 				b.StartTimer()
 				belief.SetLoads(loads, now)
 			}
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -6,37 +6,37 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/caller/admission"
 )
 
-// First counts a request of a service towards the retry budget.
+// First counts a first attempt towards the retry budget of a service.
 func (b *Belief) First(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget(service, now).First(now)
 }
 
-// Spend takes one retry from the budget of a service, if there is one left.
+// Spend takes one retry from the budget of a service and reports whether there was one.
 func (b *Belief) Spend(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget(service, now).Take(now)
 }
 
-// MaySpend reports whether Spend would take one.
+// MaySpend reports whether Spend would succeed.
 func (b *Belief) MaySpend(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget(service, now).May(now)
 }
 
-// budgetUse is the part of the fleet's retry budget that entries use: they count
-// requests by their own clocks, and callers' requests are not spread evenly.
+// budgetUse is the fraction of the fleet's retry budget that the entries use together. The rest is
+// a margin: entries count requests by their own clocks, and callers are not spread evenly.
 const budgetUse = 0.7
 
 func (b *Belief) budget(service string, now time.Time) *admission.RetryBudget {
 	n := float64(b.countEntries(now))
-	r := b.budgets[service]
+	r := b.retryBudgets[service]
 	if r == nil {
 		r = &admission.RetryBudget{}
-		b.budgets[service] = r
+		b.retryBudgets[service] = r
 	}
 	r.Percent = 100 * budgetUse * b.retry.Share
 	window := max(1, b.retry.Window.Seconds())
--- a/internal/relay/closed.go
+++ b/internal/relay/closed.go
@@ -8,96 +8,97 @@
 )
 
 const (
-	// wordStale is the age from which what a group's leader told of it counts no
-	// more. It tells several times in that time.
-	wordStale = 500 * time.Millisecond
-	// silentFrom is how long a group's engines must have answered nothing to one
-	// entry, after a failure, to be taken for closed without its leader's word: two
-	// of the longest passes.
-	silentFrom = 250 * time.Millisecond
-	// probeEvery is the pause between requests that find out whether a group is
-	// open again of which no leader tells.
-	probeEvery = 150 * time.Millisecond
+	// maxLeaderReportAge is the age from which a leader's report about its group is ignored.
+	// Leaders report several times within it.
+	maxLeaderReportAge = 500 * time.Millisecond
+	// closedAfterSilence is how long a group's engines must have given this entry no answer after a
+	// failure until the group counts as closed without a report of its leader: two of the longest
+	// passes.
+	closedAfterSilence = 250 * time.Millisecond
+	// probeInterval is the pause between requests that probe whether a group without a leader's
+	// report is open again.
+	probeInterval = 150 * time.Millisecond
 )
 
-// closure is a group that takes no requests.
-type closure struct {
-	// lasted is for how long it has taken none.
-	lasted  time.Duration
+// groupState describes a service's groups of engines when some or all accept no requests.
+type groupState struct {
+	// downFor is how long the service has given no answer. forming means that a closed group is
+	// about to open.
+	downFor time.Duration
 	forming bool
-	// told says that its leader said so; else it was concluded from failures.
-	told bool
-	// engines are those of closed groups, as far as leaders told of them, also while
-	// others are open.
-	engines []string
+	// reported means that the state comes from leaders' reports. Otherwise it is inferred from
+	// failures.
+	reported bool
+	// closedEngines lists the engines of groups that leaders report as closed, also while other
+	// groups are open.
+	closedEngines []string
 }
 
-// closure returns whether the service's groups of engines take no requests, with mu
-// held. What their leaders tell goes before what failures say.
-func (b *Belief) closure(s *routing.Service, now time.Time) (closure, bool) {
+// groupState returns the state of a service's groups and whether all of them are closed. mu must be
+// held. Leaders' reports take precedence over what failures suggest.
+func (b *Belief) groupState(s *routing.Service, now time.Time) (groupState, bool) {
 	if !lockstep(s) {
-		return closure{}, false
+		return groupState{}, false
 	}
 	since, failing := b.outages.since[s.Name]
-	c := closure{}
+	c := groupState{}
 	if failing {
-		c.lasted = now.Sub(since)
+		c.downFor = now.Sub(since)
 	}
 	open := 0
 	for id, ep := range b.endpoints {
 		l := b.loads[id]
-		if ep.Service != s.Name || now.Sub(l.At) >= wordStale {
+		if ep.Service != s.Name || now.Sub(l.At) >= maxLeaderReportAge {
 			continue
 		}
 		if !l.Closed {
 			open++
 			continue
 		}
-		c.engines = append(c.engines, id)
+		c.closedEngines = append(c.closedEngines, id)
 		c.forming = c.forming || l.Forming
 	}
-	c.told = open+len(c.engines) > 0
-	if c.told {
+	c.reported = open+len(c.closedEngines) > 0
+	if c.reported {
 		return c, open == 0
 	}
-	return c, failing && c.lasted >= silentFrom
+	return c, failing && c.downFor >= closedAfterSilence
 }
 
-// lockstep reports whether the engines of a service work in groups.
+// lockstep reports whether the engines of a service work in groups, in lockstep.
 func lockstep(s *routing.Service) bool { return s.Engine != nil && s.Engine.Experts.Sets > 0 }
 
-// mayProbe reports whether a request may be sent to a group that is taken for
-// closed, to find out whether it still is. Only one that was not sent before is:
-// a second sending costs the fleet's retry budget.
-func (b *Belief) mayProbe(s *routing.Service, c closure, sent bool, now time.Time) bool {
-	if c.told || sent || now.Sub(b.probed[s.Name]) < probeEvery {
+// mayProbe reports whether a request may be sent to a group that is assumed to be closed, to find
+// out whether it still is. Only requests that have not been sent before may: sending one again
+// costs the fleet's retry budget.
+func (b *Belief) mayProbe(s *routing.Service, c groupState, sent bool, now time.Time) bool {
+	if c.reported || sent || now.Sub(b.lastProbe[s.Name]) < probeInterval {
 		return false
 	}
-	b.probed[s.Name] = now
+	b.lastProbe[s.Name] = now
 	return true
 }
 
-// awaitsGroup decides whether a request may wait for a closed group to open, and
-// returns its refusal if not.
+// refuseIfClosed returns a refusal if all groups of the service are closed and the request may not
+// wait for one to open, or else nil.
 //
-// Load: all engines of a group stop at once, because a rank or the way to a data
-// centre is lost or all VMs lost power, and callers have one more try. How long it
-// will take is best guessed by how long it has taken so far; once no rank is
-// missing it is a matter of a second. Harm prevented: callers who have come back as
-// they were asked to are refused while the group forms, for the last time, though
-// they would wait for longer than that. Limits: one who asks for the first time is
-// asked back, when the group has most likely opened, and does not wait: with them
-// the crowd that meets the group as it opens is twice as large, and those who come
-// then and could be on time become late behind it. Nobody is held through an outage
-// of which nobody knows the end.
-func (b *Belief) awaitsGroup(a Ask, now time.Time) *result.Error {
-	c, closed := b.closure(a.Service, now)
+// All engines of a group stop at once when a rank or the path to a data centre is lost, or when all
+// VMs lose power, and callers have one more attempt. The best estimate of the remaining outage is
+// its duration so far; once no rank is missing, forming takes about a second. Callers who have come
+// back as they were asked to may wait: refused while the group forms, they would have used up their
+// last attempt, although they would wait for longer than that. Callers on their first attempt may
+// not: they are asked to come back when the group has most likely opened. If they waited too, twice
+// as many requests would meet the group as it opens, and requests that arrive then and could meet
+// their target would become late behind them. No caller is held through an outage of unknown
+// duration.
+func (b *Belief) refuseIfClosed(a Ask, now time.Time) *result.Error {
+	c, closed := b.groupState(a.Service, now)
 	if !closed {
 		return nil
 	}
-	b.rest(a.Service, now)
-	room := b.lastStart(a, now).Sub(now)
-	if a.CameBack && room > 0 && (c.forming || c.lasted <= room) {
+	b.excludeFromDrainRate(a.Service, now)
+	slack := b.latestStart(a, now).Sub(now)
+	if a.CameBack && slack > 0 && (c.forming || c.downFor <= slack) {
 		return nil
 	}
 	return b.refusal(a.Service.Name, result.GroupClosed, now)
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -1,14 +1,12 @@
-// Package relay passes callers' requests on to endpoints directly, where no
-// agent stands on the way.
+// Package relay forwards callers' requests directly to endpoints, without an agent beside them.
 //
-// What an agent would enforce has other holders here. That a request runs at
-// most once: it is never sent again after a byte of it may have reached an
-// endpoint, unless that endpoint said that it did not run it. That a cold
-// endpoint bears its load: each entry takes its share of what the endpoint
-// bears from all. That an endpoint which is leaving, or has been taken out, gets
-// nothing new: the directory, which follows the platform's store. That a key
-// taken away is refused: the age of what this process knows, by a clock that
-// goes on while the VM is suspended.
+// The guarantees that an agent would enforce are kept here by other means. A request runs at most
+// once: it is never sent again after a byte of it may have reached an endpoint, unless that
+// endpoint reported that it did not run it. A cold endpoint is not overloaded: each entry uses only
+// its share of the rate that the endpoint can handle. An endpoint that is leaving, or that
+// operators have taken out of service, gets no new requests: the directory follows the platform's
+// store. A revoked key is refused: keys are accepted only while the configuration is recent, by a
+// clock that keeps running while the VM is suspended.
 //
-// What decides (NextStep, Shares, Freshness) is free of sockets and clocks.
+// The decisions (NextStep, Shares, Freshness) use no sockets and read no clocks.
 package relay
--- a/internal/relay/entries.go
+++ b/internal/relay/entries.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// leastEntries is how many entries are assumed at least until all have had the
-	// time to be listed: shares are too small then rather than too large.
-	leastEntries = 12
-	// entriesMemory is how long entries count that are no longer listed. One
-	// that is cut off from the store lapses there and goes on serving.
-	entriesMemory = 20 * time.Second
+	// minEntriesAtStart is the number of entries assumed at least until all have had the time to be
+	// listed, so that shares are rather too small than too large.
+	minEntriesAtStart = 12
+	// entryRetention is how long an entry counts after it was delisted. An entry that is cut off
+	// from the store loses its listing there and goes on serving.
+	entryRetention = 20 * time.Second
 )
 
-// SetEntry notes that another entry is listed, or no longer is.
+// SetEntry records that another entry is listed, or has been delisted.
 func (b *Belief) SetEntry(name string, listed bool, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -21,11 +21,11 @@
 	}
 	if _, ok := b.entries[name]; ok {
 		b.entries[name] = now
-		b.dropWork(name)
+		b.removeWork(name)
 	}
 }
 
-// Entries returns how many entries share what endpoints bear.
+// Entries returns the number of entries that share the capacity of the endpoints.
 func (b *Belief) Entries(now time.Time) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -34,8 +34,8 @@
 
 func (b *Belief) countEntries(now time.Time) int {
 	n := 0
-	for name, gone := range b.entries {
-		if !gone.IsZero() && now.Sub(gone) > entriesMemory {
+	for name, delistedAt := range b.entries {
+		if !delistedAt.IsZero() && now.Sub(delistedAt) > entryRetention {
 			delete(b.entries, name)
 			continue
 		}
@@ -44,17 +44,17 @@
 	if _, ok := b.entries[b.Name]; !ok {
 		n++
 	}
-	if !b.listed || now.Sub(b.began) < entriesMemory {
-		return max(n, leastEntries)
+	if !b.endpointsListed || now.Sub(b.startedAt) < entryRetention {
+		return max(n, minEntriesAtStart)
 	}
 	return n
 }
 
-// listedEntries returns how many entries share the endpoints' places now.
+// listedEntries returns the number of entries that are listed now, and at least 1.
 func (b *Belief) listedEntries() int {
 	n := 0
-	for _, gone := range b.entries {
-		if gone.IsZero() {
+	for _, delistedAt := range b.entries {
+		if delistedAt.IsZero() {
 			n++
 		}
 	}
--- a/internal/relay/finish.go
+++ b/internal/relay/finish.go
@@ -9,7 +9,8 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// finish gives the caller the final answer.
+// finish completes the request: it sends the final answer to the caller, or breaks off the one that
+// has begun, and logs the result.
 func (j *job) finish(o Outcome, e *result.Error, now time.Time) {
 	switch o := o.(type) {
 	case Delivered:
@@ -29,44 +30,43 @@
 	case NotRun:
 		e = j.relay.Belief.Refusal(j.service.Name, o.Code, now)
 	case Unknown:
-		e = j.unknown(o, now)
+		e = j.unknownResult(o, now)
 	}
-	if j.started {
+	if j.headSent {
 		j.reply.Break()
 		j.log(result.AnswerIncomplete, 0, now, e)
 		return
 	}
-	if j.failed != nil {
-		j.deliverFailure(j.failed, now)
+	if j.lastFailure != nil {
+		j.deliverFailure(j.lastFailure, now)
 		return
 	}
-	j.refuse(j.truthful(e), now)
+	j.refuse(j.correctEffect(e), now)
 }
 
-// unknown is the result of a request that may have run.
-func (j *job) unknown(o Unknown, now time.Time) *result.Error {
-	if !now.Before(j.end) {
+// unknownResult returns the result of a request that may have run.
+func (j *job) unknownResult(o Unknown, now time.Time) *result.Error {
+	if !now.Before(j.deadline) {
 		return result.New(result.DeadlineExceeded, "")
 	}
 	return result.Newf(result.OutcomeUnknown, "%v", o.Cause)
 }
 
-// truthful keeps a refusal from saying "not run" of a request that an earlier
-// attempt may have run.
-func (j *job) truthful(e *result.Error) *result.Error {
+// correctEffect keeps a refusal from reporting "not run" if an earlier attempt may have run.
+func (j *job) correctEffect(e *result.Error) *result.Error {
 	if j.tries.MayHaveRun && e.Code().Effect() == result.NotRun {
 		return result.New(result.OutcomeUnknown, e.Error())
 	}
 	return e
 }
 
-// deliverFailure passes on a failure that an endpoint reported.
+// deliverFailure forwards a failure that an endpoint reported.
 func (j *job) deliverFailure(a *Whole, now time.Time) {
 	err := j.reply.AnswerRaw(a.Status, a.Header, a.Body)
 	j.log(result.EndpointFailed, a.Status, now, err)
 }
 
-// refuse answers with a result of this process.
+// refuse answers the caller with an error of this process.
 func (j *job) refuse(e *result.Error, now time.Time) {
 	status := statusOf(e)
 	h := http.Header{
@@ -83,18 +83,17 @@
 	j.log(e.Code(), status, now, cause)
 }
 
-// retryAfter is when the caller is asked to come back, while it has time for an
-// answer.
+// retryAfter returns when the caller should retry, so that it still has time for an answer then.
 func (j *job) retryAfter(e *result.Error, now time.Time) time.Duration {
 	d := e.RetryAfter()
-	if j.end.IsZero() {
+	if j.deadline.IsZero() {
 		return d
 	}
-	left := max(0, j.end.Sub(now))
+	left := max(0, j.deadline.Sub(now))
 	if e.Code() == result.GroupClosed {
-		d = max(d, left/closedPart)
+		d = max(d, left/minClosedRetryAfterDivisor)
 	}
-	return min(d, left/comeBackPart)
+	return min(d, left/maxRetryAfterDivisor)
 }
 
 func statusOf(e *result.Error) int {
--- /dev/null
+++ b/internal/relay/jobadmit.go
@@ -0,0 +1,114 @@
+package relay
+
+import (
+	"context"
+	"time"
+
+	"github.com/hyssoprelay/hyssoprelay/internal/endpoint/placement"
+	"github.com/hyssoprelay/hyssoprelay/pkg/result"
+)
+
+// query returns the placement query for the next attempt.
+func (j *job) query() placement.Query {
+	return placement.Query{
+		Tokens:  j.facts.PromptTokens + j.facts.OutputTokens,
+		Tried:   j.tried,
+		RunOnce: !j.route.MayRepeat(),
+	}
+}
+
+// recheckKeyAge gives a place back, and returns an error, if the known keys have become too old
+// since the request arrived.
+func (j *job) recheckKeyAge(p Place) *result.Error {
+	if j.account == nil {
+		return nil
+	}
+	now := j.relay.Now()
+	e := j.checkKeyAge(now)
+	if e != nil {
+		j.relay.Belief.Ended(p, Unused{}, now)
+	}
+	return e
+}
+
+// assignPlace chooses the endpoint of the next attempt. The known keys may have become too old
+// while the request waited.
+func (j *job) assignPlace(ctx context.Context, now time.Time) (Place, *result.Error) {
+	p, e := j.admit(ctx, j.query(), now)
+	if e != nil {
+		return p, e
+	}
+	if e := j.recheckKeyAge(p); e != nil {
+		return Place{}, e
+	}
+	j.tried = append(j.tried, p.Endpoint.ID)
+	return p, nil
+}
+
+// admit assigns the next attempt to an endpoint through the queue. An attempt that follows one
+// which may have run bypasses the queue, since its request has waited already.
+func (j *job) admit(ctx context.Context, q placement.Query, now time.Time) (Place, *result.Error) {
+	b := j.relay.Belief
+	if j.tries.MayHaveRun {
+		return b.Choose(j.service, q, now)
+	}
+	a := Ask{
+		Service: j.service, Query: q, ID: j.facts.ID, Account: anonymousAccount,
+		Target: j.firstPartDeadline(), End: j.deadline, Priority: j.urgency(),
+		TargetTime: j.route.Target, CameBack: j.askedBefore(), Leaves: j.abandonTime(),
+	}
+	if j.account != nil {
+		a.Account = j.account.Name
+	}
+	p, e := b.Admit(ctx, a, j.relay.Now)
+	finished := j.relay.Now()
+	if waited := finished.Sub(now); waited > 0 {
+		j.waited += waited
+	}
+	if e == nil && j.tries.Sent > 0 && !b.Spend(j.service.Name, finished) {
+		b.Ended(p, Unused{}, finished)
+		return Place{}, b.Refusal(j.service.Name, result.EndpointBusy, finished)
+	}
+	return p, e
+}
+
+// abandonTime returns when the caller gives up if no part of the answer has arrived; zero means at
+// its deadline.
+func (j *job) abandonTime() time.Time {
+	if j.route.Patience <= 0 {
+		return time.Time{}
+	}
+	return j.raw.At.Add(j.route.Patience)
+}
+
+// firstAskFraction is the least time that a caller has left on its first attempt, as a fraction of
+// the largest time left that was seen on the route. Callers' time limits differ by a sixth; one
+// that has been told to retry later has used up more than that.
+const firstAskFraction = 0.8
+
+// askedBefore reports whether this is a repeated attempt of the caller.
+func (j *job) askedBefore() bool { return j.timeUsed() > 0 }
+
+// timeUsed returns how much of its time the caller has used up in an earlier attempt that was
+// refused or failed. It returns zero if such a caller can't be told from one with a shorter time
+// limit.
+func (j *job) timeUsed() time.Duration {
+	if j.facts.TimeLeft <= 0 {
+		return 0
+	}
+	longest := j.relay.Belief.LongestLeft(j.route.Name, j.facts.TimeLeft)
+	if j.facts.TimeLeft >= time.Duration(firstAskFraction*float64(longest)) {
+		return 0
+	}
+	return longest - j.facts.TimeLeft
+}
+
+// firstPartDeadline returns when the first part of the answer must arrive to meet the latency
+// target, counted from the caller's first attempt.
+func (j *job) firstPartDeadline() time.Time {
+	target := j.route.Target
+	if target <= 0 {
+		return j.deadline
+	}
+	return j.raw.At.Add(target - j.timeUsed())
+}
--- a/internal/relay/lapse_test.go
+++ b/internal/relay/lapse_test.go
@@ -9,13 +9,13 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/routing"
 )
 
-// The store is back, and an endpoint whose entry vanished in its absence has left.
-// Guards against requests that it gets for up to a second after its entry has ceased to
-// hold, as what was chosen from was only looked at anew once a second.
+// The store is back, and an endpoint whose entry vanished while it was away has left. Guards
+// against requests that are sent to it for up to a second after its hold has ended, because the
+// candidates were refreshed only once per second.
 func TestHeldEndpointIsDroppedInTime(t *testing.T) {
 	s := &routing.Service{Name: "quotes"}
 	b := newBelief("me", s)
-	list(b, 1, "quotes")
+	listEndpoints(b, 1, "quotes")
 	b.Change(func(d *directory.Directory) {
 		d.Returned(start)
 		d.Remove("e0", start)
@@ -25,6 +25,6 @@
 		t.Fatal(e)
 	}
 	if p, e := b.Choose(s, placement.Query{}, held.Add(2*time.Millisecond)); e == nil {
-		t.Errorf("a request is given to %s", p.Endpoint.ID)
+		t.Errorf("a request was assigned to %s", p.Endpoint.ID)
 	}
 }
--- a/internal/relay/late.go
+++ b/internal/relay/late.go
@@ -9,85 +9,85 @@
 )
 
 const (
-	// arrivalsMemory is the time over which the rate of arrivals is measured.
-	arrivalsMemory = 3 * time.Second
-	// leastMeasured is the least time that is taken to have been measured.
-	leastMeasured = 100 * time.Millisecond
-	// keptForOthers is the part of what requests that can be on time need which is
-	// kept from late ones: they do not come all at once. With all of it kept, late
-	// callers are refused beside free places; with none, the others become late.
-	keptForOthers = 0.5
-	// leastLateRoom is how many late requests an entry has under way whatever its
-	// other requests need, so that none wait in vain for ever.
-	leastLateRoom = 1
+	// arrivalWindow is the time constant with which the arrival rate is averaged.
+	arrivalWindow = 3 * time.Second
+	// minMeasured is the least time over which a rate is taken to have been measured.
+	minMeasured = 100 * time.Millisecond
+	// reservedFraction is the fraction of the slots needed by requests which can meet their target
+	// that is kept free of late ones. They do not all arrive at once: if all of it were reserved,
+	// late callers would be refused beside free slots; with none, the other requests would become
+	// late.
+	reservedFraction = 0.5
+	// minLateSlots is the number of late requests that an entry may run whatever its other requests
+	// need, so that none waits forever in vain.
+	minLateSlots = 1
 )
 
-// arrivals measures how many requests a second come anew for one service.
-type arrivals struct {
-	count     float64
-	at, began time.Time
+// arrivalRate measures the rate of new requests of one service, with an exponential average.
+type arrivalRate struct {
+	count                float64
+	updatedAt, startedAt time.Time
 }
 
-func (a *arrivals) add(now time.Time) {
-	if a.began.IsZero() {
-		a.began, a.at = now, now
+func (a *arrivalRate) add(now time.Time) {
+	if a.startedAt.IsZero() {
+		a.startedAt, a.updatedAt = now, now
 	}
 	a.decay(now)
 	a.count++
 }
 
-func (a *arrivals) decay(now time.Time) {
-	if dt := now.Sub(a.at); dt > 0 {
-		a.count *= math.Exp(-dt.Seconds() / arrivalsMemory.Seconds())
-		a.at = now
+func (a *arrivalRate) decay(now time.Time) {
+	if dt := now.Sub(a.updatedAt); dt > 0 {
+		a.count *= math.Exp(-dt.Seconds() / arrivalWindow.Seconds())
+		a.updatedAt = now
 	}
 }
 
-// rate returns requests a second. What was counted in a short time says as much of a
-// longer one.
-func (a *arrivals) rate(now time.Time) float64 {
-	if a.began.IsZero() {
+// rate returns requests per second. It corrects for the short time since the first arrival.
+func (a *arrivalRate) rate(now time.Time) float64 {
+	if a.startedAt.IsZero() {
 		return 0
 	}
 	a.decay(now)
-	memory := arrivalsMemory.Seconds()
-	seen := 1 - math.Exp(-max(leastMeasured.Seconds(), now.Sub(a.began).Seconds())/memory)
+	memory := arrivalWindow.Seconds()
+	seen := 1 - math.Exp(-max(minMeasured.Seconds(), now.Sub(a.startedAt).Seconds())/memory)
 	return a.count / (memory * seen)
 }
 
-// lateRoom returns how many requests that can't be on time any more an entry may
-// have under way at a service: its part of all places, less what those take that
-// come meanwhile and can be on time. Called with mu held.
+// lateSlots returns how many late requests an entry may run at a service: its share of all slots,
+// less those that it will need for arriving requests that can meet their target. mu must be held.
 //
-// Load: a group of engines opens after an outage of seconds, and all who came
-// meanwhile wait for it, late already. Harm prevented: they fill all places at once;
-// passes are slow until the first maps are in force; and most who come in the next
-// seconds wait behind them and become late in turn. In its room an entry serves late
-// ones over the next two seconds, and the others as if nothing had been.
-func (b *Belief) lateRoom(s *routing.Service, now time.Time) int {
+// When a group of engines opens after an outage of some seconds, all requests that arrived
+// meanwhile wait for it and are late. Without a bound they would fill all slots at once, while
+// passes are slow until the first expert maps are in force, and most requests of the next seconds
+// would become late behind them. With it, an entry works off the late requests over about two
+// seconds and serves the others as usual.
+func (b *Belief) lateSlots(s *routing.Service, now time.Time) int {
 	places := 0
 	for _, ep := range b.endpoints {
 		if ep.Service == s.Name {
-			n, _ := b.bears(ep)
+			n, _ := b.endpointCapacity(ep)
 			places += n
 		}
 	}
-	part := float64(places) / float64(b.listedEntries())
+	share := float64(places) / float64(b.listedEntries())
 	a := b.arrivals[s.Name]
 	if a == nil {
-		return max(leastLateRoom, int(part))
+		return max(minLateSlots, int(share))
 	}
-	needed := a.rate(now) * b.placeTime(s, now).Seconds()
-	return max(leastLateRoom, int(part-keptForOthers*needed))
+	needed := a.rate(now) * b.usualPlaceTime(s, now).Seconds()
+	return max(minLateSlots, int(share-reservedFraction*needed))
 }
 
-// placeTime returns how long a request usually has its place; before any was seen,
-// as long as full engines with a planned map take for one of the usual size.
-func (b *Belief) placeTime(s *routing.Service, now time.Time) time.Duration {
+// usualPlaceTime returns how long a request usually holds its slot. Before any request was
+// observed, it is the time that a fully loaded engine with a planned expert map takes for a request
+// of mean size.
+func (b *Belief) usualPlaceTime(s *routing.Service, now time.Time) time.Duration {
 	guess := time.Duration(0)
 	if e := s.Engine; e != nil && e.Stride > 0 {
 		passes := float64(e.MeanOutput) / float64(e.Stride)
 		guess = time.Duration(passes * float64(batch.Pass(e, e.Slots, batch.CalmSkew)))
 	}
-	return quantile(b.times.of(s.Name, now).whole, usualWhole, guess)
+	return quantile(b.latencies.forService(s.Name, now).whole, usualWholePercentile, guess)
 }
--- a/internal/relay/late_test.go
+++ b/internal/relay/late_test.go
@@ -11,17 +11,17 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// groupOf is a service whose engines work in one group, with a belief that lists n.
-func groupOf(n int) (*Belief, *routing.Service) {
-	e := engine()
+// newGroup returns a belief with n endpoints of a service whose engines work in one group.
+func newGroup(n int) (*Belief, *routing.Service) {
+	e := testEngine()
 	e.Experts.Sets = 4
 	b := newBelief("me", &routing.Service{Name: "quotes", Engine: e})
-	list(b, n, "quotes")
+	listEndpoints(b, n, "quotes")
 	return b, b.Table().Service("quotes")
 }
 
-// tell has the group's leader tell of all engines.
-func tell(b *Belief, closed, forming bool, now time.Time) {
+// reportLoads delivers a leader's report about all engines.
+func reportLoads(b *Belief, closed, forming bool, now time.Time) {
 	var loads []Load
 	b.mu.Lock()
 	b.refresh(now)
@@ -32,8 +32,8 @@
 	b.SetLoads(loads, now)
 }
 
-// admit asks for a place beside the test and returns where its end is told.
-func admit(b *Belief, a Ask, clock func() time.Time) <-chan *result.Error {
+// admitAsync calls Admit in a goroutine and returns a channel with its result.
+func admitAsync(b *Belief, a Ask, clock func() time.Time) <-chan *result.Error {
 	done := make(chan *result.Error, 1)
 	go func() {
 		_, e := b.Admit(context.Background(), a, clock)
@@ -42,15 +42,15 @@
 	return done
 }
 
-// queued returns how many requests wait for a place.
+// queued returns the number of waiting requests.
 func queued(b *Belief) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.queue.Waiting()
 }
 
-// await waits until something waits for a place, or an end is told.
-func await(b *Belief, done <-chan *result.Error) {
+// awaitQueuedOrDone waits until a request is waiting or done has a value.
+func awaitQueuedOrDone(b *Belief, done <-chan *result.Error) {
 	for len(done) == 0 && queued(b) == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -63,96 +63,96 @@
 	}
 }
 
-// All VMs lost power and a group of engines forms anew, a second after its callers
-// are back. Refused now, those who came back as they were asked to are lost; they
-// would wait for two seconds.
+// A group of engines forms again after all VMs lost power, a second after its callers came back.
+// Guards against the refusal of callers who came back as they were asked to: it would be their last
+// attempt, and they would wait for two seconds.
 func TestRequestWaitsForAGroupThatForms(t *testing.T) {
-	b, s := groupOf(2)
-	tell(b, true, true, start)
-	a := askFor("r1", s, start)
+	b, s := newGroup(2)
+	reportLoads(b, true, true, start)
+	a := newAsk("r1", s, start)
 	a.Leaves, a.CameBack = start.Add(2*time.Second), true
-	done := admit(b, a, clockAt(start.Add(100*time.Millisecond)))
-	await(b, done)
-	tell(b, true, true, start.Add(300*time.Millisecond))
+	done := admitAsync(b, a, fixedClock(start.Add(100*time.Millisecond)))
+	awaitQueuedOrDone(b, done)
+	reportLoads(b, true, true, start.Add(300*time.Millisecond))
 	if queued(b) != 1 {
-		t.Fatalf("answered while the group forms: %v", <-done)
+		t.Fatalf("decided while the group forms: %v", <-done)
 	}
-	tell(b, false, false, start.Add(400*time.Millisecond))
+	reportLoads(b, false, false, start.Add(400*time.Millisecond))
 	if e := <-done; e != nil {
-		t.Fatalf("refused when the group had opened: %v", e)
+		t.Fatalf("refused after the group opened: %v", e)
 	}
 }
 
-// The same group, and callers who ask for the first time. Were they let wait too, the
-// crowd that meets the group as it opens would fill it, and all who come then would be
-// late. They are asked back when it has opened.
+// Callers on their first attempt are asked to come back when the group has opened. If they waited
+// too, the waiting requests would fill the group as it opens and make all later ones late.
 func TestFirstCallersAreAskedBackWhileAGroupForms(t *testing.T) {
-	b, s := groupOf(2)
-	tell(b, true, true, start)
-	a := askFor("r1", s, start)
+	b, s := newGroup(2)
+	reportLoads(b, true, true, start)
+	a := newAsk("r1", s, start)
 	a.Leaves = start.Add(2 * time.Second)
-	_, e := b.Admit(context.Background(), a, clockAt(start))
+	_, e := b.Admit(context.Background(), a, fixedClock(start))
 	wantCode(t, e, result.GroupClosed)
-	j := &job{end: a.End}
+	j := &job{deadline: a.End}
 	if d := j.retryAfter(e, start); d != 2*time.Second {
-		t.Errorf("asked back after %v", d)
+		t.Errorf("retry after %v", d)
 	}
-	j.end = start.Add(1500 * time.Millisecond)
+	j.deadline = start.Add(1500 * time.Millisecond)
 	if d := j.retryAfter(e, start); d != 500*time.Millisecond {
-		t.Errorf("a caller with little time left is asked back after %v", d)
+		t.Errorf("retry after %v for a caller with little time left", d)
 	}
 }
 
-// The way to a data centre is lost, and a group that spans it with it, for nobody
-// knows how long. Callers are told at once to come back, the later the longer it has
-// lasted, and not held until they leave.
+// The path to a data centre, and with it a group that spans it, is lost for an unknown time. Guards
+// against callers that are held until they give up. They are refused at once, with a Retry-After
+// time that grows with the outage.
 func TestClosedGroupOfUnknownEndRefusesAtOnce(t *testing.T) {
 	for _, lasted := range []time.Duration{2 * time.Second, 4 * time.Second} {
 		t.Run(fmt.Sprint(lasted), func(t *testing.T) {
-			b, s := groupOf(2)
-			tell(b, true, false, start)
+			b, s := newGroup(2)
+			reportLoads(b, true, false, start)
 			now := start.Add(lasted)
-			tell(b, true, false, now)
-			a := askFor("r1", s, now)
+			reportLoads(b, true, false, now)
+			a := newAsk("r1", s, now)
 			a.Leaves = now.Add(2 * time.Second)
-			_, e := b.Admit(context.Background(), a, clockAt(now))
+			_, e := b.Admit(context.Background(), a, fixedClock(now))
 			wantCode(t, e, result.GroupClosed)
 			if e.RetryAfter() != lasted {
-				t.Errorf("asked back after %v, want %v", e.RetryAfter(), lasted)
+				t.Errorf("retry after %v, want %v", e.RetryAfter(), lasted)
 			}
 		})
 	}
 }
 
-// A leader is cut off together with its group's engines, so nobody tells that they
-// are closed. One request at a time finds out, and only one that was not sent before;
-// the others don't use up the fleet's retry budget.
+// A leader is cut off together with its group's engines, so that nothing reports the group as
+// closed. Guards against requests that probe the group all at once or for a second time, and so use
+// up the fleet's retry budget.
 func TestClosedGroupIsProbedByOneRequestAtATime(t *testing.T) {
-	b, s := groupOf(4)
+	b, s := newGroup(4)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refresh(start)
-	b.outages.began(s.Name, start)
-	now := start.Add(silentFrom)
-	c, closed := b.closure(s, now)
-	if !closed || c.told {
+	b.outages.markDown(s.Name, start)
+	now := start.Add(closedAfterSilence)
+	c, closed := b.groupState(s, now)
+	if !closed || c.reported {
 		t.Fatalf("closed %v, %+v", closed, c)
 	}
 	if b.mayProbe(s, c, true, now) {
 		t.Error("a request that was sent before is sent again")
 	}
-	if !b.mayProbe(s, c, false, now) || b.mayProbe(s, c, false, now) || !b.mayProbe(s, c, false, now.Add(probeEvery)) {
-		t.Error("not one probe in its time")
+	if !b.mayProbe(s, c, false, now) || b.mayProbe(s, c, false, now) || !b.mayProbe(s, c, false, now.Add(probeInterval)) {
+		t.Error("want exactly one probe per interval")
 	}
-	b.outages.served(s.Name, now)
-	if _, closed := b.closure(s, now); closed {
-		t.Error("closed after an answer")
+	b.outages.answered(s.Name, now)
+	if _, closed := b.groupState(s, now); closed {
+		t.Error("group counts as closed after an answer")
 	}
 }
 
-// One of two groups of a service is closed. Requests go to the engines of the other.
+// One of two groups of a service is closed. Guards against requests that are sent to it instead of
+// the open one.
 func TestRequestsGoToTheOpenGroup(t *testing.T) {
-	b, s := groupOf(2)
+	b, s := newGroup(2)
 	b.mu.Lock()
 	b.refresh(start)
 	var loads []Load
@@ -161,65 +161,65 @@
 	}
 	b.mu.Unlock()
 	b.SetLoads(loads, start)
-	for _, p := range fill(t, b, s, start) {
+	for _, p := range takeAllPlaces(t, b, s, start) {
 		if p.Endpoint.ID == "e0" {
 			t.Fatal("a request was sent to the closed group")
 		}
 	}
 }
 
-// A group opens after an outage, and a crowd waits that is late already. Those who
-// come meanwhile and can be on time find a place at once, all the same.
+// A group opens after an outage with many late requests waiting. Guards against late requests that
+// take all slots, so that new requests which could meet their target become late too.
 func TestLateCrowdLeavesRoom(t *testing.T) {
 	const n = 8
-	b, s := groupOf(n)
+	b, s := newGroup(n)
 	now := start.Add(time.Minute)
-	for i := range 30 { // 10 a second, for 3 s
-		b.noteArrival(&waiter{ask: Ask{Service: s}}, now.Add(time.Duration(i-30)*100*time.Millisecond))
+	for i := range 30 { // 10 per second, for 3 s
+		b.recordArrival(&waiter{ask: Ask{Service: s}}, now.Add(time.Duration(i-30)*100*time.Millisecond))
 	}
 	b.mu.Lock()
 	b.refresh(now)
 	for i := range 7 {
 		b.entries[fmt.Sprint("entry", i)] = time.Time{}
 	}
-	room := b.lateRoom(s, now)
+	lateSlots := b.lateSlots(s, now)
 	places := 0
 	for _, ep := range b.endpoints {
-		bears, _ := b.bears(ep)
-		places += bears
+		allowance, _ := b.endpointCapacity(ep)
+		places += allowance
 	}
 	b.mu.Unlock()
-	if part := places / 7; room < leastLateRoom || room >= part {
-		t.Fatalf("room %d of %d", room, part)
+	if part := places / 7; lateSlots < minLateSlots || lateSlots >= part {
+		t.Fatalf("%d late slots of %d", lateSlots, part)
 	}
-	var crowd []<-chan *result.Error
-	for i := range 3 * room {
-		a := askFor(fmt.Sprint("late", i), s, now)
+	var lateDone []<-chan *result.Error
+	for i := range 3 * lateSlots {
+		a := newAsk(fmt.Sprint("late", i), s, now)
 		a.Target, a.Leaves = now, now.Add(2*time.Second)
-		done := admit(b, a, clockAt(now))
-		await(b, done)
-		crowd = append(crowd, done)
+		done := admitAsync(b, a, fixedClock(now))
+		awaitQueuedOrDone(b, done)
+		lateDone = append(lateDone, done)
 	}
-	a := askFor("new", s, now)
-	if _, e := b.Admit(context.Background(), a, clockAt(now)); e != nil {
+	a := newAsk("new", s, now)
+	if _, e := b.Admit(context.Background(), a, fixedClock(now)); e != nil {
 		t.Fatalf("refused: %v", e)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.lateRunning[s.Name] != room {
-		t.Errorf("%d of %d late requests have places, want %d", b.lateRunning[s.Name], len(crowd), room)
+	if b.lateRunning[s.Name] != lateSlots {
+		t.Errorf("%d of %d late requests are running, want %d", b.lateRunning[s.Name], len(lateDone), lateSlots)
 	}
 }
 
-// Engines stay full, and a caller's target passes while it waits. It waits on behind
-// the others, and is refused while it still listens, not when it has left.
+// Engines stay full, and a request's target passes while it waits. Guards against a refusal for the
+// missed target, and against one that comes only after the caller has given up.
 func TestLateWaitEndsBeforeTheCallerLeaves(t *testing.T) {
-	b, s := groupOf(1)
-	fill(t, b, s, start)
-	a := askFor("r1", s, start)
+	b, s := newGroup(1)
+	takeAllPlaces(t, b, s, start)
+	a := newAsk("r1", s, start)
 	a.Leaves = start.Add(2 * time.Second)
-	done := admit(b, a, clockAt(start))
-	await(b, done)
+	done := admitAsync(b, a, fixedClock(start))
+	awaitQueuedOrDone(b, done)
 	b.Pump(start.Add(600 * time.Millisecond))
 	if queued(b) != 1 {
 		t.Fatalf("refused for its target: %v", <-done)
@@ -230,8 +230,8 @@
 	}
 }
 
-// A service answers in 30 ms, another in two seconds, and one turns slow. What counts
-// as usual follows, without a figure for any of them.
+// Services that answer in 30 ms or two seconds, and one that becomes slow. Guards against usual
+// latencies that do not follow the observed ones.
 func TestUsualTimesAreObserved(t *testing.T) {
 	for _, c := range []struct{ first, whole, target time.Duration }{
 		{30 * time.Millisecond, 30 * time.Millisecond, 150 * time.Millisecond},
@@ -239,53 +239,54 @@
 		{700 * time.Millisecond, 9 * time.Second, 2 * time.Second},
 	} {
 		t.Run(fmt.Sprint(c.first), func(t *testing.T) {
-			var a answerTimes
-			if first, _ := a.usual("s", c.target, start); first != time.Duration(firstOfTarget*float64(c.target)) {
+			var a answerLatencies
+			if first, _ := a.usual("s", c.target, start); first != time.Duration(defaultFirstPartFraction*float64(c.target)) {
 				t.Errorf("%v before any answer", first)
 			}
-			for i := range 3 * timesLeast {
+			for i := range 3 * minLatencySamples {
 				now := start.Add(time.Duration(i) * 10 * time.Millisecond)
-				a.noteFirst("s", c.first, now)
-				a.noteWhole("s", c.whole, now)
+				a.recordFirst("s", c.first, now)
+				a.recordWhole("s", c.whole, now)
 			}
 			first, whole := a.usual("s", c.target, start)
-			near(t, "first", first, c.first)
-			near(t, "whole", whole, c.whole)
-			near(t, "quick", a.quick("s", c.target, start), c.first)
-			later := start.Add(2 * timesWindow)
+			checkNear(t, "first", first, c.first)
+			checkNear(t, "whole", whole, c.whole)
+			checkNear(t, "quick", a.quick("s", c.target, start), c.first)
+			later := start.Add(2 * latencyWindow)
 			if first, _ := a.usual("s", c.target, later); first == c.first {
-				t.Error("not forgotten")
+				t.Error("old latencies have not expired")
 			}
 		})
 	}
 }
 
-func near(t *testing.T, what string, got, want time.Duration) {
+func checkNear(t *testing.T, what string, got, want time.Duration) {
 	t.Helper()
 	if got < want*98/100 || got > want*102/100 {
 		t.Errorf("%s is %v, want %v", what, got, want)
 	}
 }
 
-// Callers of one route say that they have 7 to 8 s. None of them has asked before; one
-// with 5 s left was asked to stay away and has come back.
+// Callers of one route have time limits of 7 to 8 s. Guards against a caller with a shorter limit
+// that counts as one that has asked before; one with 5 s left was asked to come back and has.
 func TestCallerOfLessPatienceIsNotLate(t *testing.T) {
-	b, _ := groupOf(1)
+	b, _ := newGroup(1)
 	for _, c := range []struct {
-		left time.Duration
-		back bool
+		left        time.Duration
+		askedBefore bool
 	}{{8 * time.Second, false}, {6900 * time.Millisecond, false}, {5300 * time.Millisecond, true}} {
 		t.Run(fmt.Sprint(c.left), func(t *testing.T) {
 			j := &job{relay: &Relay{Belief: b}, route: &routing.Route{Name: "r"}, facts: Facts{TimeLeft: c.left}}
-			if j.cameBack() != c.back {
-				t.Errorf("came back: %v", !c.back)
+			if j.askedBefore() != c.askedBefore {
+				t.Errorf("asked before: %v", !c.askedBefore)
 			}
 		})
 	}
 }
 
-// All processes start anew and callers come before the store has told what is in
-// force, 200 ms later. They wait for it; a second after the start they are refused.
+// A whole fleet restarts, and callers arrive 200 ms before the store delivers the configuration.
+// Guards against their refusal, and against callers that are held for more than a second after the
+// start.
 func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
 	b := &Belief{Name: "me", DataCentre: "a", Seed: 1, Fresh: &Freshness{}}
 	b.Begin(start)
@@ -294,7 +295,7 @@
 		b.AwaitKnown(context.Background(), start)
 		close(done)
 	}()
-	b.SetTable(tableOf(1), start)
+	b.SetTable(newTable(1), start)
 	select {
 	case <-done:
 		t.Fatal("known before the endpoints were listed")
@@ -304,14 +305,13 @@
 	<-done
 	old := &Belief{}
 	old.Begin(start)
-	old.AwaitKnown(context.Background(), start.Add(startHold))
+	old.AwaitKnown(context.Background(), start.Add(startupHold))
 }
 
-// A crowd that waits while its group is closed teaches the queue nothing of how fast
-// engines are: the first that come after it opens would be refused for a wait that
-// is long over.
+// Requests wait while their group is closed. Guards against counting that time in the drain rate,
+// by which the first requests after the group opens would be refused for a wait that is over.
 func TestClosedTimeIsNotDrainTime(t *testing.T) {
-	expected := func(rests bool) time.Duration {
+	expected := func(excludeClosed bool) time.Duration {
 		c := &admission.Controller{}
 		if err := c.Configure([]admission.Limits{{Account: "a"}}, start); err != nil {
 			t.Fatal(err)
@@ -322,18 +322,18 @@
 			r := admission.Request{ID: id, Account: "a", Route: "r", Worth: 1, Deadline: now.Add(time.Minute), ExpectedRun: 200 * time.Millisecond}
 			return c.Arrive(r, now, place)
 		}
-		for i := range 20 { // ten starts a second are learnt while others wait
+		for i := range 20 { // the queue learns a rate of ten starts per second while others wait
 			ask(fmt.Sprint("a", i))
 		}
 		for range 10 {
 			now, places = now.Add(100*time.Millisecond), 1
-			for _, r := range first(c.Next(now, place)) {
+			for _, r := range startedOnly(c.Next(now, place)) {
 				c.Cancel(r.ID)
 			}
 		}
-		for range 60 { // then none for 6 s
+		for range 60 { // then none start for 6 s
 			now, places = now.Add(100*time.Millisecond), 0
-			if rests {
+			if excludeClosed {
 				c.Rest("r", now)
 			}
 			c.Next(now, place)
@@ -345,8 +345,10 @@
 		return w.Expected
 	}
 	if with, without := expected(true), expected(false); 3*with > without {
-		t.Errorf("expected wait is %v after a rest and %v without", with, without)
+		t.Errorf("expected wait is %v with closed time excluded and %v without", with, without)
 	}
 }
 
-func first(started []admission.Request, _ []admission.Refusal) []admission.Request { return started }
+func startedOnly(started []admission.Request, _ []admission.Refusal) []admission.Request {
+	return started
+}
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -13,225 +13,225 @@
 )
 
 const (
-	// limitMemory is how long a limit holds of which nothing more is heard: an endpoint
-	// names it in each answer, and gets some requests by it.
-	limitMemory = 30 * time.Second
-	// limitTold is for how long others are told of what an endpoint said, which it
-	// repeats in its next answer: longer than the pause between two regular messages.
-	// mostTold is how many limits they are told of at once, the newest ones.
-	limitTold = 1500 * time.Millisecond
-	mostTold  = 16
-	// leastLimit is the least rate at which an endpoint is sent requests, a second, so
-	// that the end of its limit is heard of.
-	leastLimit = 0.1
-	// Requests that entries have saved up may come to an endpoint at once. It takes
-	// savedEach for each request a second of its limit and savedMore besides; both leave
-	// some of what it takes to entries that count each other differently.
-	savedEach = 2
-	savedMore = 3
+	// limitTTL is how long a limit holds without an update. An endpoint reports it in each answer,
+	// and gets some requests at any limit.
+	limitTTL = 30 * time.Second
+	// limitShareAge is the age up to which an endpoint's report is passed on to other entries. The
+	// endpoint repeats it in its next answer, and the age is longer than the pause between two
+	// regular messages. maxSharedLimits is the number of limits in one message, the latest ones.
+	limitShareAge   = 1500 * time.Millisecond
+	maxSharedLimits = 16
+	// minLimitRate is the lowest rate, in requests per second, at which an endpoint is sent
+	// requests, so that the end of its limit is noticed.
+	minLimitRate = 0.1
+	// Entries may send the requests that they have saved up all at once. An endpoint accepts
+	// burstPerRate requests for each request per second of its limit, and burstBase more. Both
+	// leave some of its tolerance for entries that disagree on the number of sharers.
+	burstPerRate = 2
+	burstBase    = 3
 )
 
-// Limit is what an endpoint said last of how many requests it takes.
+// Limit is the request rate that an endpoint last reported to accept.
 type Limit struct {
-	// Endpoint is its id, and Born the start of the endpoint that said so.
+	// Endpoint is the endpoint's ID, and Born the start time of the instance that reported the
+	// limit.
 	Endpoint string
 	Born     uint64
-	// PerSecond is the requests a second that it takes from all entries together.
-	// None says that it names no limit.
+	// PerSecond is the number of requests per second that the endpoint accepts from all entries
+	// together. None means that it reports no limit.
 	PerSecond float64
 	None      bool
-	// At is when that was true at the latest.
+	// At is the latest possible time of the report.
 	At time.Time
 }
 
-// rate returns how many requests a second are sent by the limit, from all entries together.
-func (l Limit) rate() float64 { return max(l.PerSecond, leastLimit) }
+// rate returns the rate, in requests per second, at which all entries together send requests under
+// the limit.
+func (l Limit) rate() float64 { return max(l.PerSecond, minLimitRate) }
 
-// limits holds what endpoints said of how many requests they take, by id.
+// limits holds the limits that endpoints report, by endpoint ID.
 type limits struct {
-	// known are the newest, and own those that endpoints told this entry itself.
-	known map[string]Limit
-	own   map[string]Limit
+	// newest holds the latest report from any source, and own those made to this entry.
+	newest map[string]Limit
+	own    map[string]Limit
 }
 
-// note takes in an answer to a request that was given to the endpoint at given, and
-// reports whether it changed what is known. A negative rate says that it names no limit.
+// record stores the limit from an answer to a request that was assigned to the endpoint at
+// assignedAt. A negative rate means that the answer reports none. It returns whether the known
+// limit changed.
 //
-// Guard: an answer that was made before the endpoint named its limit may come after one
-// that names it, and must not end it.
-func (l *limits) note(ep directory.Endpoint, perSecond float64, given, now time.Time) bool {
-	old, ok := l.of(ep, now)
+// An answer that was made before the endpoint reported its limit may arrive after one that reports
+// it. It must not end the limit.
+func (l *limits) record(ep directory.Endpoint, perSecond float64, assignedAt, now time.Time) bool {
+	old, ok := l.lookup(ep, now)
 	none := perSecond < 0
-	if none && (!ok || !given.After(old.At)) {
+	if none && (!ok || !assignedAt.After(old.At)) {
 		return false
 	}
-	told := Limit{Endpoint: ep.ID, Born: ep.Born, PerSecond: max(0, perSecond), None: none, At: now}
+	reported := Limit{Endpoint: ep.ID, Born: ep.Born, PerSecond: max(0, perSecond), None: none, At: now}
 	if l.own == nil {
 		l.own = map[string]Limit{}
 	}
-	l.own[ep.ID] = told
-	return l.hear(told)
+	l.own[ep.ID] = reported
+	return l.merge(reported)
 }
 
-// hear takes in what an endpoint told some entry, and reports whether it is another limit
-// than was known.
-func (l *limits) hear(told Limit) bool {
-	old, ok := l.known[told.Endpoint]
-	if ok && !told.At.After(old.At) {
+// merge stores a limit reported to any entry, and returns whether it differs from the known one.
+func (l *limits) merge(reported Limit) bool {
+	old, ok := l.newest[reported.Endpoint]
+	if ok && !reported.At.After(old.At) {
 		return false
 	}
-	if l.known == nil {
-		l.known = map[string]Limit{}
+	if l.newest == nil {
+		l.newest = map[string]Limit{}
 	}
-	l.known[told.Endpoint] = told
+	l.newest[reported.Endpoint] = reported
 	if !ok {
-		return !told.None
+		return !reported.None
 	}
-	return old.None != told.None || old.PerSecond != told.PerSecond || old.Born != told.Born
+	return old.None != reported.None || old.PerSecond != reported.PerSecond || old.Born != reported.Born
 }
 
-// forget forgets an endpoint.
-func (l *limits) forget(id string) {
-	delete(l.known, id)
+func (l *limits) remove(id string) {
+	delete(l.newest, id)
 	delete(l.own, id)
 }
 
-// of returns the limit that an endpoint names, or false if it names none.
-func (l *limits) of(ep directory.Endpoint, now time.Time) (Limit, bool) {
-	known, ok := l.known[ep.ID]
-	if !ok || known.None || known.Born != ep.Born || now.Sub(known.At) > limitMemory {
+// lookup returns the current limit of an endpoint, or false if there is none.
+func (l *limits) lookup(ep directory.Endpoint, now time.Time) (Limit, bool) {
+	known, ok := l.newest[ep.ID]
+	if !ok || known.None || known.Born != ep.Born || now.Sub(known.At) > limitTTL {
 		return Limit{}, false
 	}
 	return known, true
 }
 
-// Limited notes the limit that an endpoint names in an answer of its own, in requests a
-// second; a negative one says that it names none. It reports whether that is new.
+// Limited records the limit, in requests per second, that an endpoint reports in an answer to this
+// entry. A negative value means that it reports none. It returns whether the known limit changed.
 func (b *Belief) Limited(p Place, perSecond float64, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	changed := b.limits.note(p.Endpoint, perSecond, p.given, now)
+	changed := b.limits.record(p.Endpoint, perSecond, p.assignedAt, now)
 	if changed {
-		b.changed()
+		b.notifyChanged()
 	}
 	return changed
 }
 
-// dropOld forgets what was told too long ago to hold.
-func (l *limits) dropOld(now time.Time) {
-	old := func(_ string, told Limit) bool { return now.Sub(told.At) > limitMemory }
-	maps.DeleteFunc(l.known, old)
+// expire deletes limits older than limitTTL.
+func (l *limits) expire(now time.Time) {
+	old := func(_ string, reported Limit) bool { return now.Sub(reported.At) > limitTTL }
+	maps.DeleteFunc(l.newest, old)
 	maps.DeleteFunc(l.own, old)
 }
 
-// OwnLimits returns what endpoints have told this entry of their limits just now, so that
-// the others can be told.
-//
-// Load: a thousand endpoints in need, and a message to the others each 20 ms. Harm
-// prevented: what an entry sends grows with the number of endpoints.
+// OwnLimits returns the limits that endpoints have reported to this entry within limitShareAge,
+// latest first, to be passed on to the other entries. Their number is bounded: messages are sent
+// each 20 ms, and would otherwise grow with the number of limited endpoints, which may be a
+// thousand.
 func (b *Belief) OwnLimits(now time.Time) []Limit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.limits.dropOld(now)
+	b.limits.expire(now)
 	var out []Limit
 	for _, l := range b.limits.own {
-		if now.Sub(l.At) <= limitTold {
+		if now.Sub(l.At) <= limitShareAge {
 			out = append(out, l)
 		}
 	}
 	slices.SortFunc(out, func(a, b Limit) int { return b.At.Compare(a.At) })
-	return out[:min(len(out), mostTold)]
+	return out[:min(len(out), maxSharedLimits)]
 }
 
-// HearLimits takes in what endpoints have told another entry, and returns what was new.
-//
-// Load: an endpoint in need, and a fleet of which each entry sends it a request now and
-// then. Harm prevented: each entry learns of the limit only by sending one more.
-func (b *Belief) HearLimits(told []Limit) []Limit {
+// HearLimits merges the limits that endpoints have reported to another entry, and returns those
+// that were new. In a large fleet each entry sends an endpoint a request only now and then; without
+// the exchange each would learn of a limit only by sending one request too many.
+func (b *Belief) HearLimits(received []Limit) []Limit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var changed []Limit
-	for _, l := range told {
-		if b.limits.hear(l) {
+	for _, l := range received {
+		if b.limits.merge(l) {
 			changed = append(changed, l)
 		}
 	}
 	return changed
 }
 
-// LimitedEndpoints returns how many endpoints name a limit.
+// LimitedEndpoints returns the number of endpoints that report a limit.
 func (b *Belief) LimitedEndpoints(now time.Time) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
 	for _, ep := range b.dir.Endpoints(now) {
-		if _, ok := b.limits.of(ep, now); ok {
+		if _, ok := b.limits.lookup(ep, now); ok {
 			n++
 		}
 	}
 	return n
 }
 
-// limitation is what limits leave of a service's endpoints for this entry.
-type limitation struct {
-	// barred says that an endpoint is not asked for its limit, and wait is the least time
-	// until one may be, or 0 if none may.
-	barred bool
-	wait   time.Duration
+// limitState is the effect of limits on a choice among a service's endpoints.
+type limitState struct {
+	// excluded means that an endpoint was left out because of its limit. wait is the least time
+	// until one of those may be sent a request, or 0 if none may.
+	excluded bool
+	wait     time.Duration
 }
 
-// avoidLimited keeps the request off endpoints of whose limit this entry has no share, or
-// has used it up, with mu held.
-func (b *Belief) avoidLimited(service *routing.Service, q *placement.Query, now time.Time) limitation {
-	var out limitation
-	for id := range b.limits.known {
+// excludeLimited excludes endpoints of whose limit this entry has no share or has used it up. mu
+// must be held.
+func (b *Belief) excludeLimited(service *routing.Service, q *placement.Query, now time.Time) limitState {
+	var out limitState
+	for id := range b.limits.newest {
 		ep, ok := b.endpoints[id]
 		if !ok || ep.Service != service.Name {
 			continue
 		}
-		l, ok := b.limits.of(ep, now)
+		l, ok := b.limits.lookup(ep, now)
 		if !ok {
 			continue
 		}
-		n, mine := b.limitSharers(l)
+		n, included := b.limitSharers(l)
 		rate := l.rate()
-		if mine && b.limited.Ready(id, rate, n, now) {
+		if included && b.limitShares.Ready(id, rate, n, now) {
 			continue
 		}
-		out.barred = true
+		out.excluded = true
 		q.Tried = append(q.Tried, id)
-		if w := b.limited.Wait(id, rate, n, now); mine && (out.wait == 0 || w < out.wait) {
+		if w := b.limitShares.Wait(id, rate, n, now); included && (out.wait == 0 || w < out.wait) {
 			out.wait = w
 		}
 	}
 	return out
 }
 
-// takeLimited spends a share of the endpoint's limit, with mu held.
-func (b *Belief) takeLimited(ep directory.Endpoint, now time.Time) {
-	if l, ok := b.limits.of(ep, now); ok {
+// takeLimitShare spends one request of this entry's share of the endpoint's limit. mu must be held.
+func (b *Belief) takeLimitShare(ep directory.Endpoint, now time.Time) {
+	if l, ok := b.limits.lookup(ep, now); ok {
 		n, _ := b.limitSharers(l)
-		b.limited.Take(ep.ID, l.rate(), n, now)
+		b.limitShares.Take(ep.ID, l.rate(), n, now)
 	}
 }
 
 // limitSharers returns how many entries share a limit, and whether this one does.
 //
-// Load: 150 entries and an endpoint that takes one request a second. Harm prevented: each
-// has saved up a request after a while, and all come in the same moment. So only as many
-// share it as the endpoint takes at once, and which ones follows from the names alone.
+// With 150 entries and an endpoint that accepts one request per second, each entry would have saved
+// up a request after a while, and all could send theirs at the same moment. So only as many entries
+// share the limit as the endpoint accepts requests at once. A hash of the names selects them, so
+// that all entries agree without coordination.
 func (b *Belief) limitSharers(l Limit) (int, bool) {
-	rank := func(name string) uint64 { return xxhash.Sum64String(name + " " + l.Endpoint) }
-	own, before, entries := rank(b.Name), 0, 1
+	hash := func(name string) uint64 { return xxhash.Sum64String(name + " " + l.Endpoint) }
+	own, before, entries := hash(b.Name), 0, 1
 	for name := range b.entries {
 		if name == b.Name {
 			continue
 		}
 		entries++
-		if rank(name) < own {
+		if hash(name) < own {
 			before++
 		}
 	}
-	n := int(min(float64(entries), savedEach*l.PerSecond+savedMore))
+	n := int(min(float64(entries), burstPerRate*l.PerSecond+burstBase))
 	return n, before < n
 }
--- a/internal/relay/limit_test.go
+++ b/internal/relay/limit_test.go
@@ -12,45 +12,46 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// What an endpoint takes above the limit that it names, in any limitSpan, from the entries
-// that it has told.
+// The bound on requests in any overrunSpan that an endpoint accepts from entries which know its
+// limit: overrunFactor times the limit, and overrunBase more.
 const (
-	limitSpan   = 4 * time.Second
-	limitFactor = 1.5
-	limitMore   = 5
-	// limitKnown is how long after passing on the limit an entry has to keep it.
-	limitKnown = 500 * time.Millisecond
-	// limitSettled is how long after it was first named a limit has to be kept.
-	limitSettled = 3 * time.Second
+	overrunSpan   = 4 * time.Second
+	overrunFactor = 1.5
+	overrunBase   = 5
+	// informedGrace is the time after which an entry that has received a limit must comply with it.
+	informedGrace = 500 * time.Millisecond
+	// settleTime is the time after which all entries must comply with a limit that was reported
+	// for the first time, and must have noticed its end.
+	settleTime = 3 * time.Second
 )
 
-// limitWorld is entries and endpoints of which the first names a limit for a while.
-type limitWorld struct {
-	fleetWorld
+// limitModel simulates entries and endpoints, the first of which reports a limit for a while.
+type limitModel struct {
+	fleetModel
 
 	perSecond   float64
 	from, until time.Time
-	// heads are answers on their way.
-	heads []openRequest
-	// told is when an entry first passed on the limit, and sent when the endpoint got a
-	// request: from an entry that had been told, from any, and after the limit had ended.
-	told      map[int]time.Time
-	sent, all []time.Time
-	after     int
+	// pendingHeads are answers whose headers have not arrived yet.
+	pendingHeads []openRequest
+	// informedAt is when an entry first received the limit from the endpoint. sentInformed holds
+	// the times of requests to the endpoint from informed entries, sentAll of those from any entry,
+	// and sentAfter counts the requests after the limit had ended.
+	informedAt            map[int]time.Time
+	sentInformed, sentAll []time.Time
+	sentAfter             int
 }
 
 const (
-	limited = "e0"
-	// tellPause is the time between two messages of an entry to the others, in ms for each
-	// of them.
-	tellPause = 3
+	limitedEndpoint = "e0"
+	// exchangePauseMs is the time between two messages of an entry, in ms per entry of the fleet.
+	exchangePauseMs = 3
 )
 
-func newLimitWorld(entries, endpoints int, perSecond float64, s *routing.Service, began time.Time) *limitWorld {
-	w := &limitWorld{perSecond: perSecond, told: map[int]time.Time{}}
+func newLimitModel(entries, endpoints int, perSecond float64, s *routing.Service, began time.Time) *limitModel {
+	w := &limitModel{perSecond: perSecond, informedAt: map[int]time.Time{}}
 	for i := range entries {
 		b := newBelief(fmt.Sprint("entry", i), s)
-		list(b, endpoints, s.Name)
+		listEndpoints(b, endpoints, s.Name)
 		for k := range entries {
 			b.SetEntry(fmt.Sprint("entry", k), true, began)
 		}
@@ -60,75 +61,75 @@
 	return w
 }
 
-// names returns what the limited endpoint says in an answer, or -1.
-func (w *limitWorld) names(now time.Time) float64 {
+// reportedLimit returns the limit that the endpoint reports at now, or -1.
+func (w *limitModel) reportedLimit(now time.Time) float64 {
 	if now.Before(w.from) || !now.Before(w.until) {
 		return -1
 	}
 	return w.perSecond
 }
 
-// arrive has a request arrive at an entry, whose answer begins after a while and ends
-// later.
-func (w *limitWorld) arrive(i int, now time.Time, begins, lasts time.Duration) {
+// arrive places a request that arrives at entry i. The header of its answer arrives after headAfter,
+// and its end after endAfter.
+func (w *limitModel) arrive(i int, now time.Time, headAfter, endAfter time.Duration) {
 	b := w.fleet[i]
 	p, e := b.Choose(b.Table().Service("quotes"), placement.Query{Tokens: 900}, now)
 	if e != nil {
 		return
 	}
-	w.open = append(w.open, openRequest{entry: i, place: p, until: now.Add(lasts)})
-	w.heads = append(w.heads, openRequest{entry: i, place: p, until: now.Add(begins)})
-	if p.Endpoint.ID != limited {
+	w.open = append(w.open, openRequest{entry: i, place: p, until: now.Add(endAfter)})
+	w.pendingHeads = append(w.pendingHeads, openRequest{entry: i, place: p, until: now.Add(headAfter)})
+	if p.Endpoint.ID != limitedEndpoint {
 		return
 	}
-	if !now.Before(w.until.Add(limitSettled)) {
-		w.after++
+	if !now.Before(w.until.Add(settleTime)) {
+		w.sentAfter++
 	}
-	if now.Before(w.from.Add(limitSettled)) || !now.Before(w.until) {
+	if now.Before(w.from.Add(settleTime)) || !now.Before(w.until) {
 		return
 	}
-	w.all = append(w.all, now)
-	if at, ok := w.told[i]; ok && now.Sub(at) >= limitKnown {
-		w.sent = append(w.sent, now)
+	w.sentAll = append(w.sentAll, now)
+	if at, ok := w.informedAt[i]; ok && now.Sub(at) >= informedGrace {
+		w.sentInformed = append(w.sentInformed, now)
 	}
 }
 
-// begin has the heads of answers arrive that are due.
-func (w *limitWorld) begin(now time.Time) {
-	w.heads = slices.DeleteFunc(w.heads, func(o openRequest) bool {
+// deliverHeads delivers the headers of answers that are due.
+func (w *limitModel) deliverHeads(now time.Time) {
+	w.pendingHeads = slices.DeleteFunc(w.pendingHeads, func(o openRequest) bool {
 		if now.Before(o.until) {
 			return false
 		}
 		perSecond := -1.0
-		if o.place.Endpoint.ID == limited {
-			perSecond = w.names(now)
+		if o.place.Endpoint.ID == limitedEndpoint {
+			perSecond = w.reportedLimit(now)
 		}
 		w.fleet[o.entry].Limited(o.place, perSecond, now)
-		if _, ok := w.told[o.entry]; !ok && perSecond >= 0 {
-			w.told[o.entry] = now
+		if _, ok := w.informedAt[o.entry]; !ok && perSecond >= 0 {
+			w.informedAt[o.entry] = now
 		}
 		return true
 	})
 }
 
-// run has requests arrive for a time, at a rate a second.
-func (w *limitWorld) run(rng *rand.Rand, from time.Time, d time.Duration, rate float64, begins, lasts time.Duration) {
+// run simulates requests that arrive at the given rate per second for the duration d.
+func (w *limitModel) run(rng *rand.Rand, from time.Time, d time.Duration, rate float64, headAfter, endAfter time.Duration) {
 	for ms := range int(d.Milliseconds()) {
 		now := from.Add(time.Duration(ms) * time.Millisecond)
-		w.endDue(now)
-		w.begin(now)
-		if ms%(tellPause*len(w.fleet)) == 0 {
+		w.endExpired(now)
+		w.deliverHeads(now)
+		if ms%(exchangePauseMs*len(w.fleet)) == 0 {
 			w.exchange(now)
-			w.tellLimits(now)
+			w.exchangeLimits(now)
 		}
 		if rng.Float64() < rate/1000 {
-			w.arrive(rng.IntN(len(w.fleet)), now, begins, lasts)
+			w.arrive(rng.IntN(len(w.fleet)), now, headAfter, endAfter)
 		}
 	}
 }
 
-// tellLimits has all entries tell each other of limits.
-func (w *limitWorld) tellLimits(now time.Time) {
+// exchangeLimits passes each entry's own limits to all entries.
+func (w *limitModel) exchangeLimits(now time.Time) {
 	for _, from := range w.fleet {
 		told := from.OwnLimits(now)
 		for _, to := range w.fleet {
@@ -137,47 +138,47 @@
 	}
 }
 
-// An endpoint in need names a limit that is well below what it gets, for 20 s, and then no
-// more. Guards against entries that go on sending as before, or keep the limit each for
-// itself, and against an endpoint that is left alone afterwards.
+// An overloaded endpoint reports a limit well below its traffic for 20 s. Guards against entries
+// that go on sending as before or apply the limit each on its own, and against an endpoint that
+// gets no requests afterwards.
 func TestLimitOfAnEndpointIsKeptByAllEntriesTogether(t *testing.T) {
-	engines := &routing.Service{Name: "quotes", Engine: engine()}
+	engines := &routing.Service{Name: "quotes", Engine: testEngine()}
 	plain := &routing.Service{Name: "quotes"}
 	for _, c := range []struct {
-		service            *routing.Service
-		entries, endpoints int
-		rate, perSecond    float64
-		begins, lasts      time.Duration
+		service             *routing.Service
+		entries, endpoints  int
+		rate, perSecond     float64
+		headAfter, endAfter time.Duration
 	}{
-		{service: engines, entries: 7, endpoints: 12, rate: 40, perSecond: 1.2, begins: 120 * time.Millisecond, lasts: 700 * time.Millisecond},
-		{service: engines, entries: 36, endpoints: 64, rate: 230, perSecond: 1.4, begins: 120 * time.Millisecond, lasts: 700 * time.Millisecond},
-		{service: plain, entries: 8, endpoints: 3, rate: 10, perSecond: 1, begins: 50 * time.Millisecond, lasts: 60 * time.Millisecond},
+		{service: engines, entries: 7, endpoints: 12, rate: 40, perSecond: 1.2, headAfter: 120 * time.Millisecond, endAfter: 700 * time.Millisecond},
+		{service: engines, entries: 36, endpoints: 64, rate: 230, perSecond: 1.4, headAfter: 120 * time.Millisecond, endAfter: 700 * time.Millisecond},
+		{service: plain, entries: 8, endpoints: 3, rate: 10, perSecond: 1, headAfter: 50 * time.Millisecond, endAfter: 60 * time.Millisecond},
 	} {
 		for seed := range uint64(4) {
-			from := start.Add(entriesMemory + time.Second)
-			w := newLimitWorld(c.entries, c.endpoints, c.perSecond, c.service, from)
+			from := start.Add(entryRetention + time.Second)
+			w := newLimitModel(c.entries, c.endpoints, c.perSecond, c.service, from)
 			w.from, w.until = from.Add(3*time.Second), from.Add(23*time.Second)
-			w.run(rand.New(rand.NewPCG(seed, 5)), from, 34*time.Second, c.rate, c.begins, c.lasts)
-			allowed := limitFactor*limitSpan.Seconds()*c.perSecond + limitMore
-			for _, at := range [][]time.Time{w.sent, w.all} {
-				if n := mostWithin(at, limitSpan); float64(n) > allowed {
-					t.Errorf("%d entries, seed %d: %d requests in %v, %.1f are allowed", c.entries, seed, n, limitSpan, allowed)
+			w.run(rand.New(rand.NewPCG(seed, 5)), from, 34*time.Second, c.rate, c.headAfter, c.endAfter)
+			allowed := overrunFactor*overrunSpan.Seconds()*c.perSecond + overrunBase
+			for _, at := range [][]time.Time{w.sentInformed, w.sentAll} {
+				if n := maxWithin(at, overrunSpan); float64(n) > allowed {
+					t.Errorf("%d entries, seed %d: %d requests in %v, %.1f are allowed", c.entries, seed, n, overrunSpan, allowed)
 				}
 			}
-			if mean := c.rate / float64(c.endpoints) * 8; float64(w.after) < mean/2 {
-				t.Errorf("%d entries, seed %d: %d requests in the 8 s after it, the others get %.0f", c.entries, seed, w.after, mean)
+			if mean := c.rate / float64(c.endpoints) * 8; float64(w.sentAfter) < mean/2 {
+				t.Errorf("%d entries, seed %d: %d requests in the 8 s after the limit, other endpoints get %.0f", c.entries, seed, w.sentAfter, mean)
 			}
 		}
 	}
 }
 
-// All of 36 entries hear of a limit and have nothing to send for a while, and then all have.
-// Guards against each of them spending at once what it has saved up.
+// 36 entries know a limit, are idle for a while and then all have a request. Guards against each of
+// them spending its saved share at the same moment.
 func TestSavedSharesOfALimitDoNotComeAtOnce(t *testing.T) {
 	const entries, perSecond, idle = 36, 1.2, 20 * time.Second
-	from := start.Add(entriesMemory + time.Second)
-	w := newLimitWorld(entries, 1, perSecond, &routing.Service{Name: "quotes"}, from)
-	told := []Limit{{Endpoint: limited, Born: 1, PerSecond: perSecond, At: from}}
+	from := start.Add(entryRetention + time.Second)
+	w := newLimitModel(entries, 1, perSecond, &routing.Service{Name: "quotes"}, from)
+	told := []Limit{{Endpoint: limitedEndpoint, Born: 1, PerSecond: perSecond, At: from}}
 	sent := 0
 	for _, now := range []time.Time{from, from.Add(idle)} {
 		sent = 0
@@ -188,16 +189,16 @@
 			}
 		}
 	}
-	if allowed := limitFactor*limitSpan.Seconds()*perSecond + limitMore; float64(sent) > allowed || sent == 0 {
+	if allowed := overrunFactor*overrunSpan.Seconds()*perSecond + overrunBase; float64(sent) > allowed || sent == 0 {
 		t.Errorf("%d requests at once, 1 to %.1f are allowed", sent, allowed)
 	}
 }
 
-// An answer that was made before the limit was named comes after one that names it. Guards
+// An answer made before the endpoint reported a limit arrives after one that reports it. Guards
 // against a limit that such an answer ends, and against one that nothing ends.
 func TestOlderAnswerDoesNotEndALimit(t *testing.T) {
 	b := newBelief("me", &routing.Service{Name: "quotes"})
-	list(b, 1, "quotes")
+	listEndpoints(b, 1, "quotes")
 	choose := func(now time.Time) Place {
 		p, e := b.Choose(b.Table().Service("quotes"), placement.Query{}, now)
 		if e != nil {
@@ -212,42 +213,42 @@
 		t.Error("an older answer ended the limit")
 	}
 	next := old
-	next.given = start.Add(3 * time.Second)
+	next.assignedAt = start.Add(3 * time.Second)
 	b.Limited(next, -1, start.Add(4*time.Second))
 	if n := b.LimitedEndpoints(start.Add(4 * time.Second)); n != 0 {
 		t.Error("the limit has not ended")
 	}
 }
 
-// All endpoints name limits of which this entry has no share. Guards against a request that
-// waits for a place that it can't get.
+// All endpoints report limits of which this entry has no share. Guards against a request that waits
+// for a slot that it can't get.
 func TestRequestWithoutAShareOfAnyLimitIsRefusedAtOnce(t *testing.T) {
 	const entries = 36
-	from := start.Add(entriesMemory + time.Second)
-	w := newLimitWorld(entries, 1, 1, &routing.Service{Name: "quotes"}, from)
+	from := start.Add(entryRetention + time.Second)
+	w := newLimitModel(entries, 1, 1, &routing.Service{Name: "quotes"}, from)
 	refused := 0
 	for _, b := range w.fleet {
-		b.HearLimits([]Limit{{Endpoint: limited, Born: 1, PerSecond: 1, At: from}})
+		b.HearLimits([]Limit{{Endpoint: limitedEndpoint, Born: 1, PerSecond: 1, At: from}})
 		_, e := b.Choose(b.Table().Service("quotes"), placement.Query{}, from)
 		if e != nil && e.Code() == result.EndpointLimited {
 			refused++
-			if passes(e) || e.RetryAfter() <= 0 {
-				t.Error("it may wait, or is not told when to come back")
+			if isTransient(e) || e.RetryAfter() <= 0 {
+				t.Error("the refusal is transient or has no retry time")
 			}
 		}
 	}
-	if want := entries - savedEach - savedMore; refused != want {
+	if want := entries - burstPerRate - burstBase; refused != want {
 		t.Errorf("%d entries refuse, want %d", refused, want)
 	}
 }
 
-// Guards against a limit beyond all numbers of requests that leaves the endpoint to nobody.
+// Guards against a limit larger than any number of requests by which no entry gets a share.
 func TestHugeLimitIsSharedByAll(t *testing.T) {
 	const entries = 36
-	w := newLimitWorld(entries, 1, 1, &routing.Service{Name: "quotes"}, start)
+	w := newLimitModel(entries, 1, 1, &routing.Service{Name: "quotes"}, start)
 	for _, b := range w.fleet {
-		if n, mine := b.limitSharers(Limit{Endpoint: limited, PerSecond: 1e300}); n != entries || !mine {
-			t.Fatalf("%d share it, this one %v", n, mine)
+		if n, mine := b.limitSharers(Limit{Endpoint: limitedEndpoint, PerSecond: 1e300}); n != entries || !mine {
+			t.Fatalf("%d entries share the limit, this one: %v", n, mine)
 		}
 	}
 }
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -8,7 +8,7 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/endpoint/placement"
 )
 
-// SetLoads takes in load reports.
+// SetLoads stores load reports that are newer than the known ones.
 func (b *Belief) SetLoads(loads []Load, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -19,17 +19,17 @@
 		}
 		b.loads[ep.ID] = l
 		if l.Closed {
-			b.outages.began(ep.Service, now)
+			b.outages.markDown(ep.Service, now)
 		}
-		b.tell(ep, now)
+		b.updateReport(ep, now)
 	}
 	b.refresh(now)
-	b.moveAway(now)
-	b.pump(now)
+	b.moveOffSlowEngines(now)
+	b.dispatchWaiting(now)
 }
 
-// SetWorks takes in what other entries have given to endpoints. What is older than
-// is known of an entry is left out.
+// SetWorks stores other entries' reports of their work. It ignores reports that are older than the
+// known ones.
 func (b *Belief) SetWorks(works []Work, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -42,50 +42,50 @@
 		b.works[w.Entry] = w
 		b.addWork(old, -1)
 		b.addWork(w, 1)
-		noteChanges(changed, old.Running, w.Running)
-		noteChanges(changed, w.Running, old.Running)
+		markDifferences(changed, old.Running, w.Running)
+		markDifferences(changed, w.Running, old.Running)
 	}
 	for id := range changed {
 		if ep, ok := b.endpoints[id]; ok {
-			b.tell(ep, now)
+			b.updateReport(ep, now)
 		}
 	}
-	b.pump(now)
+	b.dispatchWaiting(now)
 }
 
-// Informers returns of how many other entries it is known what work they have given.
+// Informers returns the number of other entries whose work is known.
 func (b *Belief) Informers() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.works)
 }
 
-// addWork adds an entry's work to what all others have, or takes it off.
+// addWork adds an entry's requests to othersRunning, or subtracts them if sign is -1.
 func (b *Belief) addWork(w Work, sign int) {
 	for id, n := range w.Running {
-		if b.given[id] += sign * n; b.given[id] == 0 {
-			delete(b.given, id)
+		if b.othersRunning[id] += sign * n; b.othersRunning[id] == 0 {
+			delete(b.othersRunning, id)
 		}
 	}
 }
 
-// dropWork forgets the work of an entry.
-func (b *Belief) dropWork(entry string) {
+// removeWork deletes the report of an entry.
+func (b *Belief) removeWork(entry string) {
 	b.addWork(b.works[entry], -1)
 	delete(b.works, entry)
 }
 
-// dropStaleWorks forgets the work of entries that have not told of it for long.
-func (b *Belief) dropStaleWorks(now time.Time) {
+// removeStaleWorks deletes reports older than maxWorkAge.
+func (b *Belief) removeStaleWorks(now time.Time) {
 	for name, w := range b.works {
-		if now.Sub(w.At) >= workStale {
-			b.dropWork(name)
+		if now.Sub(w.At) >= maxWorkAge {
+			b.removeWork(name)
 		}
 	}
 }
 
-// noteChanges notes the endpoints of one count that have another in the other.
-func noteChanges(changed map[string]bool, counts, other map[string]int) {
+// markDifferences adds to changed the endpoints in counts whose number differs in other.
+func markDifferences(changed map[string]bool, counts, other map[string]int) {
 	for id, n := range counts {
 		if other[id] != n {
 			changed[id] = true
@@ -93,103 +93,100 @@
 	}
 }
 
-// bears returns how many requests an endpoint is given at once, and by how many
-// its load is measured.
-func (b *Belief) bears(ep directory.Endpoint) (allowance, capacity int) {
+// endpointCapacity returns how many requests an endpoint may run at once, and the capacity relative
+// to which its load is measured.
+func (b *Belief) endpointCapacity(ep directory.Endpoint) (allowance, capacity int) {
 	slots := ep.Slots
 	if slots <= 0 {
-		slots = plainSlots
+		slots = defaultSlots
 	}
 	if b.table == nil {
 		return slots, slots
 	}
 	if s := b.table.Service(ep.Service); s != nil && s.Engine != nil {
-		n := min(slots, batch.MostWriters(s.Engine, b.gaps[ep.Service]))
-		return b.slowed(ep, n), n
+		n := min(slots, batch.MostWriters(s.Engine, b.maxPauses[ep.Service]))
+		return b.slowAllowance(ep, n), n
 	}
-	return slots + queueBeyond, slots
+	return slots + extraQueue, slots
 }
 
-// slowed returns how many of n requests an endpoint is given that works slower
-// than the others of its service.
+// slowAllowance reduces the allowance n of an endpoint that is slower than others of its service.
 //
-// The load is a group of ranks that run in lock-step, one of which turns slow:
-// every pass waits for it, so the streams of all ranks are late, and nothing
-// that an entry measures tells which one it is. Without requests of its own the
-// slow rank holds up the others least.
-func (b *Belief) slowed(ep directory.Endpoint, n int) int {
-	pace, least := b.paces(ep)
-	if pace/least < batch.SlowFrom {
+// When one rank of a group that runs in lockstep becomes slow, every pass waits for it. The streams
+// of all ranks are late, and nothing that an entry measures shows which rank it is. The slow rank
+// holds up the others least when it has no requests of its own.
+func (b *Belief) slowAllowance(ep directory.Endpoint, n int) int {
+	pace, fastest := b.paces(ep)
+	if pace/fastest < batch.SlowFrom {
 		return n
 	}
-	return int(float64(n) * (least / pace) * (least / pace))
+	return int(float64(n) * (fastest / pace) * (fastest / pace))
 }
 
-// paces returns how many times slower than usual an endpoint works, and the fastest
-// of its service. Both are 1 for one that is not slow, which is nearly always, so
-// that the others need not be looked at with each report.
-func (b *Belief) paces(ep directory.Endpoint) (pace, least float64) {
+// paces returns the slowdown factor of an endpoint and the lowest one of its service. Both are 1
+// for an endpoint that is not slow, which is the usual case, so that a report seldom has to look at
+// all other endpoints.
+func (b *Belief) paces(ep directory.Endpoint) (pace, fastest float64) {
 	pace = b.loads[ep.ID].Pace
 	if pace < batch.SlowFrom {
 		return 1, 1
 	}
-	least = pace
+	fastest = pace
 	for _, other := range b.endpoints {
 		if other.Service == ep.Service {
-			least = min(least, max(1, b.loads[other.ID].Pace))
+			fastest = min(fastest, max(1, b.loads[other.ID].Pace))
 		}
 	}
-	return pace, least
+	return pace, fastest
 }
 
-// running returns how many requests an endpoint has from all entries: what they
-// told of each other, or what a process beside the endpoint reported if that is
-// more, as it may know of entries that are cut off from this one.
+// running returns how many requests an endpoint has from all entries, and as of when: the number
+// according to the entries' reports, or according to a process beside the endpoint if that is
+// larger, as it may know of entries that are cut off from this one.
 func (b *Belief) running(ep directory.Endpoint, now time.Time) (int, time.Time) {
-	n, heard := b.own[ep.ID]+b.given[ep.ID], len(b.works)
+	n, reporters := b.ownRunning[ep.ID]+b.othersRunning[ep.ID], len(b.works)
 	l, ok := b.loads[ep.ID]
-	if !ok || now.Sub(l.At) >= loadStale || heard+1 >= len(b.entries) && heard > 0 {
+	if !ok || now.Sub(l.At) >= maxLoadAge || reporters+1 >= len(b.entries) && reporters > 0 {
 		return n, now
 	}
-	if reported := l.Running + l.Queued; heard == 0 || reported > n {
+	if reported := l.Running + l.Queued; reporters == 0 || reported > n {
 		return reported, l.At
 	}
 	return n, now
 }
 
-// refresh brings the picture up to the directory.
+// refresh updates endpoints, addresses and the selector from the directory.
 func (b *Belief) refresh(now time.Time) {
-	if !b.dirty && now.Sub(b.fed) < reportEvery && !b.dir.Lapsed(now) {
+	if !b.dirty && now.Sub(b.refreshedAt) < reportInterval && !b.dir.Lapsed(now) {
 		return
 	}
-	b.dirty, b.fed = false, now
-	b.dropStaleWorks(now)
+	b.dirty, b.refreshedAt = false, now
+	b.removeStaleWorks(now)
 	usable, addresses := map[string]directory.Endpoint{}, map[string]directory.Endpoint{}
 	for _, ep := range b.dir.Endpoints(now) {
 		usable[ep.ID], addresses[ep.Address] = ep, ep
-		b.tell(ep, now)
+		b.updateReport(ep, now)
 	}
 	for id := range b.endpoints {
 		if _, ok := usable[id]; !ok {
-			b.picture.Remove(id)
-			b.cold.Forget(id)
-			b.limited.Forget(id)
+			b.selector.Remove(id)
+			b.coldShares.Forget(id)
+			b.limitShares.Forget(id)
 			delete(b.loads, id)
 			delete(b.failures, id)
-			b.limits.forget(id)
-			delete(b.turns.starts, id)
+			b.limits.remove(id)
+			delete(b.recentStarts.starts, id)
 		}
 	}
 	b.endpoints, b.addresses = usable, addresses
 }
 
-// tell gives the picture a report of one endpoint: what a process beside it
-// last reported, or else this entry's own count.
-func (b *Belief) tell(ep directory.Endpoint, now time.Time) {
+// updateReport gives the selector a load report for one endpoint.
+func (b *Belief) updateReport(ep directory.Endpoint, now time.Time) {
 	r := placement.Report{
 		Endpoint: ep.ID, Incarnation: ep.Born, DataCentre: ep.DataCentre, Routes: []string{ep.Service},
 	}
-	r.Allowance, r.Capacity = b.bears(ep)
+	r.Allowance, r.Capacity = b.endpointCapacity(ep)
 	r.Running, r.At = b.running(ep, now)
-	b.picture.Update(r, now)
+	b.selector.Update(r, now)
 }
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -10,7 +10,7 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Metrics counts requests and attempts, and shows the age of what is believed.
+// Metrics counts requests and attempts, and exports gauges of the entry's view.
 type Metrics struct {
 	registry metrics.Registry
 	running  metrics.Counter
@@ -21,7 +21,7 @@
 	return &Metrics{registry: r, running: metrics.GetOrRegisterCounter("relay.running", r)}
 }
 
-// Watch shows what b believes.
+// Watch registers gauges for the state of b.
 func (m *Metrics) Watch(b *Belief, now func() time.Time) {
 	gauge := func(name string, f func() int64) { metrics.NewRegisteredFunctionalGauge(name, m.registry, f) }
 	gauge("relay.knownAge", func() int64 { return b.Fresh.Age(now()).Milliseconds() })
@@ -40,11 +40,11 @@
 	gauge("relay.waiting", func() int64 { return int64(len(b.Waiting())) })
 }
 
-func (m *Metrics) begin() { m.running.Inc(1) }
-func (m *Metrics) end()   { m.running.Dec(1) }
+func (m *Metrics) incRunning() { m.running.Inc(1) }
+func (m *Metrics) decRunning() { m.running.Dec(1) }
 
-// attempted counts an attempt by its outcome.
-func (m *Metrics) attempted(o Outcome) {
+// countAttempt counts an attempt by its outcome.
+func (m *Metrics) countAttempt(o Outcome) {
 	metrics.GetOrRegisterCounter("relay.attempts."+outcomeName(o), m.registry).Inc(1)
 }
 
@@ -67,34 +67,34 @@
 	}
 }
 
-// ended counts a request by its result, and its times by service and by whether
-// it may be repeated.
-func (m *Metrics) ended(code result.Code, kind, service string, first, whole time.Duration) {
+// countResult counts a request by its result, and its latencies by service and by the route's
+// Repeat.
+func (m *Metrics) countResult(code result.Code, kind, service string, first, whole time.Duration) {
 	metrics.GetOrRegisterCounter("relay.results."+code.String(), m.registry).Inc(1)
 	if service == "" || code != result.OK {
 		return
 	}
 	for _, name := range []string{"relay.service." + service, "relay.kind." + kind} {
-		m.timer(name+".firstPart", first)
-		m.timer(name+".whole", whole)
+		m.updateTimer(name+".firstPart", first)
+		m.updateTimer(name+".whole", whole)
 	}
 }
 
-func (m *Metrics) timer(name string, d time.Duration) {
+func (m *Metrics) updateTimer(name string, d time.Duration) {
 	if d > 0 {
 		metrics.GetOrRegisterTimer(name, m.registry).Update(d)
 	}
 }
 
-func formatID(id int64) string { return strconv.FormatInt(id, 10) }
+func formatEventID(id int64) string { return strconv.FormatInt(id, 10) }
 
-// log writes the line of a request that has ended.
+// log writes the log line of a completed request.
 func (j *job) log(code result.Code, status int, now time.Time, cause error) {
 	service, kind := "", ""
 	if j.service != nil {
 		service, kind = j.service.Name, j.route.Repeat.String()
 	}
-	j.relay.Metrics.ended(code, kind, service, sinceOrZero(j.firstPart, j.raw.At), now.Sub(j.raw.At))
+	j.relay.Metrics.countResult(code, kind, service, sinceOrZero(j.firstPartAt, j.raw.At), now.Sub(j.raw.At))
 	f := logrus.Fields{
 		"request": j.facts.ID, "code": int(code), "result": code.String(), "status": status,
 		"effect": code.Effect().String(), "took": now.Sub(j.raw.At).Milliseconds(),
@@ -109,18 +109,18 @@
 	if len(j.tried) > 0 {
 		f["endpoints"], f["sent"] = j.tried, j.tries.Sent
 	}
-	if !j.firstPart.IsZero() {
-		f["firstPart"] = j.firstPart.Sub(j.raw.At).Milliseconds()
+	if !j.firstPartAt.IsZero() {
+		f["firstPart"] = j.firstPartAt.Sub(j.raw.At).Milliseconds()
 	}
 	if j.longestPause > 0 {
 		f["longestPause"] = j.longestPause.Milliseconds()
-		f["pauseEnded"] = j.pauseEnded.Sub(j.raw.At).Milliseconds()
+		f["pauseEnded"] = j.pauseEndedAt.Sub(j.raw.At).Milliseconds()
 	}
 	if j.waited > 0 {
 		f["waited"] = j.waited.Milliseconds()
 	}
-	if j.last > 0 {
-		f["lastEvent"] = j.last
+	if j.lastEventID > 0 {
+		f["lastEvent"] = j.lastEventID
 	}
 	if cause != nil {
 		f["cause"] = cause.Error()
@@ -128,11 +128,11 @@
 	j.relay.Log.WithFields(f).Info("request ended")
 }
 
-// logAttempt writes the line of an attempt that another one follows.
+// logAttempt writes the log line of an attempt that is followed by another one.
 func (j *job) logAttempt(p Place, o Outcome, now time.Time) {
 	f := logrus.Fields{
 		"request": j.facts.ID, "endpoint": p.Endpoint.ID, "loadAge": p.LoadAge.Milliseconds(),
-		"sent": j.tries.Sent, "unsent": j.tries.Unsent, "left": j.end.Sub(now).Milliseconds(),
+		"sent": j.tries.Sent, "unsent": j.tries.Unsent, "left": j.deadline.Sub(now).Milliseconds(),
 	}
 	f["outcome"] = outcomeName(o)
 	switch o := o.(type) {
@@ -144,10 +144,10 @@
 	case Unknown:
 		addCause(f, o.Cause)
 	case Broken:
-		f["lastEvent"] = j.last
+		f["lastEvent"] = j.lastEventID
 		addCause(f, o.Cause)
 	case Moved:
-		f["lastEvent"] = j.last
+		f["lastEvent"] = j.lastEventID
 		addCause(f, errMoved)
 	}
 	j.relay.Log.WithFields(f).Info("another attempt follows")
@@ -166,7 +166,8 @@
 	return t.Sub(from)
 }
 
-// logLimit tells of a limit that an endpoint names, or, if it is negative, no longer does.
+// logLimit logs a limit that an endpoint reports, or, if it is negative, that it reports none any
+// more.
 func (j *job) logLimit(p Place, perSecond float64) {
 	fields := logrus.Fields{"endpoint": p.Endpoint.ID, "born": p.Endpoint.Born, "service": p.Endpoint.Service, "request": j.facts.ID}
 	if perSecond < 0 {
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -14,76 +14,72 @@
 )
 
 const (
-	// moveLeast is the least time that a request must have left to be moved:
-	// its prompt is read again, which takes up to a third of a second, and it
-	// writes on for a second or two.
-	moveLeast = time.Second
-	// moveFrom is how many times slower than the others an engine has to be. A
-	// prompt that is read again, and the attempt that is used up, are not worth
-	// a passing tenth.
-	moveFrom = 2
+	// minTimeToMove is the least time that a request must have left to be moved: reading its prompt
+	// again takes up to a third of a second, and it produces output for another second or two.
+	minTimeToMove = time.Second
+	// minSlowdownToMove is the least slowdown factor of an engine, relative to the fastest of its
+	// service, from which requests are moved. A temporary slowdown of a tenth is not worth reading
+	// prompts again and using up an attempt.
+	minSlowdownToMove = 2
 )
 
-// errMoved ends an attempt whose request goes on elsewhere.
-var errMoved = errors.New("relay: the engine holds up its group, the request is moved")
+// errMoved ends an attempt whose request continues at another endpoint.
+var errMoved = errors.New("relay: request moved off an engine that slows down its group")
 
-// attemptRun is an attempt under way that may be moved.
-type attemptRun struct {
+// movableAttempt is a running attempt that may be moved to another endpoint.
+type movableAttempt struct {
 	service *routing.Service
 	query   placement.Query
 	place   Place
-	// number orders attempts by when they began, and end is when the request's
-	// time is over.
-	number uint64
-	end    time.Time
-	cancel context.CancelCauseFunc
-	// next is the place that the request has been given instead, if moved.
+	// seq orders attempts by their start, and deadline is that of the request.
+	seq      uint64
+	deadline time.Time
+	cancel   context.CancelCauseFunc
+	// next is the place to which the request has been moved, if moved is true.
 	next  Place
 	moved bool
 }
 
-// movable registers an attempt that may be moved, until settled.
-func (b *Belief) movable(r *attemptRun) {
+// registerMovable registers an attempt that may be moved, until unregisterMovable.
+func (b *Belief) registerMovable(r *movableAttempt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.movables == nil {
-		b.movables = map[string]map[*attemptRun]bool{}
+	if b.movable == nil {
+		b.movable = map[string]map[*movableAttempt]bool{}
 	}
 	id := r.place.Endpoint.ID
-	if b.movables[id] == nil {
-		b.movables[id] = map[*attemptRun]bool{}
+	if b.movable[id] == nil {
+		b.movable[id] = map[*movableAttempt]bool{}
 	}
-	b.attempts++
-	r.number = b.attempts
-	b.movables[id][r] = true
+	b.attemptSeq++
+	r.seq = b.attemptSeq
+	b.movable[id][r] = true
 }
 
-// settled ends movable and returns the attempt's next place, if it was moved.
-func (b *Belief) settled(r *attemptRun) (Place, bool) {
+// unregisterMovable removes an attempt and returns its next place and whether it was moved.
+func (b *Belief) unregisterMovable(r *movableAttempt) (Place, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	id := r.place.Endpoint.ID
-	delete(b.movables[id], r)
-	if len(b.movables[id]) == 0 {
-		delete(b.movables, id)
+	delete(b.movable[id], r)
+	if len(b.movable[id]) == 0 {
+		delete(b.movable, id)
 	}
 	return r.next, r.moved
 }
 
-// moveAway moves requests off engines that hold up their group, with mu held.
+// moveOffSlowEngines moves requests off engines that hold up their group. mu must be held.
 //
-// Load: one of a group's ranks turns several times slower. All ranks wait for it
-// in each pass, and the more requests of its own it writes, the longer. It gets
-// no new ones, but those that it has go on for as long as they themselves make
-// the passes last: seven streams on a rank that was twelve times slower took 6 s,
-// in which a hundred streams of eleven other ranks had an event each 0.8 s. Moved,
-// they go on elsewhere after their prompts were read again.
+// When one rank of a group becomes several times slower, all ranks wait for it in each pass, the
+// longer the more requests it runs itself. It gets no new requests, but those that it has prolong
+// their own passes: seven streams on a rank that was twelve times slower took 6 s, during which a
+// hundred streams on eleven other ranks had one event per 0.8 s. A moved request continues at
+// another engine after its prompt has been read again there.
 //
-// Limits: only streams that may be resumed, with an attempt and a second left,
-// within the retry budget, and only to an engine that has a place for them; so no
-// stream is given up for being moved.
-func (b *Belief) moveAway(now time.Time) {
-	for id, runs := range b.movables {
+// Only resumable streams with an attempt and a second left are moved, within the retry budget, and
+// only to an engine with a free slot. So no stream is lost by being moved.
+func (b *Belief) moveOffSlowEngines(now time.Time) {
+	for id, runs := range b.movable {
 		ep, ok := b.endpoints[id]
 		if !ok {
 			continue
@@ -96,43 +92,43 @@
 	}
 }
 
-// excess returns how many of this entry's requests an engine has that are more
-// than lets it keep up with its group.
+// excess returns how many of this entry's requests an engine has beyond the number with which it
+// keeps up with its group.
 func (b *Belief) excess(ep directory.Endpoint, now time.Time) int {
 	s := b.table.Service(ep.Service)
-	own, least := b.paces(ep)
-	pace := own / least
-	if s == nil || s.Engine == nil || pace < moveFrom || now.Sub(b.loads[ep.ID].At) >= loadStale {
+	ownPace, fastest := b.paces(ep)
+	pace := ownPace / fastest
+	if s == nil || s.Engine == nil || pace < minSlowdownToMove || now.Sub(b.loads[ep.ID].At) >= maxLoadAge {
 		return 0
 	}
-	bears := batch.MostAtPace(s.Engine, b.gaps[ep.Service], pace)
+	supported := batch.MostAtPace(s.Engine, b.maxPauses[ep.Service], pace)
 	running, _ := b.running(ep, now)
-	if running <= bears || running <= 0 {
+	if running <= supported || running <= 0 {
 		return 0
 	}
-	mine := b.own[ep.ID]
-	return mine - mine*bears/running
+	mine := b.ownRunning[ep.ID]
+	return mine - mine*supported/running
 }
 
-// newest returns the n attempts that began last: they have most left to write.
-func newest(runs map[*attemptRun]bool, n int) []*attemptRun {
+// newest returns the n attempts that started last, which have the most output left to produce.
+func newest(runs map[*movableAttempt]bool, n int) []*movableAttempt {
 	if n <= 0 {
 		return nil
 	}
-	out := make([]*attemptRun, 0, len(runs))
+	out := make([]*movableAttempt, 0, len(runs))
 	for r := range runs {
 		if !r.moved {
 			out = append(out, r)
 		}
 	}
-	slices.SortFunc(out, func(a, b *attemptRun) int { return cmp.Compare(b.number, a.number) })
+	slices.SortFunc(out, func(a, b *movableAttempt) int { return cmp.Compare(b.seq, a.seq) })
 	return out[:min(n, len(out))]
 }
 
-// move gives a request another place and ends its attempt. It reports false when
-// no further one can be moved now.
-func (b *Belief) move(r *attemptRun, now time.Time) bool {
-	if r.end.Sub(now) < moveLeast {
+// move assigns a request to another engine and cancels its attempt. It returns false if no further
+// request can be moved now.
+func (b *Belief) move(r *movableAttempt, now time.Time) bool {
+	if r.deadline.Sub(now) < minTimeToMove {
 		return true
 	}
 	if !b.budget(r.service.Name, now).May(now) {
@@ -148,25 +144,25 @@
 	return true
 }
 
-// attemptMovable makes an attempt that may be moved while it runs, and returns the
-// place at which the request goes on if it was.
-func (j *job) attemptMovable(ctx context.Context, p Place) (Outcome, Place) {
+// runMovable runs an attempt that may be moved meanwhile, and returns the place at which the
+// request continues if it was moved.
+func (j *job) runMovable(ctx context.Context, p Place) (Outcome, Place) {
 	if !j.mayMove() {
 		return j.attempt(ctx, p), Place{}
 	}
 	b := j.relay.Belief
-	own, cancel := context.WithCancelCause(ctx)
+	attemptCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	run := &attemptRun{service: j.service, query: j.query(), place: p, end: j.end, cancel: cancel}
-	b.movable(run)
-	o := j.attempt(own, p)
-	next, moved := b.settled(run)
+	run := &movableAttempt{service: j.service, query: j.query(), place: p, deadline: j.deadline, cancel: cancel}
+	b.registerMovable(run)
+	o := j.attempt(attemptCtx, p)
+	next, moved := b.unregisterMovable(run)
 	if !moved {
 		return o, Place{}
 	}
 	switch o.(type) {
 	case Delivered, Failed, NotRun:
-		// The attempt came to its end in the moment in which it was moved.
+		// The attempt completed at the moment at which it was moved.
 	default:
 		if ctx.Err() == nil {
 			return Moved{}, next
@@ -176,7 +172,7 @@
 	return o, Place{}
 }
 
-// mayMove reports whether the request may go on elsewhere once more.
+// mayMove reports whether the request may continue at another endpoint once more.
 func (j *job) mayMove() bool {
 	r := j.route
 	return r.Repeat == routing.Stream && r.Resumable && j.tries.Sent+1 < r.MaxAttempts
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -10,20 +10,19 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/routing"
 )
 
-// slowGroup is a belief about four engines on each of which this entry has some
-// streams that may be moved.
+// slowGroup is a belief with four engines, each of which runs some movable streams of this entry.
 type slowGroup struct {
 	b       *Belief
 	service *routing.Service
-	runs    []*attemptRun
+	runs    []*movableAttempt
 	ctxs    []context.Context
 }
 
 func newSlowGroup(t *testing.T, streams int) *slowGroup {
 	t.Helper()
-	g := &slowGroup{b: newBelief("me", &routing.Service{Name: "quotes", Engine: engine()})}
+	g := &slowGroup{b: newBelief("me", &routing.Service{Name: "quotes", Engine: testEngine()})}
 	g.b.SetRetry(Budget{Share: 0.2, Slack: 900, Window: 10 * time.Second})
-	list(g.b, 4, "quotes")
+	listEndpoints(g.b, 4, "quotes")
 	g.service = g.b.Table().Service("quotes")
 	for range streams {
 		g.b.First("quotes", start)
@@ -32,17 +31,17 @@
 			t.Fatal(e)
 		}
 		ctx, cancel := context.WithCancelCause(t.Context())
-		r := &attemptRun{
+		r := &movableAttempt{
 			service: g.service, query: placement.Query{Tried: []string{p.Endpoint.ID}}, place: p,
-			end: start.Add(8 * time.Second), cancel: cancel,
+			deadline: start.Add(8 * time.Second), cancel: cancel,
 		}
-		g.b.movable(r)
+		g.b.registerMovable(r)
 		g.runs, g.ctxs = append(g.runs, r), append(g.ctxs, ctx)
 	}
 	return g
 }
 
-// report tells of the engines' paces and of the work that was placed.
+// report delivers load reports with the engines' paces and the placed requests.
 func (g *slowGroup) report(now time.Time, paces ...float64) {
 	var loads []Load
 	for i, pace := range paces {
@@ -73,9 +72,9 @@
 	return off, onto
 }
 
-// One rank of a group turns twelve times slower. With seven streams of its own the
-// passes of all ranks took 0.8 s in place of 0.07 s until they had ended, six
-// seconds later. They are moved at once, to engines that keep up.
+// One rank of a group is twelve times slower. With seven streams of its own, the passes of all
+// ranks took 0.8 s instead of 0.07 s until those ended six seconds later. Guards against streams
+// that stay there or move to another slow engine.
 func TestStreamsAreMovedOffASlowEngine(t *testing.T) {
 	g := newSlowGroup(t, 24)
 	g.report(start, 1, 1, 12, 1)
@@ -84,17 +83,17 @@
 		t.Fatalf("moved off %v, onto %v", off, onto)
 	}
 	for _, r := range g.runs {
-		if _, moved := g.b.settled(r); moved != r.moved {
-			t.Error("the next place is not told")
+		if _, moved := g.b.unregisterMovable(r); moved != r.moved {
+			t.Error("unregisterMovable does not report the move")
 		}
 	}
-	if len(g.b.movables) != 0 {
-		t.Errorf("%d engines still hold attempts that have ended", len(g.b.movables))
+	if len(g.b.movable) != 0 {
+		t.Errorf("%d engines still hold attempts that have ended", len(g.b.movable))
 	}
 }
 
-// An engine is half as fast as the others: it keeps as many streams as still keep
-// the pause that callers bear, and only the rest are moved.
+// An engine is half as fast as the others. Guards against moving streams with which it still keeps
+// the callers' longest pause.
 func TestOnlyWhatASlowEngineCannotBearIsMoved(t *testing.T) {
 	g := newSlowGroup(t, 40)
 	g.report(start, 1, 1, 2.4, 1)
@@ -109,19 +108,19 @@
 	}
 }
 
-// Nothing is moved for a passing tenth, when all engines are as slow, when the
-// others are full, when the request is nearly over, or beyond the retry budget: a
-// stream that is given up for nothing is lost.
+// Guards against streams that are moved for a temporary slowdown of a tenth, when all engines are
+// as slow, when the others are full, when the request is nearly over, or beyond the retry budget:
+// an attempt is used up and nothing gained.
 func TestStreamsStayWhereMovingDoesNotPay(t *testing.T) {
 	for name, c := range map[string]struct {
 		streams int
 		paces   []float64
 		now     time.Time
 	}{
-		"a passing tenth":     {24, []float64{1, 1, 1.3, 1}, start},
-		"all are as slow":     {24, []float64{12, 12, 12, 12}, start},
-		"the others are full": {48, []float64{1, 1, 12, 1}, start},
-		"nearly over":         {24, []float64{1, 1, 12, 1}, start.Add(7500 * time.Millisecond)},
+		"slight slowdown":        {24, []float64{1, 1, 1.3, 1}, start},
+		"all engines are slow":   {24, []float64{12, 12, 12, 12}, start},
+		"other engines are full": {48, []float64{1, 1, 12, 1}, start},
+		"little time is left":    {24, []float64{1, 1, 12, 1}, start.Add(7500 * time.Millisecond)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newSlowGroup(t, c.streams)
@@ -131,7 +130,7 @@
 			}
 		})
 	}
-	t.Run("no budget is left", func(t *testing.T) {
+	t.Run("retry budget is used up", func(t *testing.T) {
 		g := newSlowGroup(t, 24)
 		for g.b.Spend("quotes", start) {
 		}
--- a/internal/relay/outage.go
+++ b/internal/relay/outage.go
@@ -6,52 +6,51 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Retry-After by the reason of a refusal: how soon the reason usually passes.
+// Retry-After times by the reason for a refusal: how soon the reason usually passes.
 const (
-	// afterBusy is about the time in which a batch gives a place free: streams
-	// last about two seconds on 100 and more places.
-	afterBusy = 250 * time.Millisecond
-	// afterMissing is when endpoints that start or come back are listed.
-	afterMissing = 700 * time.Millisecond
-	// outageFrom is how long a service must have answered nothing to count as
-	// down: several times the usual time between two answers.
-	outageFrom = 700 * time.Millisecond
-	// mostComeBack bounds what a caller is asked to wait in an outage.
-	mostComeBack = 5 * time.Second
-	// comeBackPart is the part of its time after which a caller is asked back at
-	// the latest. Callers wait no longer, and what is left has to do for an answer.
-	comeBackPart = 3
-	// closedPart is the part of its time after which a caller is asked back at the
-	// earliest by a closed group: that takes a second or two to form once no rank is
-	// missing, and the answer will be late whenever it comes.
-	closedPart = 4
+	// retryAfterBusy is about the time in which a batch frees a slot: streams last about two
+	// seconds on 100 and more slots.
+	retryAfterBusy = 250 * time.Millisecond
+	// retryAfterNoEndpoint is about the time after which endpoints that start or come back are
+	// listed.
+	retryAfterNoEndpoint = 700 * time.Millisecond
+	// minOutage is how long a service must have given no answer to count as down: several times the
+	// usual interval between two answers.
+	minOutage = 700 * time.Millisecond
+	// maxOutageRetryAfter bounds the Retry-After time during an outage.
+	maxOutageRetryAfter = 5 * time.Second
+	// maxRetryAfterDivisor bounds Retry-After to the caller's remaining time divided by it. Callers
+	// wait no longer than that before they retry, and the rest has to suffice for an answer.
+	maxRetryAfterDivisor = 3
+	// minClosedRetryAfterDivisor sets the least Retry-After of a closed group to the caller's
+	// remaining time divided by it: a group takes a second or two to form once no rank is missing,
+	// and the answer will be late in any case.
+	minClosedRetryAfterDivisor = 4
 )
 
-func retryAfterFor(why result.Code) time.Duration {
-	switch why {
+func retryAfterFor(code result.Code) time.Duration {
+	switch code {
 	case result.EndpointBusy, result.EndpointCold, result.EndpointLimited:
-		return afterBusy
+		return retryAfterBusy
 	default:
-		return afterMissing
+		return retryAfterNoEndpoint
 	}
 }
 
-// outages follows since when services have answered nothing.
+// outages records since when services have given no answer.
 //
-// The load is a group of engines that is down as a whole, because one of its
-// ranks or the way to a data centre is lost. Callers who come back at once are
-// refused again and have used up their one retry. How much longer an outage
-// lasts is best guessed by how long it has lasted, so that is when they are
-// asked to come back.
+// When a whole group of engines is down because one of its ranks or the path to a data centre is
+// lost, callers who come back at once are refused again and have used up their one retry. The best
+// estimate of the remaining outage is its duration so far, so that is the Retry-After time.
 type outages struct {
 	since map[string]time.Time
 }
 
-// served notes that a part of an answer came.
-func (o *outages) served(service string, _ time.Time) { delete(o.since, service) }
+// answered records that a part of an answer arrived.
+func (o *outages) answered(service string, _ time.Time) { delete(o.since, service) }
 
-// began notes that a service is known to answer nothing from now on.
-func (o *outages) began(service string, now time.Time) {
+// markDown records that a service gives no answers from now on, unless that is known already.
+func (o *outages) markDown(service string, now time.Time) {
 	if o.since == nil {
 		o.since = map[string]time.Time{}
 	}
@@ -60,24 +59,23 @@
 	}
 }
 
-// ended notes how an attempt ended.
-func (o *outages) ended(service string, how Outcome, now time.Time) {
-	switch how.(type) {
+// recordOutcome marks a service as down after an attempt that brought no complete answer.
+func (o *outages) recordOutcome(service string, outcome Outcome, now time.Time) {
+	switch outcome.(type) {
 	case NotRun, Unknown, Broken:
-		o.began(service, now)
+		o.markDown(service, now)
 	}
 }
 
-// comeBack returns when a caller may come back who would usually be asked to do
-// so after usual.
-func (o *outages) comeBack(service string, usual time.Duration, now time.Time) time.Duration {
+// retryAfter returns when a caller should retry whose usual Retry-After time would be usual.
+func (o *outages) retryAfter(service string, usual time.Duration, now time.Time) time.Duration {
 	since, ok := o.since[service]
 	if !ok {
 		return usual
 	}
 	lasted := now.Sub(since)
-	if lasted < outageFrom {
+	if lasted < minOutage {
 		return usual
 	}
-	return max(usual, min(lasted, mostComeBack))
+	return max(usual, min(lasted, maxOutageRetryAfter))
 }
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -12,22 +12,23 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Place is an endpoint that a request has been given.
+// Place is the assignment of a request to an endpoint. It must be given back with Belief.Ended.
 type Place struct {
 	Endpoint directory.Endpoint
-	// LoadAge is the age of the load report behind the choice, or negative when
-	// there was none.
+	// LoadAge is the age of the load report on which the choice is based, or negative if there was
+	// none.
 	LoadAge time.Duration
 	attempt *placement.Attempt
-	// given is when the request got it, and late that it could not be on time then.
-	given time.Time
-	late  bool
-	// id names the request in the queue, or is "" for one that never was.
-	id string
+	// assignedAt is the time of the assignment, and late means that the request could no longer
+	// meet its target then.
+	assignedAt time.Time
+	late       bool
+	// requestID identifies the request in the queue, or is "" if it never was there.
+	requestID string
 }
 
-// Choose gives a further attempt of a request an endpoint at once. Otherwise it
-// returns why there is none, and when it is worth asking again.
+// Choose assigns a further attempt of a request to an endpoint without queueing, or returns why it
+// can't, with a retry time.
 func (b *Belief) Choose(service *routing.Service, q placement.Query, now time.Time) (Place, *result.Error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -35,162 +36,162 @@
 	return b.choose(service, q, now)
 }
 
-// choose gives a request a place, with mu held.
+// choose is Choose with mu held, without refreshing the state first.
 func (b *Belief) choose(service *routing.Service, q placement.Query, now time.Time) (Place, *result.Error) {
-	group, closed := b.closure(service, now)
-	if closed && !b.mayProbe(service, group, len(q.Tried) > 0, now) {
+	state, closed := b.groupState(service, now)
+	if closed && !b.mayProbe(service, state, len(q.Tried) > 0, now) {
 		return Place{}, b.refusal(service.Name, result.GroupClosed, now)
 	}
 	q.Route = service.Name
-	q.Tried = slices.Concat(q.Tried, group.engines)
-	b.leaveToOthers(service, &q, now)
-	wait := b.avoidCold(service, &q, now)
-	limited := b.avoidLimited(service, &q, now)
-	c, ok, why := b.picture.Choose(q, now)
+	q.Tried = slices.Concat(q.Tried, state.closedEngines)
+	b.excludeBeyondQuota(service, &q, now)
+	wait := b.excludeCold(service, &q, now)
+	limited := b.excludeLimited(service, &q, now)
+	c, ok, reason := b.selector.Choose(q, now)
 	if !ok {
-		return Place{}, b.noPlace(service, why, wait, limited, now)
+		return Place{}, b.noPlaceError(service, reason, wait, limited, now)
 	}
 	ep := b.endpoints[c.Endpoint]
-	b.takeLimited(ep, now)
+	b.takeLimitShare(ep, now)
 	if ep.ColdAt(now) && service.ColdRate > 0 {
-		b.cold.Take(ep.ID, service.ColdRate, b.countEntries(now), now)
+		b.coldShares.Take(ep.ID, service.ColdRate, b.countEntries(now), now)
 	}
-	p := Place{Endpoint: ep, LoadAge: -1, given: now, attempt: b.picture.Started(c, q, now)}
+	p := Place{Endpoint: ep, LoadAge: -1, assignedAt: now, attempt: b.selector.Started(c, q, now)}
 	if l, ok := b.loads[ep.ID]; ok {
 		p.LoadAge = now.Sub(l.At)
 	}
-	b.own[ep.ID]++
-	b.turns.took(ep.ID, now)
-	b.changed()
+	b.ownRunning[ep.ID]++
+	b.recentStarts.record(ep.ID, now)
+	b.notifyChanged()
 	return p, nil
 }
 
-// noPlace says why a request has got no place, and when it is worth asking again: why is
-// the reason but for shares, cold how long until a cold endpoint may be asked.
-func (b *Belief) noPlace(service *routing.Service, why result.Code, cold time.Duration, limited limitation, now time.Time) *result.Error {
-	others := why != result.NoEndpoint
+// noPlaceError returns the error for a request that can't be assigned, with a retry time. why is
+// the selector's reason, cold the time until a cold endpoint may be sent a request, and limited the
+// effect of limits.
+func (b *Belief) noPlaceError(service *routing.Service, reason result.Code, cold time.Duration, limited limitState, now time.Time) *result.Error {
+	othersExist := reason != result.NoEndpoint
 	switch {
 	case cold > 0:
 		return result.New(result.EndpointCold, "").WithRetryAfter(cold)
-	case limited.wait > 0 && !others:
+	case limited.wait > 0 && !othersExist:
 		return result.New(result.EndpointBusy, "").WithRetryAfter(limited.wait)
-	case limited.barred && !others:
+	case limited.excluded && !othersExist:
 		return b.refusal(service.Name, result.EndpointLimited, now)
 	default:
-		return b.refusal(service.Name, why, now)
+		return b.refusal(service.Name, reason, now)
 	}
 }
 
-func (b *Belief) changed() {
+func (b *Belief) notifyChanged() {
 	if b.Changed != nil {
 		b.Changed()
 	}
 }
 
-// avoidCold keeps the request off cold endpoints of which this entry has used
-// up its share, and returns the least time until one may be asked.
-func (b *Belief) avoidCold(service *routing.Service, q *placement.Query, now time.Time) time.Duration {
+// excludeCold excludes cold endpoints of whose rate this entry has used up its share. It returns
+// the least time until one of them may be sent a request.
+func (b *Belief) excludeCold(service *routing.Service, q *placement.Query, now time.Time) time.Duration {
 	if service.ColdRate <= 0 {
 		return 0
 	}
-	least := time.Duration(0)
+	minWait := time.Duration(0)
 	n := b.countEntries(now)
 	for id, ep := range b.endpoints {
 		if ep.Service != service.Name || !ep.ColdAt(now) {
 			continue
 		}
-		if b.cold.Ready(id, service.ColdRate, n, now) {
+		if b.coldShares.Ready(id, service.ColdRate, n, now) {
 			continue
 		}
 		q.Tried = append(q.Tried, id)
-		if w := b.cold.Wait(id, service.ColdRate, n, now); least == 0 || w < least {
-			least = w
+		if w := b.coldShares.Wait(id, service.ColdRate, n, now); minWait == 0 || w < minWait {
+			minWait = w
 		}
 	}
-	return least
+	return minWait
 }
 
-// Heard notes that a part of the answer has come.
+// Heard records that a part of the answer has arrived.
 func (b *Belief) Heard(p Place, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.picture.Piece(p.attempt, now)
-	if b.begun(p) {
-		b.times.noteFirst(p.Endpoint.Service, now.Sub(p.given), now)
+	b.selector.Piece(p.attempt, now)
+	if b.releaseQueued(p) {
+		b.latencies.recordFirst(p.Endpoint.Service, now.Sub(p.assignedAt), now)
 	}
-	b.outages.served(p.Endpoint.Service, now)
+	b.outages.answered(p.Endpoint.Service, now)
 	if l := b.loads[p.Endpoint.ID]; l.Closed {
 		l.Closed = false
 		b.loads[p.Endpoint.ID] = l
 	}
 }
 
-// begun takes a request out of the queue's books, and reports whether it was in
-// them. They end with the first part of its answer, as the wait that is bounded
-// does; how long the rest takes must not be learnt from, or the queue would take
-// every target for out of reach.
-func (b *Belief) begun(p Place) bool {
-	if p.id == "" || b.waiters[p.id] == nil {
+// releaseQueued removes a request from the queue's accounting, and reports whether it was there.
+// The queue tracks a request up to the first part of its answer, which is the wait that the target
+// bounds. If it learned from the duration of whole answers, it would consider every target out of
+// reach.
+func (b *Belief) releaseQueued(p Place) bool {
+	if p.requestID == "" || b.waiters[p.requestID] == nil {
 		return false
 	}
-	b.queue.Cancel(p.id)
-	delete(b.waiters, p.id)
+	b.queue.Cancel(p.requestID)
+	delete(b.waiters, p.requestID)
 	return true
 }
 
-// Ended takes a request off its endpoint.
+// Ended gives a place back and records how the attempt ended.
 func (b *Belief) Ended(p Place, o Outcome, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if n := b.own[p.Endpoint.ID] - 1; n > 0 {
-		b.own[p.Endpoint.ID] = n
+	if n := b.ownRunning[p.Endpoint.ID] - 1; n > 0 {
+		b.ownRunning[p.Endpoint.ID] = n
 	} else {
-		delete(b.own, p.Endpoint.ID)
+		delete(b.ownRunning, p.Endpoint.ID)
 	}
 	if p.late {
 		b.lateRunning[p.Endpoint.Service]--
 	}
-	b.changed()
-	b.begun(p)
-	defer b.pump(now)
-	b.outages.ended(p.Endpoint.Service, o, now)
+	b.notifyChanged()
+	b.releaseQueued(p)
+	defer b.dispatchWaiting(now)
+	b.outages.recordOutcome(p.Endpoint.Service, o, now)
 	if _, whole := o.(Delivered); whole {
-		b.times.noteWhole(p.Endpoint.Service, now.Sub(p.given), now)
+		b.latencies.recordWhole(p.Endpoint.Service, now.Sub(p.assignedAt), now)
 	}
 	switch o := o.(type) {
 	case NotRun:
 		if o.Sent {
-			b.picture.Refused(p.attempt, 0, now)
+			b.selector.Refused(p.attempt, 0, now)
 			return
 		}
-		b.picture.Failed(p.attempt, now)
+		b.selector.Failed(p.attempt, now)
 	case Unknown:
 		if errors.Is(o.Cause, context.DeadlineExceeded) {
-			b.failed(p, now)
+			b.recordFailure(p, now)
 			return
 		}
-		b.picture.Failed(p.attempt, now)
+		b.selector.Failed(p.attempt, now)
 	case Broken:
-		b.picture.Failed(p.attempt, now)
+		b.selector.Failed(p.attempt, now)
 	case Failed:
-		b.failed(p, now)
+		b.recordFailure(p, now)
 	default:
 		delete(b.failures, p.Endpoint.ID)
-		b.picture.Ended(p.attempt, now)
+		b.selector.Ended(p.attempt, now)
 	}
 }
 
-// failed takes a request off an endpoint that reported a failure in a whole
-// answer, or did not answer in the time that the request had. Requests fail for
-// their own reasons, up to one in seven of some kinds, and an endpoint that is
-// left alone for each of them is missed: the last one of
-// a service was, and callers were refused while it rested. So only the second
-// failure in a row counts as the endpoint's.
-func (b *Belief) failed(p Place, now time.Time) {
+// recordFailure gives back the place of an attempt for which the endpoint reported a failure in a
+// complete answer, or did not answer within the request's time. Some kinds of requests fail for
+// reasons of their own, up to one in seven, and excluding an endpoint after each of them costs
+// capacity: when it was the last endpoint of its service, callers were refused meanwhile. So only
+// consecutive failures, from the second on, count against the endpoint.
+func (b *Belief) recordFailure(p Place, now time.Time) {
 	b.failures[p.Endpoint.ID]++
-	if b.failures[p.Endpoint.ID] < failuresInARow {
-		b.picture.Ended(p.attempt, now)
+	if b.failures[p.Endpoint.ID] < failureThreshold {
+		b.selector.Ended(p.attempt, now)
 		return
 	}
-	b.picture.Failed(p.attempt, now)
+	b.selector.Failed(p.attempt, now)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -16,47 +16,46 @@
 )
 
 const (
-	// afterStale is when a caller whose entry is cut off may come back: its
-	// next connection most likely meets another entry.
-	afterStale = 500 * time.Millisecond
-	// afterStart is the same for an entry that knows no configuration yet.
-	afterStart = 500 * time.Millisecond
-	// afterStop is the same for an entry that stops: others take the caller at
-	// once.
-	afterStop = 50 * time.Millisecond
-	// defaultTimeout bounds a request whose route and caller name no time.
+	// retryAfterStale is the Retry-After time of an entry that is cut off from the store: the
+	// caller's next connection most likely reaches another entry.
+	retryAfterStale = 500 * time.Millisecond
+	// retryAfterStartup is the Retry-After time of an entry that knows no configuration yet.
+	retryAfterStartup = 500 * time.Millisecond
+	// retryAfterShutdown is the Retry-After time of an entry that shuts down: other entries accept
+	// the caller at once.
+	retryAfterShutdown = 50 * time.Millisecond
+	// defaultTimeout bounds a request if neither its route nor its caller sets a timeout.
 	defaultTimeout = time.Minute
 )
 
-// Relay passes requests on. It implements caller.Passer. Set the exported fields
-// before the first request.
+// Relay forwards requests to endpoints. It implements caller.Passer. Set the exported fields before
+// the first request.
 type Relay struct {
 	Belief  *Belief
 	Client  *direct.Client
 	Dialect Dialect
-	// Now is a clock that goes on while the VM is suspended.
+	// Now reads a clock that keeps running while the VM is suspended.
 	Now func() time.Time
 	// Log receives one line for each request.
-	Log logrus.FieldLogger
-	// Metrics counts the requests.
+	Log     logrus.FieldLogger
 	Metrics *Metrics
 
-	refusing atomic.Bool
-	keyAge   atomic.Int64
+	stopping  atomic.Bool
+	maxKeyAge atomic.Int64
 }
 
-// SetKeyAge sets the greatest age of what the process knows at which keys are
-// still believed. Before that none is.
-func (r *Relay) SetKeyAge(d time.Duration) { r.keyAge.Store(int64(d)) }
+// SetKeyAge sets the greatest age of the configuration at which account keys are still accepted.
+// The default of zero accepts none.
+func (r *Relay) SetKeyAge(d time.Duration) { r.maxKeyAge.Store(int64(d)) }
 
-// KeyAge returns what SetKeyAge has set.
-func (r *Relay) KeyAge() time.Duration { return time.Duration(r.keyAge.Load()) }
+// KeyAge returns the value set by SetKeyAge.
+func (r *Relay) KeyAge() time.Duration { return time.Duration(r.maxKeyAge.Load()) }
 
-// Refuse answers each further request as not run, because the process is about
-// to end: it could not see the answer through.
-func (r *Relay) Refuse() { r.refusing.Store(true) }
+// Refuse makes the relay answer each further request as not run, because the process is about to
+// exit and could not finish it.
+func (r *Relay) Refuse() { r.stopping.Store(true) }
 
-// job is one request under way.
+// job is the state of one request.
 type job struct {
 	relay   *Relay
 	raw     *caller.Raw
@@ -66,25 +65,25 @@
 	route   *routing.Route
 	service *routing.Service
 	account *routing.Account
-	// end is when the caller's time or the route's is over.
-	end   time.Time
-	tries Tries
-	// tried are the endpoints that were asked.
+	// deadline is the earlier of the caller's and the route's deadline.
+	deadline time.Time
+	tries    Tries
+	// tried lists the endpoints that were assigned to attempts of this request.
 	tried []string
-	// failed is the last whole failure that an endpoint reported.
-	failed *Whole
-	// last is the number of the last event that the caller has.
-	last    int64
-	started bool
-	// waited is how long the request waited for its place.
+	// lastFailure is the last complete failure that an endpoint reported.
+	lastFailure *Whole
+	// lastEventID is the number of the last event that the caller has received.
+	lastEventID int64
+	headSent    bool
+	// waited is the total time that the request waited to be assigned.
 	waited time.Duration
-	// firstPart is when the first part of the answer went to the caller.
-	firstPart time.Time
-	// lastPart is when the last part went, longestPause the longest time between
-	// two, and pauseEnded when that was over.
-	lastPart     time.Time
+	// firstPartAt is when the first part of the answer was forwarded.
+	firstPartAt time.Time
+	// lastPartAt is when the last part was forwarded, longestPause the longest time between two
+	// parts, and pauseEndedAt when that pause ended.
+	lastPartAt   time.Time
 	longestPause time.Duration
-	pauseEnded   time.Time
+	pauseEndedAt time.Time
 }
 
 // Pass implements caller.Passer.
@@ -92,28 +91,29 @@
 	r.Belief.AwaitKnown(ctx, r.Now())
 	now := r.Now()
 	j := &job{relay: r, raw: raw, reply: w, facts: r.Dialect.ReadRequest(raw.Header)}
-	if e := j.open(now); e != nil {
+	if e := j.resolve(now); e != nil {
 		j.refuse(e, now)
 		return
 	}
-	r.Metrics.begin()
+	r.Metrics.incRunning()
 	r.Belief.First(j.service.Name, now)
-	ctx, cancel := context.WithTimeout(ctx, j.end.Sub(now))
+	ctx, cancel := context.WithTimeout(ctx, j.deadline.Sub(now))
 	defer cancel()
 	w.Within(ctx)
 	j.run(ctx)
-	r.Metrics.end()
+	r.Metrics.decRunning()
 }
 
-// open finds out what the request is and whether it is allowed.
-func (j *job) open(now time.Time) *result.Error {
+// resolve determines the request's route, account, service and deadline, or returns why it is
+// refused.
+func (j *job) resolve(now time.Time) *result.Error {
 	b := j.relay.Belief
 	j.table = b.Table()
-	if j.relay.refusing.Load() {
-		return result.New(result.ShuttingDown, "").WithRetryAfter(afterStop)
+	if j.relay.stopping.Load() {
+		return result.New(result.ShuttingDown, "").WithRetryAfter(retryAfterShutdown)
 	}
 	if j.table == nil || !b.Known() {
-		return result.New(result.NoPreset, "").WithRetryAfter(afterStart)
+		return result.New(result.NoPreset, "").WithRetryAfter(retryAfterStartup)
 	}
 	j.route = j.table.Route(j.raw.Host, j.raw.Path)
 	if j.route == nil {
@@ -122,21 +122,21 @@
 	if e := j.checkKey(now); e != nil {
 		return e
 	}
-	j.service = j.table.Service(j.route.Pick(drawFor(j.facts.ID + j.raw.Target)))
+	j.service = j.table.Service(j.route.Pick(hashFraction(j.facts.ID + j.raw.Target)))
 	if j.service == nil {
-		return result.New(result.NoEndpoint, "the route has no service").WithRetryAfter(afterMissing)
+		return result.New(result.NoEndpoint, "the route has no service").WithRetryAfter(retryAfterNoEndpoint)
 	}
-	j.end = j.raw.At.Add(j.timeout())
-	if !now.Before(j.end) {
+	j.deadline = j.raw.At.Add(j.timeout())
+	if !now.Before(j.deadline) {
 		return result.New(result.DeadlinePassed, "")
 	}
-	j.last, _ = strconv.ParseInt(j.facts.Resume, 10, 64)
+	j.lastEventID, _ = strconv.ParseInt(j.facts.Resume, 10, 64)
 	return nil
 }
 
-// drawFor returns a number in [0, 1) that follows from the text alone, so that
-// it needs no state.
-func drawFor(text string) float64 {
+// hashFraction maps text to a number in [0, 1) that depends on the text alone, so that it needs no
+// state.
+func hashFraction(text string) float64 {
 	const bits = 53
 	return float64(xxhash.Sum64String(text)>>(64-bits)) / float64(uint64(1)<<bits)
 }
@@ -152,17 +152,16 @@
 	return d
 }
 
-// checkKey finds the account of a request that needs one.
+// checkKey determines the account of a request that needs one.
 //
-// Guard: operators take keys away, and none may be served some seconds later,
-// also by an entry that is cut off from the store or was suspended. Such an
-// entry can't hear of it; so it stops to believe any key when its knowledge is
-// too old.
+// A revoked key must not be accepted some seconds later, also not by an entry that is cut off from
+// the store or was suspended. Such an entry can't learn of the revocation, so it accepts no key at
+// all when its knowledge is too old.
 func (j *job) checkKey(now time.Time) *result.Error {
 	if !j.table.NeedsKeys() || j.route.Anonymous {
 		return nil
 	}
-	if e := j.checkAge(now); e != nil {
+	if e := j.checkKeyAge(now); e != nil {
 		return e
 	}
 	j.account = j.table.Account(j.facts.Key)
@@ -172,30 +171,30 @@
 	return nil
 }
 
-func (j *job) checkAge(now time.Time) *result.Error {
+func (j *job) checkKeyAge(now time.Time) *result.Error {
 	if j.relay.Belief.Fresh.Age(now) <= j.relay.KeyAge() {
 		return nil
 	}
-	return result.New(result.PlatformDown, "keys can't be checked").WithRetryAfter(afterStale)
+	return result.New(result.PlatformDown, "keys can't be checked").WithRetryAfter(retryAfterStale)
 }
 
-// run makes attempts until the request has its answer.
+// run makes attempts until the request is complete.
 func (j *job) run(ctx context.Context) {
 	next := Place{}
 	for {
 		now := j.relay.Now()
-		place, e := j.placeOrNext(ctx, next, now)
+		place, e := j.nextPlace(ctx, next, now)
 		if e != nil {
 			j.finish(nil, e, j.relay.Now())
 			return
 		}
 		var o Outcome
-		o, next = j.attemptMovable(ctx, place)
+		o, next = j.runMovable(ctx, place)
 		now = j.relay.Now()
 		j.relay.Belief.Ended(place, o, now)
-		j.relay.Metrics.attempted(o)
-		j.count(o)
-		left := j.end.Sub(now)
+		j.relay.Metrics.countAttempt(o)
+		j.countAttempt(o)
+		left := j.deadline.Sub(now)
 		if ctx.Err() != nil {
 			left = 0
 		}
@@ -203,7 +202,7 @@
 			j.logAttempt(place, o, now)
 			continue
 		}
-		budget := func() bool { return j.maySpend(o, now) }
+		budget := func() bool { return j.allowRetry(o, now) }
 		if NextStep(j.route, j.tries, o, left, budget) == End {
 			j.finish(o, nil, now)
 			return
@@ -212,17 +211,18 @@
 	}
 }
 
-// maySpend reports whether the retry budget has one more attempt. A request that
-// was not run waits for its place first and pays when it has one.
-func (j *job) maySpend(o Outcome, now time.Time) bool {
+// allowRetry reports whether the retry budget allows one more attempt. It spends the budget, except
+// after an attempt that was not run: that request waits to be assigned first and spends the budget
+// then.
+func (j *job) allowRetry(o Outcome, now time.Time) bool {
 	if _, notRun := o.(NotRun); notRun {
 		return j.relay.Belief.MaySpend(j.service.Name, now)
 	}
 	return j.relay.Belief.Spend(j.service.Name, now)
 }
 
-// count notes what an attempt has used up.
-func (j *job) count(o Outcome) {
+// countAttempt records what an attempt has used up.
+func (j *job) countAttempt(o Outcome) {
 	switch o := o.(type) {
 	case NotRun:
 		if o.Sent {
@@ -231,7 +231,7 @@
 			j.tries.Unsent++
 		}
 	case Failed:
-		j.failed = o.Answer
+		j.lastFailure = o.Answer
 		j.tries.Sent++
 		j.tries.MayHaveRun = true
 	default:
@@ -240,12 +240,12 @@
 	}
 }
 
-// placeOrNext returns the place that a moved request was given, or chooses one.
-func (j *job) placeOrNext(ctx context.Context, next Place, now time.Time) (Place, *result.Error) {
+// nextPlace returns the place to which the request was moved, or assigns one.
+func (j *job) nextPlace(ctx context.Context, next Place, now time.Time) (Place, *result.Error) {
 	if next.attempt == nil {
-		return j.place(ctx, now)
+		return j.assignPlace(ctx, now)
 	}
-	if e := j.usable(next); e != nil {
+	if e := j.recheckKeyAge(next); e != nil {
 		return Place{}, e
 	}
 	j.tried = append(j.tried, next.Endpoint.ID)
--- a/internal/relay/shares.go
+++ b/internal/relay/shares.go
@@ -7,14 +7,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Shares decides whether this entry may send a request now to an endpoint that bears no
-// more than some rate from all entries together: a cold one, or one that names a limit.
+// Shares decides whether this entry may send a request now to an endpoint that accepts a limited
+// rate from all entries together: a cold one, or one that reports a limit.
 //
-// The load is a data centre that returns, or endpoints that turn cold under
-// traffic: they look empty, all entries choose them in the same moment, and an
-// endpoint falls over well above the rate that it bears. No entry hears in
-// time what the others send, so each takes its part of that rate and saves up
-// no more than one request. Set the exported fields before the first call.
+// When a data centre comes back, or endpoints become cold under traffic, they look idle. All
+// entries would choose them at the same moment, and an endpoint fails well above the rate that it
+// can handle. No entry learns in time what the others send, so each takes its share of the rate and
+// saves up no more than one request. Set the exported fields before the first call.
 type Shares struct {
 	// Name is the entry's own name.
 	Name string
@@ -22,26 +21,26 @@
 	buckets map[string]*bucket
 }
 
-// bucket holds the share that an entry has saved up at one endpoint.
+// bucket is the token bucket of an entry's share at one endpoint.
 type bucket struct {
 	tokens float64
 	at     time.Time
 }
 
-// shareBurst is how many requests may be saved up. With one, the sum over all
-// entries in any second is at most the rate and one request an entry, which
-// the bounds for such endpoints leave room for.
+// shareBurst is the number of requests that may be saved up. With one, all entries together send at
+// most the rate and one request per entry in any second, for which the bounds of such endpoints
+// leave room.
 const shareBurst = 1.0
 
-// Ready reports whether a request may go to the endpoint, which bears rate
-// requests a second from all of entries together.
+// Ready reports whether a request may be sent to the endpoint, which accepts rate requests per
+// second from all of entries together.
 func (s *Shares) Ready(endpoint string, rate float64, entries int, now time.Time) bool {
-	return s.fill(endpoint, rate, entries, now).tokens >= 1
+	return s.refill(endpoint, rate, entries, now).tokens >= 1
 }
 
-// Take spends what Ready found. It reports false when there was nothing.
+// Take spends one request of the share and reports whether there was one.
 func (s *Shares) Take(endpoint string, rate float64, entries int, now time.Time) bool {
-	b := s.fill(endpoint, rate, entries, now)
+	b := s.refill(endpoint, rate, entries, now)
 	if b.tokens < 1 {
 		return false
 	}
@@ -49,9 +48,9 @@
 	return true
 }
 
-// Wait returns how long until a request may go to the endpoint.
+// Wait returns how long until a request may be sent to the endpoint, at most a minute.
 func (s *Shares) Wait(endpoint string, rate float64, entries int, now time.Time) time.Duration {
-	b := s.fill(endpoint, rate, entries, now)
+	b := s.refill(endpoint, rate, entries, now)
 	if b.tokens >= 1 || rate <= 0 {
 		return 0
 	}
@@ -59,25 +58,27 @@
 	return time.Duration(math.Min(seconds, 60) * float64(time.Second))
 }
 
-// Forget forgets an endpoint.
+// Forget deletes the state of an endpoint.
 func (s *Shares) Forget(endpoint string) { delete(s.buckets, endpoint) }
 
-// phase returns a number from 0 to 1 that differs from entry to entry.
-func (s *Shares) phase(endpoint string) float64 {
+// initialTokens returns a number from 0 to 1 that depends on the entry and the endpoint.
+func (s *Shares) initialTokens(endpoint string) float64 {
 	return float64(xxhash.Sum64String(s.Name+" "+endpoint)) / math.MaxUint64
 }
 
-// fill begins with a part of a request that follows from the names: entries that all
-// learn in one moment of such an endpoint have their first turns at its rate, one after
-// the other. With one for each they would send at once, and with none all would wait
-// for as long as their part of the rate takes for one.
-func (s *Shares) fill(endpoint string, rate float64, entries int, now time.Time) *bucket {
+// refill returns the endpoint's bucket after adding the tokens for the time since the last call.
+//
+// A new bucket starts with a fraction of a token that depends on the names. Entries that all learn
+// of such an endpoint at the same moment then send their first requests one after another, at its
+// rate. With one token each they would send at once, and with none all would wait for as long as
+// their share of the rate takes to yield one.
+func (s *Shares) refill(endpoint string, rate float64, entries int, now time.Time) *bucket {
 	if s.buckets == nil {
 		s.buckets = map[string]*bucket{}
 	}
 	b := s.buckets[endpoint]
 	if b == nil {
-		b = &bucket{at: now, tokens: s.phase(endpoint)}
+		b = &bucket{at: now, tokens: s.initialTokens(endpoint)}
 		s.buckets[endpoint] = b
 	}
 	dt := now.Sub(b.at).Seconds()
--- a/internal/relay/shares_test.go
+++ b/internal/relay/shares_test.go
@@ -6,17 +6,16 @@
 	"time"
 )
 
-// coldWorld is entries that each send as much as they may to endpoints that have all
-// just started.
-type coldWorld struct {
+// coldModel simulates entries that each send as much as they may to cold endpoints.
+type coldModel struct {
 	shares    []Shares
 	endpoints []string
 	rate      float64
 	now       time.Time
 }
 
-func newColdWorld(entries, endpoints int, rate float64) *coldWorld {
-	w := &coldWorld{rate: rate, now: start}
+func newColdModel(entries, endpoints int, rate float64) *coldModel {
+	w := &coldModel{rate: rate, now: start}
 	for i := range entries {
 		w.shares = append(w.shares, Shares{Name: fmt.Sprint("front-a-", i)})
 	}
@@ -26,8 +25,8 @@
 	return w
 }
 
-// send returns how many requests each endpoint gets in a time.
-func (w *coldWorld) send(d time.Duration) map[string]int {
+// send returns how many requests each endpoint gets within d.
+func (w *coldModel) send(d time.Duration) map[string]int {
 	sent := map[string]int{}
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(10 * time.Millisecond) {
 		for i := range w.shares {
@@ -41,29 +40,29 @@
 	return sent
 }
 
-// All VMs lost power; 36 entries learn in one moment of 64 endpoints that have just
-// started, with callers waiting. Guards against entries that all wait for the whole time
-// of one share, 2.4 s, while the endpoints have nothing to do, and then all send at once.
+// After a power loss 36 entries with waiting requests learn at the same moment of 64 endpoints that
+// have just started. Guards against entries that all wait for the whole period of one share, 2.4 s,
+// while the endpoints are idle, and then all send at once.
 func TestColdEndpointsAreUsedFromTheStart(t *testing.T) {
 	const (
 		entries, endpoints = 36, 64
 		rate               = 15.0
-		// A cold endpoint bears one and a half times its rate, and 5 more.
-		most  = 27
-		least = 0.9 * rate * endpoints
+		// A cold endpoint can handle one and a half times its rate, and 5 requests more.
+		maxPerEndpoint = 27
+		minTotal       = 0.9 * rate * endpoints
 	)
-	w := newColdWorld(entries, endpoints, rate)
+	w := newColdModel(entries, endpoints, rate)
 	for second := range 5 {
 		sent := w.send(time.Second)
 		all := 0
 		for id, n := range sent {
 			all += n
-			if n > most {
-				t.Errorf("second %d: %s gets %d requests, want at most %d", second, id, n, most)
+			if n > maxPerEndpoint {
+				t.Errorf("second %d: %s gets %d requests, want at most %d", second, id, n, maxPerEndpoint)
 			}
 		}
-		if float64(all) < least {
-			t.Errorf("second %d: all endpoints get %d requests, want at least %.0f", second, all, least)
+		if float64(all) < minTotal {
+			t.Errorf("second %d: all endpoints get %d requests, want at least %.0f", second, all, minTotal)
 		}
 	}
 }
--- a/internal/relay/times.go
+++ b/internal/relay/times.go
@@ -7,118 +7,115 @@
 )
 
 const (
-	// timesWindow is for how long a time that was seen counts, in timesParts that
-	// are forgotten one by one: long enough for some dozens of answers at each
-	// entry, short enough to follow a service that turns slow.
-	timesWindow = 10 * time.Second
-	timesParts  = 5
-	// timesLeast is how many answers tell what is usual.
-	timesLeast = 10
-	// timesMost is the longest time that is told apart, and timesDigits to how
-	// many digits.
-	timesMost   = time.Minute
-	timesDigits = 2
-	// quickFirst, usualFirst and usualWhole are the parts of answers, in percent,
-	// that come within the quick and the usual time to their first part and the
-	// usual time to their end. A request that is on time if it is answered quickly
-	// is worth trying; a late start that most answers leave time for is the last
-	// one that is worth a place.
-	quickFirst = 25
-	usualFirst = 75
-	usualWhole = 75
-	// firstOfTarget is the part of the target that the first part of an answer
-	// takes as long as none was seen.
-	firstOfTarget = 0.4
+	// latencyWindow is how long an observation counts. Observations expire in latencyWindowParts
+	// steps. The window is long enough for some dozens of answers at each entry, and short enough
+	// to follow a service that becomes slow.
+	latencyWindow      = 10 * time.Second
+	latencyWindowParts = 5
+	// minLatencySamples is the number of answers from which latencies are estimated.
+	minLatencySamples = 10
+	// maxLatency is the longest latency recorded; longer ones count as that. latencyDigits is the
+	// number of significant digits.
+	maxLatency    = time.Minute
+	latencyDigits = 2
+	// Percentiles of the observed latencies that count as the quick and the usual time to the first
+	// part, and as the usual time to the end of an answer. A request is worth trying if it meets
+	// its target when it is answered quickly. A late request is worth starting for as long as the
+	// usual latencies leave time for its answer.
+	quickFirstPercentile = 25
+	usualFirstPercentile = 75
+	usualWholePercentile = 75
+	// defaultFirstPartFraction is the assumed time to the first part of an answer, as a fraction of
+	// the latency target, until enough answers have been observed.
+	defaultFirstPartFraction = 0.4
 )
 
-// answerTimes follows how long the endpoints of services take, from the moment in
-// which a request is given a place.
+// answerLatencies measures the latencies of services, from the assignment of a request to the parts
+// of its answer.
 //
-// Load: services whose answers take 30 ms or two seconds, with targets of 150 to
-// 500 ms. Harm prevented: with one constant for all, a request of the fast service
-// counts as late from the start, and one of the slow service as on time although
-// its answer can't be.
-type answerTimes struct {
-	services map[string]*serviceTimes
+// Some services answer in 30 ms and others in two seconds, with targets of 150 to 500 ms. With one
+// constant for all, a request of a fast service would count as late from the start, and one of a
+// slow service as on time although its answer can't be.
+type answerLatencies struct {
+	services map[string]*serviceLatencies
 }
 
-type serviceTimes struct {
+type serviceLatencies struct {
 	first, whole *hdrhistogram.WindowedHistogram
-	turned       time.Time
+	rotatedAt    time.Time
 }
 
-// of returns the times of a service, with what is too old forgotten.
-func (a *answerTimes) of(service string, now time.Time) *serviceTimes {
+// forService returns the latencies of a service, without expired ones.
+func (a *answerLatencies) forService(service string, now time.Time) *serviceLatencies {
 	if a.services == nil {
-		a.services = map[string]*serviceTimes{}
+		a.services = map[string]*serviceLatencies{}
 	}
 	s := a.services[service]
 	if s == nil {
-		s = &serviceTimes{first: newTimes(), whole: newTimes(), turned: now}
+		s = &serviceLatencies{first: newLatencyHistogram(), whole: newLatencyHistogram(), rotatedAt: now}
 		a.services[service] = s
 	}
-	s.turn(now)
+	s.rotate(now)
 	return s
 }
 
-func newTimes() *hdrhistogram.WindowedHistogram {
-	return hdrhistogram.NewWindowed(timesParts, 1, timesMost.Milliseconds(), timesDigits)
+func newLatencyHistogram() *hdrhistogram.WindowedHistogram {
+	return hdrhistogram.NewWindowed(latencyWindowParts, 1, maxLatency.Milliseconds(), latencyDigits)
 }
 
-func (s *serviceTimes) turn(now time.Time) {
-	for range timesParts {
-		if now.Sub(s.turned) < timesWindow/timesParts {
+func (s *serviceLatencies) rotate(now time.Time) {
+	for range latencyWindowParts {
+		if now.Sub(s.rotatedAt) < latencyWindow/latencyWindowParts {
 			return
 		}
 		s.first.Rotate()
 		s.whole.Rotate()
-		s.turned = s.turned.Add(timesWindow / timesParts)
+		s.rotatedAt = s.rotatedAt.Add(latencyWindow / latencyWindowParts)
 	}
-	s.turned = now // all is forgotten
+	s.rotatedAt = now // all samples have expired
 }
 
-// noteFirst and noteWhole take in how long an answer took to its first part and to
-// its end.
-func (a *answerTimes) noteFirst(service string, d time.Duration, now time.Time) {
-	record(a.of(service, now).first, d)
+// recordFirst and recordWhole record the time that an answer took to its first part and to its end.
+func (a *answerLatencies) recordFirst(service string, d time.Duration, now time.Time) {
+	recordLatency(a.forService(service, now).first, d)
 }
 
-func (a *answerTimes) noteWhole(service string, d time.Duration, now time.Time) {
-	record(a.of(service, now).whole, d)
+func (a *answerLatencies) recordWhole(service string, d time.Duration, now time.Time) {
+	recordLatency(a.forService(service, now).whole, d)
 }
 
-func record(h *hdrhistogram.WindowedHistogram, d time.Duration) {
-	// Times within the histogram's bounds are never refused.
-	_ = h.Current.RecordValue(min(max(d, time.Millisecond), timesMost).Milliseconds())
+func recordLatency(h *hdrhistogram.WindowedHistogram, d time.Duration) {
+	// Values within the histogram's bounds are never rejected.
+	_ = h.Current.RecordValue(min(max(d, time.Millisecond), maxLatency).Milliseconds())
 }
 
-// quick returns how long a service takes to the first part of an answer at best.
+// quick returns the time in which a service sends the first part of a quick answer.
 //
-// Guard: a service has turned slow for some seconds. Were what is usual then counted
-// on, all its requests would be late from the start, and nothing would show that it
-// is as fast as before again.
-func (a *answerTimes) quick(service string, target time.Duration, now time.Time) time.Duration {
-	return a.of(service, now).firstPart(quickFirst, target)
+// It serves for targets instead of the usual time: while a service is slow for some seconds, all
+// its requests would otherwise be late from the start, and nothing would show when it is fast
+// again.
+func (a *answerLatencies) quick(service string, target time.Duration, now time.Time) time.Duration {
+	return a.forService(service, now).firstPart(quickFirstPercentile, target)
 }
 
-// usual returns how long a service usually takes to the first part of an answer
-// whose target is given, and to its end.
-func (a *answerTimes) usual(service string, target time.Duration, now time.Time) (first, whole time.Duration) {
-	s := a.of(service, now)
-	first = s.firstPart(usualFirst, target)
-	return first, max(first, quantile(s.whole, usualWhole, first))
+// usual returns the usual times of a service to the first part of an answer, given its latency
+// target, and to its end.
+func (a *answerLatencies) usual(service string, target time.Duration, now time.Time) (first, whole time.Duration) {
+	s := a.forService(service, now)
+	first = s.firstPart(usualFirstPercentile, target)
+	return first, max(first, quantile(s.whole, usualWholePercentile, first))
 }
 
-// firstPart returns within which time so many answers in a hundred have their first
-// part, or a part of the target before enough were seen.
-func (s *serviceTimes) firstPart(percent float64, target time.Duration) time.Duration {
-	return quantile(s.first, percent, time.Duration(firstOfTarget*float64(target)))
+// firstPart returns the given percentile of the time to the first part, or a fraction of the target
+// before enough answers have been observed.
+func (s *serviceLatencies) firstPart(percent float64, target time.Duration) time.Duration {
+	return quantile(s.first, percent, time.Duration(defaultFirstPartFraction*float64(target)))
 }
 
-func quantile(h *hdrhistogram.WindowedHistogram, percent float64, unknown time.Duration) time.Duration {
+func quantile(h *hdrhistogram.WindowedHistogram, percent float64, fallback time.Duration) time.Duration {
 	m := h.Merge()
-	if m.TotalCount() < timesLeast {
-		return unknown
+	if m.TotalCount() < minLatencySamples {
+		return fallback
 	}
 	return time.Duration(m.ValueAtQuantile(percent)) * time.Millisecond
 }
