--- a/internal/rank/lockstep/giveup.go
+++ b/internal/rank/lockstep/giveup.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// stuck reports whether a rank goes on refusing to prepare the newest version.
+// prepareStalled reports whether a rank has refused to prepare the newest
+// version for longer than refusalTimeout.
 //
-// Guard: a rank takes a prepare and does not answer, and carries it out seconds
-// later. Until then it neither copies nor takes that version again; the group
-// would keep a map that popularity has left, for 11 s in one case. A further
-// version is taken at once, and the late order is refused then.
-func (l *Leader) stuck(now time.Time) bool {
-	if !l.refused {
+// It guards against a rank that accepts a prepare order without replying and
+// executes it seconds later. Until then the rank neither copies the map nor
+// accepts that version again; the group would keep a map that no longer matches
+// expert popularity, for 11 s in one case. A further version is accepted at
+// once, and the delayed order is rejected then.
+func (l *Leader) prepareStalled(now time.Time) bool {
+	if !l.prepareRefused {
 		return false
 	}
 	if l.refusedSince.IsZero() {
 		l.refusedSince = now
 	}
-	return now.Sub(l.refusedSince) > refusedTime
+	return now.Sub(l.refusedSince) > refusalTimeout
 }
 
-// giveUp reports whether the held step can't become a change of maps. A change
-// that another leader began is finished only when all ranks are armed, because
-// the version may be unknown to this one.
-func (l *Leader) giveUp(ranks []State, armed int, same bool, h holding, now time.Time) bool {
-	if !same || h.step != l.own || now.Sub(l.heldSince) > armTime {
+// mustAbort reports whether the held step cannot become a change of maps. A
+// change that another leader began is completed only when all ranks are armed,
+// because this leader may not know the version.
+func (l *Leader) mustAbort(ranks []State, armed int, same bool, h heldStep, now time.Time) bool {
+	if !same || h.step != l.holdStep || now.Sub(l.heldSince) > armTimeout {
 		return true
 	}
-	version, ok := l.target(ranks, armed)
+	version, ok := l.targetVersion(ranks, armed)
 	if !ok {
 		return true
 	}
@@ -40,47 +42,49 @@
 	return false
 }
 
-// release lets the held step begin, on which all ranks are armed.
-func release(ranks []State, h holding) []Directive {
-	return []Directive{directive(ranks, h.rank, Go{Step: h.step})}
+// releaseStep returns the order that releases the held step.
+func releaseStep(ranks []State, h heldStep) []Directive {
+	return []Directive{newDirective(ranks, h.rank, Go{Step: h.step})}
 }
 
-// takeBack gives the held step up: disarm, flush, let go. The leader's own rank
-// is disarmed and flushed before the others, see Rescue.
-func (l *Leader) takeBack(ranks []State, h holding, now time.Time) []Directive {
+// abortStep aborts the held step: it disarms all ranks, prepares the no-op
+// version on them and releases the step. The leader's own rank is disarmed and
+// prepared before the others; see Rescue.
+func (l *Leader) abortStep(ranks []State, h heldStep, now time.Time) []Directive {
 	if l.inForce == nil || l.inForce.Version != ranks[h.rank].Map {
-		return nil // the map has to be learnt first, see Current
+		return nil // the map in force must be set first; see Current
 	}
-	if l.flush == 0 || l.stuck(now) {
-		l.flush, l.goal = l.nextVersion(), nil
+	if l.noopVersion == 0 || l.prepareStalled(now) {
+		l.noopVersion, l.goal = l.nextVersion(), nil
 	}
-	if out := l.takeBackRank(ranks, l.Own); len(out) > 0 {
+	if out := l.abortRank(ranks, l.Own); len(out) > 0 {
 		return out
 	}
 	var out []Directive
 	for i := range ranks {
-		out = append(out, l.takeBackRank(ranks, i)...)
+		out = append(out, l.abortRank(ranks, i)...)
 	}
-	if len(out) > 0 || !flushed(ranks, l.flush) {
+	if len(out) > 0 || !allPrepared(ranks, l.noopVersion) {
 		return out
 	}
-	return release(ranks, h)
+	return releaseStep(ranks, h)
 }
 
-// takeBackRank disarms a rank, or flushes it when it isn't armed.
-func (l *Leader) takeBackRank(ranks []State, i int) []Directive {
+// abortRank disarms rank i, or prepares the no-op version on it when it is not
+// armed.
+func (l *Leader) abortRank(ranks []State, i int) []Directive {
 	r := &ranks[i]
 	switch {
 	case r.Armed != nil:
-		return []Directive{directive(ranks, i, Disarm{Version: r.Armed.Version})}
-	case r.Busy, r.HasPrepared && r.Prepared == l.flush:
+		return []Directive{newDirective(ranks, i, Disarm{Version: r.Armed.Version})}
+	case r.Busy, r.HasPrepared && r.Prepared == l.noopVersion:
 		return nil
 	default:
-		return []Directive{directive(ranks, i, Prepare{Version: l.flush, Sets: l.inForce.Sets})}
+		return []Directive{newDirective(ranks, i, Prepare{Version: l.noopVersion, Sets: l.inForce.Sets})}
 	}
 }
 
-func flushed(ranks []State, version uint64) bool {
+func allPrepared(ranks []State, version uint64) bool {
 	for _, r := range ranks {
 		if !r.HasPrepared || r.Prepared != version {
 			return false
--- a/internal/rank/lockstep/lead.go
+++ b/internal/rank/lockstep/lead.go
@@ -6,77 +6,80 @@
 )
 
 const (
-	// leadBase and leadEach are what a change is expected to take from its hold
-	// until it is let go, as long as none has been seen: the four round trips of
-	// hold, arms and go, and for each rank the work of its leader, which has a
-	// quarter of a core.
-	leadBase = 10 * time.Millisecond
-	leadEach = 2 * time.Millisecond
-	// leadsKept is how many changes a lead is learnt from, and leadRank how many
-	// of them may have taken longer: a rank that loses orders makes one change
-	// in some take ten times as long, and those after it shall not wait for it.
-	leadsKept = 10
-	leadRank  = 2
+	// initialLeadBase and initialLeadPerRank give the expected time from the
+	// hold of a change to its release while none has been measured: the four
+	// round trips of hold, arms and go, and for each rank the work of its
+	// leader, which has a quarter of a core.
+	initialLeadBase    = 10 * time.Millisecond
+	initialLeadPerRank = 2 * time.Millisecond
+	// leadSamples is how many recent changes the estimate uses. leadOutliers is
+	// how many of them may have taken longer than the estimate: a rank that
+	// loses orders makes an occasional change take ten times as long, which
+	// must not delay the following ones.
+	leadSamples  = 10
+	leadOutliers = 2
 )
 
-// lead learns how long before its beginning a step has to be held so that all
-// ranks are armed by then.
+// leadEstimator estimates how long before it begins a step has to be held so
+// that all ranks are armed by then.
 //
-// Load: groups of 16 to 128 ranks, in passes of 50 to 100 ms. Arming 16 of them
-// takes some 20 ms and 72 more than 100 ms. Harm prevented: a group that reaches
-// the held step first stands until the go, and every stream that runs has a pause
-// which its caller does not bear; with a hold that comes far too early, each jump
-// of popularity is followed a pass later than it could be.
-type lead struct {
-	took []time.Duration
-	// heldAt is when the hold was ordered that is under way, or zero, and change
-	// what is known of it.
-	heldAt time.Time
-	change Change
+// Groups have 16 to 128 ranks and steps of 50 to 100 ms. Arming 16 ranks takes
+// some 20 ms and 72 ranks more than 100 ms. A group that reaches the held step
+// too early waits until the go, and every running stream has a pause that its
+// caller does not tolerate; with a hold that is much too early, the map follows
+// each jump of expert popularity a step later than it could.
+type leadEstimator struct {
+	samples []time.Duration
+	// holdOrderedAt is when the hold of the current change was ordered, or
+	// zero. change is what is known of that change.
+	holdOrderedAt time.Time
+	change        Change
 }
 
-// Change is how a change of maps went, from its hold until it was let go.
+// Change is the timing of a change of maps, from its hold to its release.
 type Change struct {
-	// Step is the step that was held, Ahead by how many it came ahead.
+	// Step is the step that was held. Ahead is how many steps in advance it was
+	// held.
 	Step, Ahead uint64
-	// Expected is how long the change was expected to take, Took how long it
-	// took, and StepTime how long a step lasted before.
+	// Expected is the estimated and Took the measured duration of the change.
+	// StepTime is the estimated duration of a step before the change.
 	Expected, Took, StepTime time.Duration
 }
 
-// begin notes that a step was ordered to be held.
-func (l *lead) begin(c Change, now time.Time) { l.heldAt, l.change = now, c }
+// begin records that a hold was ordered.
+func (l *leadEstimator) begin(c Change, now time.Time) { l.holdOrderedAt, l.change = now, c }
 
-// end notes that the held step was let go with all ranks armed.
-func (l *lead) end(now time.Time) {
-	if l.heldAt.IsZero() {
+// end records that the held step was released with all ranks armed.
+func (l *leadEstimator) end(now time.Time) {
+	if l.holdOrderedAt.IsZero() {
 		return
 	}
-	l.change.Took = now.Sub(l.heldAt)
-	l.took = append(l.took, l.change.Took)
-	if len(l.took) > leadsKept {
-		l.took = l.took[1:]
+	l.change.Took = now.Sub(l.holdOrderedAt)
+	l.samples = append(l.samples, l.change.Took)
+	if len(l.samples) > leadSamples {
+		l.samples = l.samples[1:]
 	}
-	l.heldAt = time.Time{}
+	l.holdOrderedAt = time.Time{}
 }
 
-// cancel notes that the change under way will not be let go.
-func (l *lead) cancel() { l.heldAt, l.change = time.Time{}, Change{} }
+// cancel records that the current change will not be released.
+func (l *leadEstimator) cancel() { l.holdOrderedAt, l.change = time.Time{}, Change{} }
 
-// time returns how long a change of so many ranks is expected to take.
-func (l *lead) time(ranks int) time.Duration {
-	if len(l.took) == 0 {
-		return leadBase + time.Duration(ranks)*leadEach
+// estimate returns the expected duration of a change of the given number of
+// ranks.
+func (l *leadEstimator) estimate(ranks int) time.Duration {
+	if len(l.samples) == 0 {
+		return initialLeadBase + time.Duration(ranks)*initialLeadPerRank
 	}
-	sorted := slices.Sorted(slices.Values(l.took))
-	return sorted[max(0, len(sorted)-1-leadRank)]
+	sorted := slices.Sorted(slices.Values(l.samples))
+	return sorted[max(0, len(sorted)-1-leadOutliers)]
 }
 
-// stepsAhead returns by how many steps a hold has to come ahead of the newest step
-// that was seen, if the change takes as long as expected. That one may be about to
-// end, so it does not count.
-func stepsAhead(expected, stepTime time.Duration) uint64 {
-	stepTime = max(stepTime, time.Millisecond)
-	n := 1 + (expected+stepTime-1)/stepTime
-	return uint64(min(n, mostAhead))
+// stepsAhead returns how many steps after the newest observed step the hold has
+// to be, if the change takes as long as expected. The observed step may be
+// about to end, so it does not count.
+func stepsAhead(expected, stepDuration time.Duration) uint64 {
+	stepDuration = max(stepDuration, time.Millisecond)
+	n := 1 + (expected+stepDuration-1)/stepDuration
+	return uint64(min(n, maxStepsAhead))
 }
--- a/internal/rank/lockstep/lead_test.go
+++ b/internal/rank/lockstep/lead_test.go
@@ -6,43 +6,46 @@
 	"time"
 )
 
-// pacedGroup is a group that makes passes without rest, seen by a leader whose
-// orders take their time.
+// pacedGroup simulates a group that runs steps without idle time, observed by a
+// leader whose orders take time.
 type pacedGroup struct {
 	ranks []State
 	now   time.Time
-	// pass is how long a pass lasts, and each how long the leader works for one
-	// order.
-	pass, each time.Duration
-	// left is what is left of the present pass, and held for how long the group
-	// has stood before a held step.
-	left, held time.Duration
+	// passDuration is the duration of a step. orderDuration is the leader's
+	// processing time per order.
+	passDuration, orderDuration time.Duration
+	// passRemaining is the time left in the current step. heldTime is the total
+	// time that the group has waited for a held step.
+	passRemaining, heldTime time.Duration
 }
 
-func newPacedGroup(n int, pass, each time.Duration) *pacedGroup {
-	g := &pacedGroup{ranks: make([]State, n), now: time.Unix(1000, 0), pass: pass, each: each, left: pass}
+func newPacedGroup(n int, passDuration, orderDuration time.Duration) *pacedGroup {
+	g := &pacedGroup{
+		ranks: make([]State, n), now: time.Unix(1000, 0),
+		passDuration: passDuration, orderDuration: orderDuration, passRemaining: passDuration,
+	}
 	for i := range g.ranks {
 		g.ranks[i] = State{Group: "g", Epoch: 1, Rank: i, Size: n, Open: true}
 	}
 	return g
 }
 
-// wait lets time pass, a millisecond at a time.
+// wait advances the clock by d, one millisecond at a time.
 func (g *pacedGroup) wait(d time.Duration) {
 	for range d / time.Millisecond {
 		g.now = g.now.Add(time.Millisecond)
-		if g.left > 0 {
-			g.left -= time.Millisecond
+		if g.passRemaining > 0 {
+			g.passRemaining -= time.Millisecond
 		}
-		if g.left > 0 {
+		if g.passRemaining > 0 {
 			continue
 		}
 		next := g.ranks[0].Step + 1
 		if h := g.ranks[1].Held; h != nil && *h == next {
-			g.held += time.Millisecond
+			g.heldTime += time.Millisecond
 			continue
 		}
-		g.left = g.pass
+		g.passRemaining = g.passDuration
 		for i := range g.ranks {
 			r := &g.ranks[i]
 			r.Step = next
@@ -53,8 +56,8 @@
 	}
 }
 
-// look returns the ranks as they are now.
-func (g *pacedGroup) look() []State {
+// observe returns the current state of the ranks.
+func (g *pacedGroup) observe() []State {
 	out := make([]State, len(g.ranks))
 	for i, r := range g.ranks {
 		r.AsOf = g.now
@@ -63,8 +66,8 @@
 	return out
 }
 
-// give carries an order out that takes no copy.
-func (g *pacedGroup) give(d Directive) Outcome {
+// execute executes an order at once; a prepare takes no time.
+func (g *pacedGroup) execute(d Directive) Outcome {
 	r := &g.ranks[d.Rank]
 	switch o := d.Order.(type) {
 	case Prepare:
@@ -82,52 +85,52 @@
 	return Already
 }
 
-// round is one look of a leader and all orders that follow it.
+// round makes one observation and sends all orders that follow from it.
 func (g *pacedGroup) round(l *Leader) {
-	ranks := g.look()
+	ranks := g.observe()
 	orders := l.Decide(ranks, true, g.now)
 	for len(orders) > 0 {
-		g.wait(3*time.Millisecond + time.Duration(len(orders))*g.each)
-		follow := true
+		g.wait(3*time.Millisecond + time.Duration(len(orders))*g.orderDuration)
+		applied := true
 		for _, d := range orders {
-			o := g.give(d)
+			o := g.execute(d)
 			l.Answered(d, o, g.now)
-			follow = Apply(&ranks[d.Rank], d.Order) && o == Already && follow
+			applied = Apply(&ranks[d.Rank], d.Order) && o == Already && applied
 		}
-		if !follow {
+		if !applied {
 			return
 		}
 		orders = l.Decide(ranks, true, g.now)
 	}
 }
 
-// change brings one map into force and returns for how long it held the group.
-func (g *pacedGroup) change(l *Leader, n int) time.Duration {
-	before := g.held
-	l.Propose(content(n))
+// runChange puts one map in force and returns for how long the group was held.
+func (g *pacedGroup) runChange(l *Leader, contentID int) time.Duration {
+	before := g.heldTime
+	l.Propose(content(contentID))
 	for l.Busy() {
 		g.round(l)
 		g.wait(25 * time.Millisecond)
 	}
-	return g.held - before
+	return g.heldTime - before
 }
 
-// Popularity jumps, and a group of 72 ranks gets its next map. Arming that many
-// takes longer than a pass; held as shortly ahead as a dozen ranks need, the group
-// stands before the held step, and each stream has a pause that its caller counts
-// as late.
+// Guards against a hold that leaves too little time to arm a large group.
+// Arming 72 ranks takes longer than a step; if the step is held only as far
+// ahead as a dozen ranks need, the group waits for it and every stream has a
+// pause that its caller counts as late.
 func TestHoldLeavesTimeToArm(t *testing.T) {
 	for _, n := range []int{4, 16, 72, 128} {
-		for _, pass := range []time.Duration{50 * time.Millisecond, 95 * time.Millisecond} {
-			t.Run(fmt.Sprint(n, " ranks in ", pass), func(t *testing.T) {
-				g := newPacedGroup(n, pass, time.Millisecond)
+		for _, passDuration := range []time.Duration{50 * time.Millisecond, 95 * time.Millisecond} {
+			t.Run(fmt.Sprint(n, " ranks in ", passDuration), func(t *testing.T) {
+				g := newPacedGroup(n, passDuration, time.Millisecond)
 				l := &Leader{Own: 0, Holder: 1, Token: 1}
 				for range 20 {
 					g.round(l)
 					g.wait(100 * time.Millisecond)
 				}
 				for i := range 10 {
-					if held := g.change(l, i); held > 5*time.Millisecond {
+					if held := g.runChange(l, i); held > 5*time.Millisecond {
 						t.Errorf("change %d held the group for %v", i, held)
 					}
 					g.wait(230 * time.Millisecond)
@@ -140,12 +143,12 @@
 	}
 }
 
-// A rank loses orders for some seconds, so that two changes in ten take 400 ms. The
-// others shall not be let into force that much later.
+// Guards against rare slow changes that delay all others: a rank loses orders
+// for some seconds, so that two changes in ten take 400 ms.
 func TestLeadForgetsWhatIsRare(t *testing.T) {
-	var l lead
+	var l leadEstimator
 	now := time.Unix(1000, 0)
-	for i := range leadsKept {
+	for i := range leadSamples {
 		took := 20 * time.Millisecond
 		if i%5 == 0 {
 			took = 400 * time.Millisecond
@@ -154,31 +157,31 @@
 		l.end(now.Add(took))
 		now = now.Add(time.Second)
 	}
-	if got := l.time(16); got != 20*time.Millisecond {
-		t.Errorf("lead is %v", got)
+	if got := l.estimate(16); got != 20*time.Millisecond {
+		t.Errorf("estimated lead is %v", got)
 	}
 }
 
-// A group rests between requests, and its steps seem to last a second. Counted on
-// when work is there again, a hold one step ahead would come too late.
+// Guards against a hold that arrives too late after an idle period, during
+// which steps seem to last a second.
 func TestStepTimeFallsAtOnce(t *testing.T) {
 	l := &Leader{}
 	now := time.Unix(1000, 0)
-	l.followSteps(1, now)
-	l.followSteps(2, now.Add(time.Second))
-	l.followSteps(4, now.Add(1100*time.Millisecond))
-	if l.stepTime != 50*time.Millisecond {
-		t.Errorf("a step lasts %v", l.stepTime)
+	l.updateStepDuration(1, now)
+	l.updateStepDuration(2, now.Add(time.Second))
+	l.updateStepDuration(4, now.Add(1100*time.Millisecond))
+	if l.stepDuration != 50*time.Millisecond {
+		t.Errorf("step duration is %v", l.stepDuration)
 	}
 }
 
-func BenchmarkLeadSteps(b *testing.B) {
-	var l lead
-	for i := range leadsKept {
+func BenchmarkStepsAhead(b *testing.B) {
+	var l leadEstimator
+	for i := range leadSamples {
 		l.begin(Change{}, time.Unix(int64(i), 0))
 		l.end(time.Unix(int64(i), int64(i)*1e6))
 	}
 	for b.Loop() {
-		stepsAhead(l.time(128), 60*time.Millisecond)
+		stepsAhead(l.estimate(128), 60*time.Millisecond)
 	}
 }
--- a/internal/rank/lockstep/leader.go
+++ b/internal/rank/lockstep/leader.go
@@ -5,88 +5,94 @@
 )
 
 const (
-	// armTime is how long a step may be held for ranks to be armed before the
-	// leader gives the change up. Arming takes a few milliseconds; each
-	// further one stalls all streams of the group, whose callers bear a pause
-	// of 120 ms.
-	armTime = 400 * time.Millisecond
-	// refusedTime is how long a rank may refuse to prepare a map, or a flush,
-	// before the leader takes another version. A copy takes 100 ms, in which a
-	// repeated order is refused as well.
-	refusedTime = 300 * time.Millisecond
-	// mostAhead bounds by how many steps a hold is ahead, and mostLate by how
-	// many more after holds that came too late.
-	mostAhead = 12
-	mostLate  = 4
+	// armTimeout is how long a step may be held for ranks to be armed before
+	// the leader aborts the change. Arming takes a few milliseconds; each
+	// further millisecond stalls all streams of the group, whose callers
+	// tolerate a pause of 120 ms.
+	armTimeout = 400 * time.Millisecond
+	// refusalTimeout is how long a rank may refuse to prepare a map or a no-op
+	// version before the leader uses another version. A copy takes 100 ms,
+	// during which a repeated order is refused as well.
+	refusalTimeout = 300 * time.Millisecond
+	// maxStepsAhead limits how many steps in advance a step is held.
+	// maxExtraSteps limits how many steps are added to that after holds that
+	// arrived too late.
+	maxStepsAhead = 12
+	maxExtraSteps = 4
 )
 
-// Goal is a map that shall come into force.
+// Goal is a map that is to be put in force, or is in force.
 type Goal struct {
 	Version uint64
 	Sets    [][][]int
 }
 
-// Leader decides the orders to one group. Set the exported fields before the
+// Leader decides the orders for one group. Set the exported fields before the
 // first call. It is not safe for concurrent use.
 type Leader struct {
-	// Own is the rank beside the leader, and Holder the one that is given holds.
-	// They differ in a group of more than one rank, see Rescue.
+	// Own is the rank on the leader's VM. Holder is the rank to which hold
+	// orders are sent. They differ in a group of more than one rank; see
+	// Rescue.
 	Own, Holder int
-	// Before is the leader before this one, or nil when it isn't known.
+	// Before is the previous leader, or nil when it is not known.
 	Before *Predecessor
-	// Token is the leader's fencing token, which grows with each leader.
+	// Token is the leader's fencing token, which increases with each leader.
 	Token uint64
 
 	goal *Goal
-	// refused says that a rank has refused to prepare the goal or the flush,
-	// and refusedSince when that was first seen.
-	refused      bool
-	refusedSince time.Time
-	// undo says that the held step is given up.
-	undo bool
-	// own is the step that this leader ordered to hold, for its goal, and late
-	// by how many steps more ahead it has to be ordered, as it came too late.
-	own, late uint64
-	// heldSince is when the held step was first seen.
+	// prepareRefused reports whether a rank has refused to prepare the goal or
+	// the no-op version; refusedSince is when that was first observed.
+	prepareRefused bool
+	refusedSince   time.Time
+	// aborting reports whether the held step is being aborted.
+	aborting bool
+	// holdStep is the step that this leader ordered to hold for its goal.
+	// extraSteps is how many steps further ahead a hold has to be ordered
+	// because earlier ones arrived too late.
+	holdStep, extraSteps uint64
+	// heldSince is when the held step was first observed.
 	heldSince time.Time
-	// flush is the harmless version that ranks take before a step which was
-	// given up is let go.
-	flush uint64
-	// newest is the largest version seen or used.
-	newest uint64
-	epoch  uint64
-	// lead says how long before its beginning a step is held.
-	lead lead
-	// stepTime is how long a step lasts, from the steps seen.
-	stepTime time.Duration
-	lastStep uint64
-	lastSeen time.Time
-	// went is the step for which go was ordered with all ranks armed.
-	went    uint64
-	inForce *Goal
-	// fenced holds when each rank was first known to have seen the leader's
+	// noopVersion is the version with the content of the map in force that all
+	// ranks prepare before an aborted step is released.
+	noopVersion uint64
+	// newestVersion is the largest version observed or used.
+	newestVersion uint64
+	epoch         uint64
+	// leadTime estimates how long before it begins a step has to be held.
+	leadTime leadEstimator
+	// stepDuration is the estimated duration of a step.
+	stepDuration time.Duration
+	lastStep     uint64
+	lastStepAt   time.Time
+	// releasedStep is the step for which go was ordered with all ranks armed.
+	releasedStep uint64
+	inForce      *Goal
+	// fencedAt is when each rank was first known to have seen the leader's
 	// token; zero means not yet.
-	fenced  []time.Time
-	deposed bool
+	fencedAt []time.Time
+	deposed  bool
 }
 
-// versionBits is how many bits of a version count the maps of one leader.
-const versionBits = 20
+// versionCounterBits is the number of low bits of a version that count the maps
+// of one leader; the bits above them are its token.
+const versionCounterBits = 20
 
 // nextVersion returns a version that no leader has used.
 //
-// Guard: a rank that is still copying a map of an earlier leader does not report
-// its version yet. Counted on from the versions that are reported, the next one
-// would be the same number for another map: the rank refuses it, reports the
-// number as prepared when its copy is complete, and is armed with a map that the
-// others don't have. So versions begin with the leader's token.
+// It guards against the reuse of a version. A rank that is still copying a map
+// of an earlier leader does not report its version yet. If versions were
+// counted on from the reported ones, the next version would be the same number
+// for another map: the rank refuses it, reports the number as prepared when its
+// copy is complete, and is armed with a map that the others do not have.
+// Versions therefore begin with the leader's token.
 func (l *Leader) nextVersion() uint64 {
-	l.refused, l.refusedSince = false, time.Time{}
-	l.newest = max(l.newest, l.Token<<versionBits) + 1
-	return l.newest
+	l.prepareRefused, l.refusedSince = false, time.Time{}
+	l.newestVersion = max(l.newestVersion, l.Token<<versionCounterBits) + 1
+	return l.newestVersion
 }
 
-// Propose sets the next map, if none is under way, and returns its version.
+// Propose sets the next map and returns its version. It returns false while
+// another change is pending.
 func (l *Leader) Propose(sets [][][]int) (uint64, bool) {
 	if l.goal != nil {
 		return 0, false
@@ -95,161 +101,167 @@
 	return l.goal.Version, true
 }
 
-// Busy reports whether a change is under way.
+// Busy reports whether a change is in progress or a step is held.
 func (l *Leader) Busy() bool { return l.goal != nil || !l.heldSince.IsZero() }
 
-// Holding reports whether a step was held when the ranks were last seen whole.
+// Holding reports whether a step was held when all ranks were last observed
+// together.
 func (l *Leader) Holding() bool { return !l.heldSince.IsZero() }
 
-// Current tells the leader the map that is in force, which it needs in order to
-// give a step up.
+// Current sets the map in force, which the leader must know to abort a step.
 func (l *Leader) Current(version uint64, sets [][][]int) {
 	l.inForce = &Goal{Version: version, Sets: sets}
 }
 
-// HeldFor returns for how long a step has been held, or 0 if none of the ranks
-// holds one.
+// HeldFor returns for how long a step has been held, or 0 if no rank holds one.
 func (l *Leader) HeldFor(ranks []State, now time.Time) time.Duration {
-	if _, held := l.held(ranks); !held || !l.Holding() {
+	if _, held := l.lowestHeld(ranks); !held || !l.Holding() {
 		return 0
 	}
 	return now.Sub(l.heldSince)
 }
 
-// Awaited returns the ranks that keep a held step from being let go: those that
-// are armed, or lack the version that is to be prepared on all.
+// Awaited returns the ranks that prevent a held step from being released: those
+// that are armed, or have not prepared the no-op version.
 func (l *Leader) Awaited(ranks []State) []int {
 	var out []int
 	for i, r := range ranks {
-		if r.Armed != nil || !r.HasPrepared || r.Prepared != l.flush {
+		if r.Armed != nil || !r.HasPrepared || r.Prepared != l.noopVersion {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// InForce returns the map in force, or nil when it isn't known.
+// InForce returns the map in force, or nil when it is not known.
 func (l *Leader) InForce() *Goal { return l.inForce }
 
-// Answered tells what became of an order. A rank that has seen a newer leader
-// deposes this one.
+// Answered records the outcome of an order. The outcome Fenced deposes the
+// leader.
 func (l *Leader) Answered(d Directive, o Outcome, now time.Time) {
 	if o == Fenced {
 		l.deposed = true
 	}
-	if p, ok := d.Order.(Prepare); ok && o == Unfit && p.Version == l.newest {
-		l.refused = true
+	if p, ok := d.Order.(Prepare); ok && o == Unfit && p.Version == l.newestVersion {
+		l.prepareRefused = true
 	}
 	switch d.Order.(type) {
 	case Hold:
-		l.noteHold(o)
+		l.recordHold(o)
 	case Go:
-		l.noteGo(o, now)
+		l.recordGo(o, now)
 	}
-	if o != Unknown && d.Epoch == l.epoch && d.Rank < len(l.fenced) && l.fenced[d.Rank].IsZero() {
-		l.fenced[d.Rank] = now
+	if o != Unknown && d.Epoch == l.epoch && d.Rank < len(l.fencedAt) && l.fencedAt[d.Rank].IsZero() {
+		l.fencedAt[d.Rank] = now
 	}
 }
 
-// noteHold learns from a hold that came after its step had begun.
+// recordHold adjusts extraSteps after a hold that arrived after its step had
+// begun.
 //
-// Load: a large group, where a look at all ranks takes as long as half a pass.
-// Harm prevented: each hold in turn came too late and cost a pass; four in a row
-// were seen, 0.4 s in which the group went on with an old map.
-func (l *Leader) noteHold(o Outcome) {
+// This matters in a large group, where observing all ranks takes as long as
+// half a step. Without the adjustment each subsequent hold arrived too late as
+// well and cost a step; four in a row were observed, during which the group
+// kept its old map for 0.4 s.
+func (l *Leader) recordHold(o Outcome) {
 	switch o {
 	case Unfit:
-		l.late = min(l.late+1, mostLate)
+		l.extraSteps = min(l.extraSteps+1, maxExtraSteps)
 	case Begun, Already:
-		l.late = 0
+		l.extraSteps = 0
 	}
 }
 
-// noteGo learns how long a change took from its hold.
-func (l *Leader) noteGo(o Outcome, now time.Time) {
+// recordGo records how long a change took, measured from its hold.
+func (l *Leader) recordGo(o Outcome, now time.Time) {
 	if o == Begun || o == Already {
-		l.lead.end(now)
+		l.leadTime.end(now)
 	}
 }
 
-// Changed returns how the last change went, once for each that was let go with
-// all ranks armed.
+// Changed returns the timing of the last change that was released with all
+// ranks armed. It returns each change once.
 func (l *Leader) Changed() (Change, bool) {
-	c := l.lead.change
-	if !l.lead.heldAt.IsZero() || c.Took == 0 {
+	c := l.leadTime.change
+	if !l.leadTime.holdOrderedAt.IsZero() || c.Took == 0 {
 		return Change{}, false
 	}
-	l.lead.change = Change{}
+	l.leadTime.change = Change{}
 	return c, true
 }
 
-// Deposed reports whether a rank has seen a newer leader.
+// Deposed reports whether a rank has seen the token of a newer leader.
 func (l *Leader) Deposed() bool { return l.deposed }
 
-// Decide returns the orders to give now. Ranks holds the state of every rank by
-// its number, all seen just now, after every earlier order was answered or given
-// up: what can't be seen may be armed, see Rescue. Without begin only what is held or armed is brought to its end:
-// a leader that is about to stop must not leave the group held.
+// Decide returns the orders to send now. The slice ranks holds the state of
+// every rank by its number, all observed just now, after every earlier order
+// was answered or its call timed out. A rank that cannot be observed may be
+// armed; for that case see Rescue. If begin is false, Decide only completes
+// what is held or armed, because a leader that is about to stop must not leave
+// the group held.
 func (l *Leader) Decide(ranks []State, begin bool, now time.Time) []Directive {
-	if l.deposed || !l.agree(ranks) {
+	if l.deposed || !l.sameOpenGroup(ranks) {
 		return nil
 	}
 	l.observe(ranks, now)
 	if out := l.fence(ranks, nil); len(out) > 0 {
 		return out
 	}
-	if !l.settled(ranks, nil) {
+	if !l.reportsFollowFence(ranks, nil) {
 		return nil
 	}
-	held, isHeld := l.held(ranks)
-	armed, same := armedOf(ranks)
+	held, isHeld := l.lowestHeld(ranks)
+	armed, same := countArmed(ranks)
 	if !isHeld {
-		l.heldSince, l.undo, l.flush = time.Time{}, false, 0
+		l.heldSince, l.aborting, l.noopVersion = time.Time{}, false, 0
 		if !begin {
 			return nil
 		}
-		return l.advance(ranks, armed, now)
+		return l.prepareAndHold(ranks, armed, now)
 	}
 	if l.heldSince.IsZero() {
 		l.heldSince = now
 	}
 	switch {
-	case armed == len(ranks) && same && !l.undo, l.went == held.step && l.went != 0:
-		l.went = held.step
-		return release(ranks, held)
-	case l.undo || l.giveUp(ranks, armed, same, held, now):
-		l.undo = true
-		l.lead.cancel()
-		return l.takeBack(ranks, held, now)
+	case armed == len(ranks) && same && !l.aborting, l.releasedStep == held.step && l.releasedStep != 0:
+		l.releasedStep = held.step
+		return releaseStep(ranks, held)
+	case l.aborting || l.mustAbort(ranks, armed, same, held, now):
+		l.aborting = true
+		l.leadTime.cancel()
+		return l.abortStep(ranks, held, now)
 	default:
-		return l.arm(ranks, held)
+		return l.armNext(ranks, held)
 	}
 }
 
-// fence shows the leader's token to the ranks that have not seen it, all or
-// those of which seen is true. A decision rests on a look that comes after the
-// last of them, so nothing else is ordered along with it.
+// fence returns the orders that present the leader's token to the ranks that
+// have not seen it: all of them, or those for which seen is true. A decision
+// requires an observation made after the last of these orders, so no other
+// order is sent along with them.
 func (l *Leader) fence(ranks []State, seen []bool) []Directive {
 	var out []Directive
 	for i := range ranks {
-		if l.fenced[i].IsZero() && (seen == nil || seen[i]) {
-			out = append(out, directive(ranks, i, Fence{}))
+		if l.fencedAt[i].IsZero() && (seen == nil || seen[i]) {
+			out = append(out, newDirective(ranks, i, Fence{}))
 		}
 	}
 	return out
 }
 
-// directive is an order for a rank as it was seen.
-func directive(ranks []State, i int, o Order) Directive {
+// newDirective returns an order for rank i, valid for the state in which the
+// rank was observed.
+func newDirective(ranks []State, i int, o Order) Directive {
 	return Directive{Rank: i, Epoch: ranks[i].Epoch, Sequence: ranks[i].Sequence, Order: o}
 }
 
-// advance works towards the goal while nothing is held.
-func (l *Leader) advance(ranks []State, armed int, now time.Time) []Directive {
+// prepareAndHold works towards the goal while no step is held: it prepares the
+// goal on all ranks and then orders a hold.
+func (l *Leader) prepareAndHold(ranks []State, armed int, now time.Time) []Directive {
 	if l.goal == nil || armed > 0 {
 		return nil
 	}
-	if l.stuck(now) {
+	if l.prepareStalled(now) {
 		l.goal = nil
 		return nil
 	}
@@ -261,28 +273,28 @@
 		}
 		ready = false
 		if r.Map > l.goal.Version || r.HasPrepared && r.Prepared > l.goal.Version {
-			// Another leader's version has come between.
+			// Another leader's version has superseded the goal.
 			l.goal = nil
 			return nil
 		}
 		if !r.Busy {
-			out = append(out, directive(ranks, i, Prepare{Version: l.goal.Version, Sets: l.goal.Sets}))
+			out = append(out, newDirective(ranks, i, Prepare{Version: l.goal.Version, Sets: l.goal.Sets}))
 		}
 	}
 	if !ready {
 		return out
 	}
-	expected := l.lead.time(len(ranks))
-	ahead := l.late + stepsAhead(expected, l.stepTime)
-	step := l.newestStep(ranks) + ahead
-	l.own = step
-	l.lead.begin(Change{Step: step, Ahead: ahead, Expected: expected, StepTime: l.stepTime}, now)
-	return []Directive{directive(ranks, l.Holder, Hold{Step: step})}
+	expected := l.leadTime.estimate(len(ranks))
+	ahead := l.extraSteps + stepsAhead(expected, l.stepDuration)
+	step := l.latestStep(ranks) + ahead
+	l.holdStep = step
+	l.leadTime.begin(Change{Step: step, Ahead: ahead, Expected: expected, StepTime: l.stepDuration}, now)
+	return []Directive{newDirective(ranks, l.Holder, Hold{Step: step})}
 }
 
-// target is the version that the held step is for: that of the ranks which are
-// armed, or the goal.
-func (l *Leader) target(ranks []State, armed int) (uint64, bool) {
+// targetVersion returns the version for which the step is held: that of the
+// armed ranks, or else that of the goal.
+func (l *Leader) targetVersion(ranks []State, armed int) (uint64, bool) {
 	if armed > 0 {
 		for _, r := range ranks {
 			if r.Armed != nil {
@@ -296,15 +308,17 @@
 	return l.goal.Version, true
 }
 
-// arm arms the ranks that are not: first those that are neither the leader's own
-// nor the holder, then the holder, and the leader's own last. Rescue rests on the
-// last part. The one before it serves a leader that is lost in the moment of its
-// hold, with its first arms on the way: the holder's isn't among them, so its
-// successor finds a rank that is not armed. It costs some milliseconds a change.
-func (l *Leader) arm(ranks []State, h holding) []Directive {
-	armed, _ := armedOf(ranks)
-	version, _ := l.target(ranks, armed)
-	arm := func(i int) Directive { return directive(ranks, i, Arm{Version: version, Step: h.step}) }
+// armNext returns the orders that arm the next ranks: first those other than
+// the leader's own and the holder, then the holder, and the leader's own last.
+// Rescue depends on the leader's own rank being last. Arming the holder
+// separately covers a leader that fails just after its hold, while its first
+// arm orders are still in transit: the holder's is not among them, so the
+// successor finds a rank that is not armed. It costs a few milliseconds per
+// change.
+func (l *Leader) armNext(ranks []State, h heldStep) []Directive {
+	armed, _ := countArmed(ranks)
+	version, _ := l.targetVersion(ranks, armed)
+	arm := func(i int) Directive { return newDirective(ranks, i, Arm{Version: version, Step: h.step}) }
 	var out []Directive
 	for i, r := range ranks {
 		if r.Armed == nil && i != l.Own && i != l.Holder {
--- a/internal/rank/lockstep/observe.go
+++ b/internal/rank/lockstep/observe.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// settled reports whether all looks, or those of which seen is true, show the
-// ranks as they were after they had seen the leader's token.
+// reportsFollowFence reports whether the reports of all ranks, or of those for
+// which seen is true, describe them after they had seen the leader's token.
 //
-// Guard: an engine that is asked from another VM reports what it was some hundred
-// milliseconds ago. In that time its last leader may have disarmed it, or armed
-// it, before it was fenced; a successor that goes by the old report would let a
-// step go for which not all ranks are armed alike. Once the report is of after the
-// fence, only this leader's orders can have changed the rank since.
-func (l *Leader) settled(ranks []State, seen []bool) bool {
+// It guards against stale reports. An engine queried from another VM reports
+// its state of some hundred milliseconds ago. During that time the previous
+// leader may have disarmed or armed it before it was fenced; a successor that
+// relied on the old report would release a step for which not all ranks are
+// armed alike. Once the report was made after the fence, only orders of this
+// leader can have changed the rank since.
+func (l *Leader) reportsFollowFence(ranks []State, seen []bool) bool {
 	for i, r := range ranks {
-		if (seen == nil || seen[i]) && !r.AsOf.After(l.fenced[i]) {
+		if (seen == nil || seen[i]) && !r.AsOf.After(l.fencedAt[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-// agree reports whether all ranks are of one open group.
-func (l *Leader) agree(ranks []State) bool {
+// sameOpenGroup reports whether all ranks belong to one group, in one epoch,
+// that accepts requests.
+func (l *Leader) sameOpenGroup(ranks []State) bool {
 	for i, r := range ranks {
 		if !r.Open || r.Epoch != ranks[0].Epoch || r.Rank != i || r.Size != len(ranks) {
 			return false
@@ -29,57 +31,59 @@
 	return len(ranks) > 0
 }
 
-// observe follows epoch, versions and the length of steps.
+// observe updates the epoch, the versions and the step duration from the
+// reports.
 func (l *Leader) observe(ranks []State, now time.Time) {
-	l.enter(ranks[0].Epoch, len(ranks))
+	l.enterEpoch(ranks[0].Epoch, len(ranks))
 	for _, r := range ranks {
-		l.newest = max(l.newest, r.Map, r.Prepared)
+		l.newestVersion = max(l.newestVersion, r.Map, r.Prepared)
 		if r.Armed != nil {
-			l.newest = max(l.newest, r.Armed.Version)
+			l.newestVersion = max(l.newestVersion, r.Armed.Version)
 		}
 	}
-	if l.goal != nil && allUse(ranks, l.goal.Version) {
+	if l.goal != nil && allInForce(ranks, l.goal.Version) {
 		l.inForce, l.goal = l.goal, nil
 	}
-	l.followSteps(ranks[0].Step, now)
+	l.updateStepDuration(ranks[0].Step, now)
 }
 
-// enter begins an epoch of n ranks, unless it is the present one.
-func (l *Leader) enter(epoch uint64, n int) {
+// enterEpoch resets the state for an epoch of n ranks, unless that epoch is the
+// current one.
+func (l *Leader) enterEpoch(epoch uint64, n int) {
 	if epoch != l.epoch {
 		l.epoch = epoch
-		l.goal, l.undo, l.heldSince, l.flush, l.inForce, l.own, l.went = nil, false, time.Time{}, 0, nil, 0, 0
-		l.fenced = nil
-		l.lastSeen = time.Time{}
-		l.lead.cancel()
+		l.goal, l.aborting, l.heldSince, l.noopVersion, l.inForce, l.holdStep, l.releasedStep = nil, false, time.Time{}, 0, nil, 0, 0
+		l.fencedAt = nil
+		l.lastStepAt = time.Time{}
+		l.leadTime.cancel()
 	}
-	if l.fenced == nil {
-		l.fenced = make([]time.Time, n)
+	if l.fencedAt == nil {
+		l.fencedAt = make([]time.Time, n)
 	}
 }
 
-// slowerPart is the part of a step that lasted longer than the estimate which
-// joins it.
-const slowerPart = 8
+// stepRiseDivisor is the divisor of the difference by which the estimate rises
+// after a step that lasted longer than it.
+const stepRiseDivisor = 8
 
-// followSteps measures how long a step lasts, over steps that were not held. The
-// estimate falls at once and rises slowly: a group without work makes no steps, and
-// a hold that counts on such long ones comes too late when work is there.
-func (l *Leader) followSteps(step uint64, now time.Time) {
-	if !l.lastSeen.IsZero() && step > l.lastStep && l.heldSince.IsZero() {
-		d := now.Sub(l.lastSeen) / time.Duration(step-l.lastStep)
-		if l.stepTime == 0 || d < l.stepTime {
-			l.stepTime = d
+// updateStepDuration measures the duration of steps that were not held. The
+// estimate falls at once and rises slowly: an idle group makes no steps, and a
+// hold based on such long steps would arrive too late when requests arrive.
+func (l *Leader) updateStepDuration(step uint64, now time.Time) {
+	if !l.lastStepAt.IsZero() && step > l.lastStep && l.heldSince.IsZero() {
+		d := now.Sub(l.lastStepAt) / time.Duration(step-l.lastStep)
+		if l.stepDuration == 0 || d < l.stepDuration {
+			l.stepDuration = d
 		} else {
-			l.stepTime += (d - l.stepTime) / slowerPart
+			l.stepDuration += (d - l.stepDuration) / stepRiseDivisor
 		}
 	}
-	if step != l.lastStep || l.lastSeen.IsZero() {
-		l.lastStep, l.lastSeen = step, now
+	if step != l.lastStep || l.lastStepAt.IsZero() {
+		l.lastStep, l.lastStepAt = step, now
 	}
 }
 
-func allUse(ranks []State, version uint64) bool {
+func allInForce(ranks []State, version uint64) bool {
 	for _, r := range ranks {
 		if r.Map != version || r.Armed != nil {
 			return false
@@ -88,26 +92,27 @@
 	return true
 }
 
-// holding is a held step and the rank that holds it.
-type holding struct {
+// heldStep is a held step and the rank that holds it.
+type heldStep struct {
 	rank int
 	step uint64
 }
 
-// held returns the lowest held step. A late hold may leave two; each is let go
-// in its turn.
-func (l *Leader) held(ranks []State) (holding, bool) {
-	out, found := holding{}, false
+// lowestHeld returns the lowest held step. A delayed hold may leave two held
+// steps; each is released in turn.
+func (l *Leader) lowestHeld(ranks []State) (heldStep, bool) {
+	out, found := heldStep{}, false
 	for i, r := range ranks {
 		if r.Held != nil && (!found || *r.Held < out.step) {
-			out, found = holding{rank: i, step: *r.Held}, true
+			out, found = heldStep{rank: i, step: *r.Held}, true
 		}
 	}
 	return out, found
 }
 
-// armedOf returns how many ranks are armed and whether for one map and step.
-func armedOf(ranks []State) (n int, same bool) {
+// countArmed returns the number of armed ranks and whether all of them are
+// armed for the same map and step.
+func countArmed(ranks []State) (n int, same bool) {
 	same = true
 	var first *Arming
 	for _, r := range ranks {
@@ -123,10 +128,10 @@
 	return n, same
 }
 
-func (l *Leader) newestStep(ranks []State) uint64 {
-	top := uint64(0)
+func (l *Leader) latestStep(ranks []State) uint64 {
+	latest := uint64(0)
 	for _, r := range ranks {
-		top = max(top, r.Step)
+		latest = max(latest, r.Step)
 	}
-	return top
+	return latest
 }
--- a/internal/rank/lockstep/rescue.go
+++ b/internal/rank/lockstep/rescue.go
@@ -1,54 +1,56 @@
 package lockstep
 
-// Predecessor is the leader before this one.
+// Predecessor is the previous leader of the group.
 type Predecessor struct {
-	// Token is its fencing token, and Rank the rank beside it.
+	// Token is its fencing token. Rank is the rank on its VM.
 	Token uint64
 	Rank  int
 }
 
-// Rescue returns the orders that let a group go whose last leader left a step
-// held and whose own rank can't be seen. Ranks holds the states of those of
-// which seen is true.
+// Rescue returns the orders that release a group whose previous leader left a
+// step held, when the rank on that leader's VM cannot be observed. The slice
+// ranks holds the states of the ranks for which seen is true.
 //
-// Guard: a leader's VM freezes or is cut off while a step is held. The engine
-// beside it goes on with its group, but nobody reaches it to see whether it is
-// armed, and all callers of the group would wait until the VM is back. Three
-// habits of leaders tell it without a look: holds are given to another rank,
-// which is still reached; the leader's own rank is armed when all others are;
-// and it is disarmed and flushed before the others. So as long as another rank
-// is not armed, the leader's own isn't either, and stays so: what is left to arm
-// refuses the old leader once it has seen the new token. The states must be of
-// that leader's change, which the versions tell, as they begin with its token.
-// A step of which all others are armed stays held until the last rank is seen.
+// It guards against a leader's VM that freezes or is partitioned while a step
+// is held. The engine on that VM continues with its group, but nobody can reach
+// it to see whether it is armed, and all callers of the group would wait until
+// the VM is back. Three rules that every leader follows answer this without an
+// observation: holds are sent to another rank, which is still reachable; the
+// leader's own rank is armed after all others; and it is disarmed, and prepares
+// the no-op version, before the others. So as long as another rank is not
+// armed, the leader's own is not armed either, and stays so: a rank that
+// remains to be armed rejects the old leader once it has seen the new token.
+// The states must belong to that leader's change, which the versions show, as
+// they begin with its token. A step for which all other ranks are armed stays
+// held until the last rank is observed.
 func (l *Leader) Rescue(ranks []State, seen []bool) []Directive {
-	if l.deposed || !l.mayRescue(ranks, seen) {
+	if l.deposed || !l.canRescue(ranks, seen) {
 		return nil
 	}
-	l.enter(ranks[l.Own].Epoch, len(ranks))
+	l.enterEpoch(ranks[l.Own].Epoch, len(ranks))
 	if out := l.fence(ranks, seen); len(out) > 0 {
 		return out
 	}
-	held, isHeld := l.held(ranks)
-	armed, _ := armedOf(ranks)
-	if !l.settled(ranks, seen) || !isHeld || armed >= len(ranks)-1 {
+	held, isHeld := l.lowestHeld(ranks)
+	armed, _ := countArmed(ranks)
+	if !l.reportsFollowFence(ranks, seen) || !isHeld || armed >= len(ranks)-1 {
 		return nil
 	}
 	if armed == 0 {
-		return release(ranks, held)
+		return releaseStep(ranks, held)
 	}
 	var out []Directive
 	for i, r := range ranks {
 		if r.Armed != nil {
-			out = append(out, directive(ranks, i, Disarm{Version: r.Armed.Version}))
+			out = append(out, newDirective(ranks, i, Disarm{Version: r.Armed.Version}))
 		}
 	}
 	return out
 }
 
-// mayRescue reports whether only the predecessor's rank is missing and all
-// others are in a change of the predecessor's.
-func (l *Leader) mayRescue(ranks []State, seen []bool) bool {
+// canRescue reports whether only the predecessor's rank is missing and all
+// others take part in a change of the predecessor.
+func (l *Leader) canRescue(ranks []State, seen []bool) bool {
 	if l.Before == nil || l.Before.Rank == l.Own {
 		return false
 	}
@@ -56,18 +58,18 @@
 		if seen[i] == (i == l.Before.Rank) {
 			return false
 		}
-		if seen[i] && !(r.Open && r.Rank == i && r.Size == len(ranks) && r.Epoch == ranks[l.Own].Epoch && l.Before.prepared(r)) {
+		if seen[i] && !(r.Open && r.Rank == i && r.Size == len(ranks) && r.Epoch == ranks[l.Own].Epoch && l.Before.ownsMaps(r)) {
 			return false
 		}
 	}
 	return true
 }
 
-// prepared reports whether all that the rank has prepared or armed is of the
-// predecessor.
-func (p *Predecessor) prepared(r State) bool {
-	if r.Armed != nil && r.Armed.Version>>versionBits != p.Token {
+// ownsMaps reports whether the rank has prepared a map and all that it has
+// prepared or armed comes from the predecessor.
+func (p *Predecessor) ownsMaps(r State) bool {
+	if r.Armed != nil && r.Armed.Version>>versionCounterBits != p.Token {
 		return false
 	}
-	return r.HasPrepared && r.Prepared>>versionBits == p.Token
+	return r.HasPrepared && r.Prepared>>versionCounterBits == p.Token
 }
--- a/internal/rank/lockstep/state.go
+++ b/internal/rank/lockstep/state.go
@@ -5,58 +5,63 @@
 	"time"
 )
 
-// Arming is a map that a rank switches to as a step begins.
+// Arming is a map version and the step at which a rank switches to it.
 type Arming struct {
 	Step, Version uint64
 }
 
-// State is what a rank reports.
+// State is the state that a rank reports.
 type State struct {
-	// Group names the group, and Epoch grows each time that it forms anew;
-	// then nothing is prepared, armed or held, and map 0 is in force.
+	// Group is the name of the group. Epoch increases each time the group forms
+	// anew; then nothing is prepared, armed or held, and map 0 is in force.
 	Group string
 	Epoch uint64
-	// Rank is the rank's place among the Size of the group.
+	// Rank is the rank's number in the group, from 0, and Size the number of
+	// ranks.
 	Rank, Size int
-	// Open says that the group takes requests.
+	// Open reports whether the group accepts requests.
 	Open bool
-	// Step is the last step that was begun.
+	// Step is the last step that has begun.
 	Step uint64
-	// Sequence is how many orders the rank has taken, and Busy that one of
-	// them is being carried out.
+	// Sequence is the number of orders that the rank has accepted. Busy reports
+	// whether it is executing one of them.
 	Sequence uint64
 	Busy     bool
-	// Map is the version in force. Prepared is the one whose copy is
-	// complete, if HasPrepared.
+	// Map is the version in force. Prepared is the version whose copy is
+	// complete; it is valid only if HasPrepared is true.
 	Map, Prepared uint64
 	HasPrepared   bool
-	// Armed is nil when nothing is armed.
+	// Armed is nil when the rank is not armed.
 	Armed *Arming
 	// Held is the step that the rank holds, or nil.
 	Held *uint64
-	// Running and Queued are the rank's requests.
+	// Running and Queued are the numbers of running and queued requests of the
+	// rank.
 	Running, Queued int
-	// Born is the engine's start, in milliseconds since 1970.
+	// Born is the start time of the engine, in milliseconds since the Unix
+	// epoch.
 	Born uint64
-	// Pace is how many times slower than usual the engine works.
+	// Pace is the ratio of the engine's current step time to its usual one; a
+	// value above 1 is slower.
 	Pace float64
-	// AsOf is a moment on the leader's clock; the report is of then or later. A
-	// report through the agent is of after it was asked for; engines report only
-	// to their own VM what they are now.
+	// AsOf is a time on the leader's clock at or before the moment that the
+	// report describes. A report obtained through the agent describes the rank
+	// after it was requested; an engine reports its current state only to
+	// callers on its own VM.
 	AsOf time.Time
 }
 
-// String describes what maps the rank has, for log lines.
+// String describes the maps and the held step of the rank for log lines.
 func (s State) String() string {
 	text := fmt.Sprintf("map %d", s.Map)
 	if s.HasPrepared {
 		text += fmt.Sprintf(", prepared %d", s.Prepared)
 	}
 	if s.Armed != nil {
-		text += fmt.Sprintf(", armed %d at %d", s.Armed.Version, s.Armed.Step)
+		text += fmt.Sprintf(", armed with %d for step %d", s.Armed.Version, s.Armed.Step)
 	}
 	if s.Held != nil {
-		text += fmt.Sprintf(", holds %d", *s.Held)
+		text += fmt.Sprintf(", holds step %d", *s.Held)
 	}
 	if s.Busy {
 		text += ", busy"
@@ -67,27 +72,27 @@
 // Order is an order to one rank: Fence, Prepare, Arm, Disarm, Hold or Go.
 type Order interface{ isOrder() }
 
-// Fence changes nothing and shows the rank the leader's token, so that orders of
-// earlier leaders are refused from then on, also those that come late.
+// Fence changes nothing but the highest token that the rank has seen, so that
+// it rejects orders of earlier leaders from then on, including delayed ones.
 type Fence struct{}
 
-// Prepare has the rank copy what is new to it of a map: by set and rank the
-// experts.
+// Prepare orders the rank to copy the experts of a map that it does not hold
+// yet. Sets lists the experts by set and rank.
 type Prepare struct {
 	Version uint64
 	Sets    [][][]int
 }
 
-// Arm has the rank switch to a prepared map as a step begins.
+// Arm orders the rank to switch to a prepared map when Step begins.
 type Arm struct{ Version, Step uint64 }
 
-// Disarm takes an Arm back.
+// Disarm cancels an Arm.
 type Disarm struct{ Version uint64 }
 
-// Hold has the group not begin a step until Go.
+// Hold prevents the group from beginning Step until Go.
 type Hold struct{ Step uint64 }
 
-// Go lets a held step begin.
+// Go releases a held step.
 type Go struct{ Step uint64 }
 
 func (Fence) isOrder()   {}
@@ -97,37 +102,40 @@
 func (Hold) isOrder()    {}
 func (Go) isOrder()      {}
 
-// Outcome is what became of an order.
+// Outcome is the result of an order.
 type Outcome int
 
-// The outcomes.
+// The outcomes of an order.
 const (
-	// Unknown means that no answer came: the order may be carried out later.
+	// Unknown means that no reply arrived: the order may be executed later.
 	Unknown Outcome = iota
-	// Begun means that the rank has taken the order.
+	// Begun means that the rank has accepted the order.
 	Begun
-	// Already means that the rank's state was so before.
+	// Already means that the rank was already in the ordered state.
 	Already
-	// Unfit means that the order doesn't fit the rank's state.
+	// Unfit means that the rank rejected the order because it does not fit the
+	// rank's state.
 	Unfit
-	// Fenced means that the rank has seen a newer leader.
+	// Fenced means that the rank has seen the token of a newer leader.
 	Fenced
 )
 
-// String returns the outcome's name.
+// String returns the name of the outcome.
 func (o Outcome) String() string {
 	return [...]string{"unknown", "begun", "already", "unfit", "fenced"}[o]
 }
 
-// Directive is an order for one rank that fits the state in which it was seen.
+// Directive is an order for one rank, valid for the epoch and sequence number
+// at which the rank was observed.
 type Directive struct {
 	Rank            int
 	Epoch, Sequence uint64
 	Order           Order
 }
 
-// Apply changes a state as an order does that was answered as done. It reports
-// false for orders whose effect takes time or isn't known.
+// Apply updates s with the effect of an order that was acknowledged as
+// executed. It returns false, and leaves s as it is, for orders whose effect
+// takes time or is not known.
 func Apply(s *State, o Order) bool {
 	switch o := o.(type) {
 	case Arm:
