--- a/internal/rank/codec_map.go
+++ b/internal/rank/codec_map.go
@@ -9,23 +9,22 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// mapProto returns a map as it goes over the wire. Layers that have the same
-// experts in the same slots as those of base are sent without them; base may be
-// nil.
-func mapProto(m, base *expertmap.Map) *rankpb.Map {
+// mapToProto returns the wire form of a map. Layers that have the same experts
+// in the same slots as those of base are sent without them. base may be nil.
+func mapToProto(m, base *expertmap.Map) *rankpb.Map {
 	p := &rankpb.Map{Version: m.Version()}
 	if base != nil {
-		p.Base = refProto(naming.RefOf(base))
+		p.Base = refToProto(naming.RefOf(base))
 	}
 	for i := range m.Layers() {
 		l := m.Layer(i)
 		same := base != nil && i < base.Layers() && l.SamePlacement(base.Layer(i))
-		p.Layers = append(p.Layers, layerProto(l, same))
+		p.Layers = append(p.Layers, layerToProto(l, same))
 	}
 	return p
 }
 
-func layerProto(l *expertmap.Layer, same bool) *rankpb.Layer {
+func layerToProto(l *expertmap.Layer, same bool) *rankpb.Layer {
 	shape := l.Shape()
 	p := &rankpb.Layer{
 		Ranks: uint32(shape.Ranks), Slots: uint32(shape.Slots), Experts: uint32(shape.Experts),
@@ -39,19 +38,20 @@
 	return p
 }
 
-// maxSide bounds the sizes of a layer that a peer may send, so that a broken
-// message can't ask for unbounded memory.
-const maxSide = 1 << 14
+// maxLayerDimension limits each dimension of a layer received from a peer, so
+// that a malformed message cannot cause an unbounded allocation.
+const maxLayerDimension = 1 << 14
 
-// mapFrom reads a map; base is the map that it names as its base, or nil.
-func mapFrom(p *rankpb.Map, base *expertmap.Map) (*expertmap.Map, error) {
+// mapFromProto decodes a map. base is the map that p refers to as its base, or
+// nil.
+func mapFromProto(p *rankpb.Map, base *expertmap.Map) (*expertmap.Map, error) {
 	layers := make([]*expertmap.Layer, 0, len(p.GetLayers()))
 	for i, l := range p.GetLayers() {
-		var like *expertmap.Layer
+		var baseLayer *expertmap.Layer
 		if base != nil && i < base.Layers() {
-			like = base.Layer(i)
+			baseLayer = base.Layer(i)
 		}
-		layer, err := layerFrom(l, like)
+		layer, err := layerFromProto(l, baseLayer)
 		if err != nil {
 			return nil, err
 		}
@@ -64,10 +64,10 @@
 	return m, nil
 }
 
-func layerFrom(p *rankpb.Layer, like *expertmap.Layer) (*expertmap.Layer, error) {
+func layerFromProto(p *rankpb.Layer, base *expertmap.Layer) (*expertmap.Layer, error) {
 	shape := expertmap.Shape{Ranks: int(p.GetRanks()), Slots: int(p.GetSlots()), Experts: int(p.GetExperts())}
-	if max(shape.Ranks, shape.Slots, shape.Experts) > maxSide {
-		return nil, result.New(result.MalformedMsg, "layer sizes")
+	if max(shape.Ranks, shape.Slots, shape.Experts) > maxLayerDimension {
+		return nil, result.New(result.MalformedMsg, "layer dimension exceeds the limit")
 	}
 	slots := make([]expertmap.Slot, len(p.GetShare()))
 	for i, share := range p.GetShare() {
@@ -78,12 +78,12 @@
 		for i, e := range p.GetExpert() {
 			slots[i].Expert = int(e) - 1
 		}
-	case len(p.GetExpert()) == 0 && like != nil && like.Shape() == shape && len(like.Slots()) == len(slots):
-		for i, s := range like.Slots() {
+	case len(p.GetExpert()) == 0 && base != nil && base.Shape() == shape && len(base.Slots()) == len(slots):
+		for i, s := range base.Slots() {
 			slots[i].Expert = s.Expert
 		}
 	default:
-		return nil, result.New(result.MalformedMsg, "a layer without its experts")
+		return nil, result.New(result.MalformedMsg, "layer has neither experts nor a matching base")
 	}
 	l, err := expertmap.NewLayer(shape, slots)
 	if err != nil {
@@ -92,6 +92,6 @@
 	return l, nil
 }
 
-// MapBytes returns the size of a map as it goes over the wire to a member that
-// has the map base, or nil for one that has none.
-func MapBytes(m, base *expertmap.Map) int { return proto.Size(mapProto(m, base)) }
+// MapBytes returns the size in bytes of the wire form of m for a member that
+// has the map base, or for one that has none if base is nil.
+func MapBytes(m, base *expertmap.Map) int { return proto.Size(mapToProto(m, base)) }
--- a/internal/rank/codec_order.go
+++ b/internal/rank/codec_order.go
@@ -7,9 +7,10 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// orderProto returns an order as it goes over the wire. A map to stage is named
-// only; the member fetches it from the members in from.
-func orderProto(group string, o naming.Order, from []uint32) *rankpb.GiveRequest {
+// orderToProto returns the wire form of an order. It contains only the
+// reference of a map to stage; the member fetches the map from the members
+// listed in from.
+func orderToProto(group string, o naming.Order, from []uint32) *rankpb.GiveRequest {
 	p := &rankpb.GiveRequest{Group: group}
 	switch o := o.(type) {
 	case naming.Query:
@@ -17,22 +18,22 @@
 		p.Order = &rankpb.GiveRequest_Query{Query: &rankpb.Query{}}
 	case naming.Stage:
 		p.Token, p.Incarnation = o.Token, o.Incarnation
-		p.Order = &rankpb.GiveRequest_Stage{Stage: &rankpb.Stage{Map: refProto(naming.RefOf(o.Map)), From: from}}
+		p.Order = &rankpb.GiveRequest_Stage{Stage: &rankpb.Stage{Map: refToProto(naming.RefOf(o.Map)), From: from}}
 	case naming.Hold:
 		p.Token, p.Incarnation = o.Token, o.Incarnation
-		p.Order = &rankpb.GiveRequest_Hold{Hold: &rankpb.Hold{Name: nameProto(o.Name), View: o.View}}
+		p.Order = &rankpb.GiveRequest_Hold{Hold: &rankpb.Hold{Name: nameToProto(o.Name), View: o.View}}
 	case naming.Release:
 		p.Token, p.Incarnation = o.Token, o.Incarnation
-		p.Order = &rankpb.GiveRequest_Release{Release: &rankpb.Release{Name: nameProto(o.Name), View: o.View}}
+		p.Order = &rankpb.GiveRequest_Release{Release: &rankpb.Release{Name: nameToProto(o.Name), View: o.View}}
 	case naming.Abandon:
 		p.Token, p.Incarnation = o.Token, o.Incarnation
-		p.Order = &rankpb.GiveRequest_Abandon{Abandon: &rankpb.Abandon{Name: nameProto(o.Name)}}
+		p.Order = &rankpb.GiveRequest_Abandon{Abandon: &rankpb.Abandon{Name: nameToProto(o.Name)}}
 	}
 	return p
 }
 
-// orderFrom reads an order; staged is the map of a Stage.
-func orderFrom(p *rankpb.GiveRequest, staged *expertmap.Map) (naming.Order, error) {
+// orderFromProto decodes an order. staged is the map of a Stage order.
+func orderFromProto(p *rankpb.GiveRequest, staged *expertmap.Map) (naming.Order, error) {
 	head := naming.Head{Token: p.GetToken(), Incarnation: p.GetIncarnation()}
 	switch o := p.GetOrder().(type) {
 	case *rankpb.GiveRequest_Query:
@@ -40,11 +41,11 @@
 	case *rankpb.GiveRequest_Stage:
 		return naming.Stage{Head: head, Map: staged}, nil
 	case *rankpb.GiveRequest_Hold:
-		return naming.Hold{Head: head, Name: nameFrom(o.Hold.GetName()), View: o.Hold.GetView()}, nil
+		return naming.Hold{Head: head, Name: nameFromProto(o.Hold.GetName()), View: o.Hold.GetView()}, nil
 	case *rankpb.GiveRequest_Release:
-		return naming.Release{Head: head, Name: nameFrom(o.Release.GetName()), View: o.Release.GetView()}, nil
+		return naming.Release{Head: head, Name: nameFromProto(o.Release.GetName()), View: o.Release.GetView()}, nil
 	case *rankpb.GiveRequest_Abandon:
-		return naming.Abandon{Head: head, Name: nameFrom(o.Abandon.GetName())}, nil
+		return naming.Abandon{Head: head, Name: nameFromProto(o.Abandon.GetName())}, nil
 	default:
 		return nil, result.Newf(result.MalformedMsg, "order %T", o)
 	}
--- a/internal/rank/codec_test.go
+++ b/internal/rank/codec_test.go
@@ -7,9 +7,9 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/rank/naming"
 )
 
-// bigMap returns a map of 58 layers for 128 ranks. Each layer is made for a load
-// in which another expert is the most popular.
-func bigMap(tb testing.TB, version uint64) *expertmap.Map {
+// largeMap returns a map of 58 layers for 128 ranks. Each layer is solved for a
+// load with a different most popular expert.
+func largeMap(tb testing.TB, version uint64) *expertmap.Map {
 	tb.Helper()
 	layers := make([]*expertmap.Layer, 58)
 	for i := range layers {
@@ -30,9 +30,9 @@
 	return m
 }
 
-// moved returns a map with new shares everywhere and another placement in its
-// first layer.
-func moved(t *testing.T, m *expertmap.Map) *expertmap.Map {
+// withMovedReplicas returns a map with new shares in all layers and a new
+// placement in the first.
+func withMovedReplicas(t *testing.T, m *expertmap.Map) *expertmap.Map {
 	t.Helper()
 	load := make([]float64, 128)
 	for e := range load {
@@ -57,15 +57,15 @@
 	return next
 }
 
-func TestMapsTravelWholeOrAsChanges(t *testing.T) {
-	base := bigMap(t, 1<<40)
-	next := moved(t, base)
+func TestMapRoundTripWholeOrDelta(t *testing.T) {
+	base := largeMap(t, 1<<40)
+	next := withMovedReplicas(t, base)
 	for _, c := range []struct {
 		name string
 		base *expertmap.Map
 	}{{"whole", nil}, {"changes", base}} {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := mapFrom(mapProto(next, c.base), c.base)
+			got, err := mapFromProto(mapToProto(next, c.base), c.base)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -74,18 +74,18 @@
 			}
 		})
 	}
-	if _, err := mapFrom(mapProto(next, base), nil); err == nil {
-		t.Error("read a map whose base is not there")
+	if _, err := mapFromProto(mapToProto(next, base), nil); err == nil {
+		t.Error("decoded a map without its base")
 	}
 	if whole, changes := MapBytes(next, nil), MapBytes(next, base); changes*4 > whole*3 {
 		t.Errorf("changes are %d bytes of %d", changes, whole)
 	}
 }
 
-// BenchmarkMapBytes reports the sizes of a map and of its changes, of a state and
-// of an order.
+// BenchmarkMapBytes reports the size in bytes of a map and of the changes to
+// it.
 func BenchmarkMapBytes(b *testing.B) {
-	m := bigMap(b, 1<<40)
+	m := largeMap(b, 1<<40)
 	for b.Loop() {
 		b.ReportMetric(float64(MapBytes(m, nil)), "bytes/map")
 		b.ReportMetric(float64(MapBytes(m.WithVersion(1<<40+1), m)), "bytes/changes")
--- a/internal/rank/kvlease.go
+++ b/internal/rank/kvlease.go
@@ -12,7 +12,7 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/rank/naming"
 )
 
-// KV is what a KVLease needs of the platform's key-value service.
+// KV is the part of the platform's key-value service that a KVLease uses.
 type KV interface {
 	Get(ctx context.Context, key string) (platform.RangeReply, error)
 	Txn(ctx context.Context, t platform.Txn) (platform.TxnReply, error)
@@ -21,20 +21,22 @@
 	Revoke(ctx context.Context, id platform.LeaseID) error
 }
 
-// KVLease is a Lease in the platform's key-value service. Set the fields before
-// the first call. The lease is a key attached to a lease of the service, and
-// its fencing token the revision at which the key was written, which grows with
-// each write to the service. The record is a second key without a lease.
+// KVLease implements Lease on the platform's key-value service. Set the fields
+// before the first call. The lease is a key attached to a lease of the service.
+// Its fencing token is the revision at which the key was written, which
+// increases with each write to the service. The record is a second key without
+// a lease.
 type KVLease struct {
 	KV KV
-	// Prefix begins the lease's keys; it may be "".
+	// Prefix is prepended to the keys; it may be empty.
 	Prefix string
-	// Group is the group's name, Holder this agent's, unique to its run.
+	// Group is the name of the group. Holder is the name of this agent, unique
+	// to its run.
 	Group, Holder string
 	// TTL is how long the lease lasts without being renewed.
 	TTL time.Duration
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	attempts int
 	id       platform.LeaseID
 	token    uint64
@@ -43,14 +45,15 @@
 const (
 	groupPrefix = "rank/"
 	leaseSuffix = "/lease"
-	// attemptMark stands between a holder and the number of its attempt.
-	attemptMark = "/"
+	// attemptSeparator separates the holder from the number of its attempt.
+	attemptSeparator = "/"
 )
 
 func (l *KVLease) leaseKey() string  { return l.Prefix + groupPrefix + l.Group + leaseSuffix }
 func (l *KVLease) recordKey() string { return l.Prefix + groupPrefix + l.Group + "/record" }
 
-// Held reads the lease's key, if somebody holds the lease.
+// Held returns the key-value pair of the lease, and false if nobody holds the
+// lease.
 func (l *KVLease) Held(ctx context.Context) (platform.KeyValue, bool, error) {
 	reply, err := l.KV.Get(ctx, l.leaseKey())
 	if err != nil {
@@ -60,8 +63,8 @@
 	return kv, ok, nil
 }
 
-// Acquire implements Lease. A write whose answer is lost is settled by reading
-// who holds the lease, by an id of this attempt alone.
+// Acquire implements Lease. If the reply to the write is lost, it reads the
+// lease's key, whose value is unique to this attempt, to determine the holder.
 func (l *KVLease) Acquire(ctx context.Context, now time.Time) (uint64, time.Time, error) {
 	if _, held, err := l.Held(ctx); held || err != nil {
 		return 0, time.Time{}, cmp.Or(err, ErrLeaseHeld)
@@ -70,7 +73,7 @@
 	if err != nil {
 		return 0, time.Time{}, err
 	}
-	token, err := l.take(ctx, id)
+	token, err := l.putLeaseKey(ctx, id)
 	if err != nil {
 		return 0, time.Time{}, err
 	}
@@ -80,8 +83,8 @@
 	return token, now.Add(l.TTL), nil
 }
 
-func (l *KVLease) take(ctx context.Context, id platform.LeaseID) (uint64, error) {
-	attempt := l.attempt()
+func (l *KVLease) putLeaseKey(ctx context.Context, id platform.LeaseID) (uint64, error) {
+	attempt := l.newAttemptID()
 	reply, err := l.KV.Txn(ctx, platform.Txn{
 		If:   []platform.Compare{platform.Absent{Key: l.leaseKey()}},
 		Then: []platform.Op{platform.Put{Key: l.leaseKey(), Value: attempt, Lease: id}},
@@ -106,19 +109,19 @@
 	return uint64(kv.Revision()), nil
 }
 
-// attempt returns the value of the lease's key: the holder, and the number of
-// its attempt to take the lease.
-func (l *KVLease) attempt() []byte {
+// newAttemptID returns the value of the lease's key for a new attempt: the
+// holder and the number of the attempt.
+func (l *KVLease) newAttemptID() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.attempts++
-	return fmt.Appendf(nil, "%s%s%d", l.Holder, attemptMark, l.attempts)
+	return fmt.Appendf(nil, "%s%s%d", l.Holder, attemptSeparator, l.attempts)
 }
 
-// LeaseHolder returns the holder that the value of a lease's key names.
+// LeaseHolder returns the holder from the value of a lease's key.
 func LeaseHolder(value []byte) string {
 	s := string(value)
-	return s[:max(0, strings.LastIndex(s, attemptMark))]
+	return s[:max(0, strings.LastIndex(s, attemptSeparator))]
 }
 
 // Renew implements Lease.
@@ -136,7 +139,8 @@
 	return now.Add(ttl), nil
 }
 
-// Release ends the lease, so that another holder need not wait for its end.
+// Release revokes the lease, so that another holder need not wait until it
+// expires.
 func (l *KVLease) Release(ctx context.Context) error {
 	l.mu.Lock()
 	id := l.id
@@ -158,8 +162,8 @@
 	return r, kv.Revision(), err
 }
 
-// CAS implements Lease. The lease is a condition too, so that a holder whose
-// lease has lapsed writes nothing.
+// CAS implements Lease. The write is also conditional on the lease, so that a
+// holder whose lease has expired writes nothing.
 func (l *KVLease) CAS(ctx context.Context, revision int64, r naming.Record) error {
 	value, err := EncodeRecord(r)
 	if err != nil {
--- a/internal/rank/kvlease_test.go
+++ b/internal/rank/kvlease_test.go
@@ -14,11 +14,11 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/standin/kv"
 )
 
-func leases(t *testing.T, s *kv.Server) (a, b *rank.KVLease) {
+func newLeases(t *testing.T, s *kv.Server) (a, b *rank.KVLease) {
 	t.Helper()
-	background(t, s.Run)
+	runBackground(t, s.Run)
 	c := &platform.Client{Addrs: []string{s.Addr()}, Timeout: time.Second, Metrics: metrics.NewRegistry()}
-	background(t, c.Run)
+	runBackground(t, c.Run)
 	a = &rank.KVLease{KV: c, Group: "chat", Holder: "a", TTL: time.Minute}
 	b = &rank.KVLease{KV: c, Group: "chat", Holder: "b", TTL: time.Minute}
 	return a, b
@@ -31,13 +31,13 @@
 	}
 }
 
-// TestLapsedHolderWritesNothing: two agents would lead if the lease of a paused
-// one lapsed and it still wrote the record. The second takes the lease with a
-// greater token; the first can neither renew nor write, with the right revision
-// or an old one.
-func TestLapsedHolderWritesNothing(t *testing.T) {
+// TestExpiredHolderCannotWrite guards against two leaders at once: the lease of
+// a paused agent expires, and the agent still writes the record. The second
+// agent takes the lease with a greater token; the first can then neither renew
+// nor write, with the current revision or an old one.
+func TestExpiredHolderCannotWrite(t *testing.T) {
 	s := &kv.Server{}
-	a, b := leases(t, s)
+	a, b := newLeases(t, s)
 	ctx := t.Context()
 	first, _, err := a.Acquire(ctx, time.Now())
 	assertErrorIs(t, err, nil)
@@ -46,7 +46,7 @@
 	assertErrorIs(t, a.CAS(ctx, 0, naming.Record{Token: first}), nil)
 
 	s.LapseLeases(time.Hour)
-	second := await(ctx, t, b)
+	second := awaitAcquire(ctx, t, b)
 	if second <= first {
 		t.Errorf("token %d after %d", second, first)
 	}
@@ -62,35 +62,35 @@
 	}
 }
 
-func await(ctx context.Context, t *testing.T, l *rank.KVLease) uint64 {
+func awaitAcquire(ctx context.Context, t *testing.T, l *rank.KVLease) uint64 {
 	t.Helper()
-	for end := time.Now().Add(long); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if token, _, err := l.Acquire(ctx, time.Now()); err == nil {
 			return token
 		}
 	}
-	t.Fatal("the lease was not to be had")
+	t.Fatal("the lease could not be acquired")
 	return 0
 }
 
-// deafKV loses the answer of each transaction after it has taken effect.
-type deafKV struct{ rank.KV }
+// lostReplyKV loses the reply of each transaction after it has taken effect.
+type lostReplyKV struct{ rank.KV }
 
-func (k deafKV) Txn(ctx context.Context, x platform.Txn) (platform.TxnReply, error) {
+func (k lostReplyKV) Txn(ctx context.Context, x platform.Txn) (platform.TxnReply, error) {
 	if _, err := k.KV.Txn(ctx, x); err != nil {
 		return platform.TxnReply{}, err
 	}
 	return platform.TxnReply{}, platform.WriteError(context.DeadlineExceeded)
 }
 
-// TestLostAnswerOfAcquire: a group would be without a leader for the life of a
-// lease if the holder did not know of its own. The answer of the write that
-// takes the lease is lost; the holder finds out by reading, and so does an agent
-// that was beaten to it.
+// TestLostAnswerOfAcquire guards against a group without a leader for a whole
+// TTL because the holder does not know that it holds the lease. The reply to
+// the write that takes the lease is lost; the holder finds out by reading the
+// key, and so does an agent that finds the lease taken.
 func TestLostAnswerOfAcquire(t *testing.T) {
-	a, b := leases(t, &kv.Server{})
+	a, b := newLeases(t, &kv.Server{})
 	plain := a.KV
-	a.KV, b.KV = deafKV{plain}, deafKV{plain}
+	a.KV, b.KV = lostReplyKV{plain}, lostReplyKV{plain}
 	token, _, err := a.Acquire(t.Context(), time.Now())
 	assertErrorIs(t, err, nil)
 	_, _, err = b.Acquire(t.Context(), time.Now())
@@ -99,7 +99,7 @@
 	assertErrorIs(t, a.CAS(t.Context(), 0, naming.Record{Token: token}), nil)
 }
 
-func TestRecordKeepsItsName(t *testing.T) {
+func TestRecordRoundTrip(t *testing.T) {
 	want := naming.Record{
 		Token: 7,
 		Name:  naming.Name{Token: 6, Step: 1 << 40, Map: naming.Ref{Version: 6 << 20, Digest: 1<<64 - 1}},
@@ -112,6 +112,6 @@
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if _, err := rank.DecodeRecord([]byte{0xff}); err == nil {
-		t.Error("read a record from nothing")
+		t.Error("decoded an invalid record")
 	}
 }
--- a/internal/rank/loops.go
+++ b/internal/rank/loops.go
@@ -9,42 +9,42 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/rank/naming"
 )
 
-// runEngine keeps the engine at what the member wants.
+// runEngine keeps the engine in the state that the member requires.
 func (r *Runner) runEngine(ctx context.Context) error {
 	for {
-		r.tickEngine(ctx)
-		r.observe()
+		r.syncEngine(ctx)
+		r.reportChanges()
 		if !pause.For(ctx, r.Tick) {
 			return nil
 		}
 	}
 }
 
-func (r *Runner) tickEngine(ctx context.Context) {
-	call, cancel := context.WithTimeout(ctx, r.CallTimeout)
+func (r *Runner) syncEngine(ctx context.Context) {
+	callCtx, cancel := context.WithTimeout(ctx, r.CallTimeout)
 	defer cancel()
-	e, err := r.Engine.State(call)
+	e, err := r.Engine.State(callCtx)
 	if err != nil {
-		r.counts.failed.Inc(1)
+		r.stats.engineFailures.Inc(1)
 		return
 	}
 	r.mu.Lock()
 	orders := r.member.Tick(e)
 	s := r.member.State()
-	tell := r.changes()
+	report := r.recordChanges()
 	r.mu.Unlock()
-	tell()
-	r.counts.begun.Update(int64(s.Begun))
-	r.counts.granted.Update(int64(s.Granted))
+	report()
+	r.stats.begunStep.Update(int64(s.Begun))
+	r.stats.grantedStep.Update(int64(s.Granted))
 	for _, o := range orders {
-		if err := r.orderEngine(call, o, s.Fence); err != nil {
-			r.counts.failed.Inc(1)
+		if err := r.sendEngineOrder(callCtx, o, s.Fence); err != nil {
+			r.stats.engineFailures.Inc(1)
 			return
 		}
 	}
 }
 
-func (r *Runner) orderEngine(ctx context.Context, o naming.EngineOrder, fencing uint64) error {
+func (r *Runner) sendEngineOrder(ctx context.Context, o naming.EngineOrder, fencing uint64) error {
 	switch o := o.(type) {
 	case naming.EngineStage:
 		err := r.Engine.Stage(ctx, o.Map, fencing)
@@ -61,15 +61,15 @@
 	}
 }
 
-// runJoin asks the peers while the member has not joined.
+// runJoin sends join requests to the peers while the member has not joined.
 func (r *Runner) runJoin(ctx context.Context) error {
 	for {
 		r.mu.Lock()
-		j, ask := r.member.Joins()
+		join, needed := r.member.Joins()
 		r.mu.Unlock()
-		if ask {
-			r.askPeers(ctx, j)
-			r.observe()
+		if needed {
+			r.joinPeers(ctx, join)
+			r.reportChanges()
 		}
 		if !pause.For(ctx, r.Resend) {
 			return nil
@@ -77,27 +77,27 @@
 	}
 }
 
-func (r *Runner) askPeers(ctx context.Context, j naming.Join) {
-	call, cancel := context.WithTimeout(ctx, r.CallTimeout)
+func (r *Runner) joinPeers(ctx context.Context, j naming.Join) {
+	callCtx, cancel := context.WithTimeout(ctx, r.CallTimeout)
 	defer cancel()
 	done := make(chan error, len(r.Peers))
-	asked := 0
+	requests := 0
 	for i := range r.Peers {
 		if i == r.Index {
 			continue
 		}
-		asked++
-		go func() { done <- r.joinAt(call, i, j) }()
+		requests++
+		go func() { done <- r.joinPeer(callCtx, i, j) }()
 	}
-	for range asked {
+	for range requests {
 		if err := <-done; err != nil {
-			r.counts.peerFailed.Inc(1)
+			r.stats.peerFailures.Inc(1)
 		}
 	}
 }
 
-func (r *Runner) joinAt(ctx context.Context, of int, j naming.Join) error {
-	a, err := r.askJoin(ctx, of, j)
+func (r *Runner) joinPeer(ctx context.Context, peer int, j naming.Join) error {
+	a, err := r.requestJoin(ctx, peer, j)
 	if err != nil {
 		return err
 	}
@@ -107,9 +107,10 @@
 	return nil
 }
 
-// silence returns how long this agent waits for a leader before it tries for
-// the lease. Agents wait one after the other, so that a group whose leader is
-// gone costs the platform one call each LeaseTime and not one for each agent.
-func (r *Runner) silence() time.Duration {
+// electionTimeout returns how long this agent waits for a leader before it
+// tries to acquire the lease. The timeouts are staggered by index, so that a
+// group whose leader has failed costs the platform one call per LeaseTime
+// instead of one per agent.
+func (r *Runner) electionTimeout() time.Duration {
 	return r.LeaseTime + time.Duration(r.Index)*r.Resend
 }
--- a/internal/rank/peers.go
+++ b/internal/rank/peers.go
@@ -13,7 +13,8 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// dial sets up a connection to each peer. None is opened before the first call.
+// dial creates a client connection for each peer. Connections are opened on the
+// first call.
 func (r *Runner) dial() error {
 	connect := r.Connect
 	if connect == nil {
@@ -26,7 +27,7 @@
 		}
 		c, err := connect(addr)
 		if err != nil {
-			r.hangUp()
+			r.closeConns()
 			return eris.Wrapf(err, "peer %s", addr)
 		}
 		r.conns[i] = c
@@ -42,7 +43,7 @@
 	return grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(creds))
 }
 
-func (r *Runner) hangUp() {
+func (r *Runner) closeConns() {
 	for _, c := range r.conns {
 		if c != nil {
 			_ = c.Close()
@@ -50,88 +51,88 @@
 	}
 }
 
-func (r *Runner) peer(i int) (rankpb.RankClient, error) {
+func (r *Runner) peerClient(i int) (rankpb.RankClient, error) {
 	if i < 0 || i >= len(r.conns) || r.conns[i] == nil {
 		return nil, result.Newf(result.PeerUnknown, "member %d", i)
 	}
 	return rankpb.NewRankClient(r.conns[i]), nil
 }
 
-// order sends an order of this agent's leader to a member and returns the
-// member's state after it.
-func (r *Runner) order(ctx context.Context, to int, o naming.Order) (naming.State, error) {
-	p, err := r.peer(to)
+// sendOrder sends an order of the leader on this agent to a member and returns
+// the member's state after it.
+func (r *Runner) sendOrder(ctx context.Context, to int, o naming.Order) (naming.State, error) {
+	p, err := r.peerClient(to)
 	if err != nil {
 		return naming.State{}, err
 	}
-	reply, err := p.Give(ctx, orderProto(r.Group, o, r.source(to)))
+	reply, err := p.Give(ctx, orderToProto(r.Group, o, r.fetchSource(to)))
 	if err != nil {
-		return naming.State{}, eris.Wrapf(err, "order to member %d", to)
+		return naming.State{}, eris.Wrapf(err, "send order to member %d", to)
 	}
 	if reply.GetState() == nil {
 		return naming.State{}, result.New(result.Code(reply.GetCode()), reply.GetDetail())
 	}
-	return stateFrom(reply.GetState()), nil
+	return stateFromProto(reply.GetState()), nil
 }
 
-// fanOut is how many members fetch a map from one member. With two, a map of
-// 60 KB costs no agent more than twice its size, also in a group of 128, and
-// reaches the last one after seven hops.
-const fanOut = 2
+// fetchFanOut is how many members fetch a map from one member. With two, a map
+// of 60 KB costs no agent more than twice its size, even in a group of 128, and
+// reaches the last member after seven hops.
+const fetchFanOut = 2
 
-// source returns the member from which another one fetches maps: its parent in
-// a tree of all members whose root is this agent.
-func (r *Runner) source(to int) []uint32 {
+// fetchSource returns the number of the member from which another member, to,
+// fetches maps: its parent in a tree of all members whose root is this agent.
+func (r *Runner) fetchSource(to int) []uint32 {
 	n := len(r.Peers)
-	place := (to - r.Index + n) % n
-	if place == 0 {
+	position := (to - r.Index + n) % n
+	if position == 0 {
 		return nil
 	}
-	parent := (place - 1) / fanOut
+	parent := (position - 1) / fetchFanOut
 	return []uint32{uint32((parent + r.Index) % n)}
 }
 
-func (r *Runner) fetch(ctx context.Context, from int, ref naming.Ref) (*expertmap.Map, error) {
-	p, err := r.peer(from)
+func (r *Runner) fetchMap(ctx context.Context, from int, ref naming.Ref) (*expertmap.Map, error) {
+	p, err := r.peerClient(from)
 	if err != nil {
 		return nil, err
 	}
 	r.mu.Lock()
-	held := r.member.Needed()
+	known := r.member.Needed()
 	r.mu.Unlock()
-	ask := &rankpb.FetchRequest{Group: r.Group, Map: refProto(ref)}
-	for _, m := range held {
-		ask.Have = append(ask.Have, refProto(naming.RefOf(m)))
+	req := &rankpb.FetchRequest{Group: r.Group, Map: refToProto(ref)}
+	for _, m := range known {
+		req.Have = append(req.Have, refToProto(naming.RefOf(m)))
 	}
-	reply, err := p.Fetch(ctx, ask)
+	reply, err := p.Fetch(ctx, req)
 	if err != nil {
-		return nil, eris.Wrapf(err, "map from member %d", from)
+		return nil, eris.Wrapf(err, "fetch map from member %d", from)
 	}
 	if reply.GetCode() != 0 {
 		return nil, result.New(result.Code(reply.GetCode()), reply.GetDetail())
 	}
-	m, err := mapFrom(reply.GetMap(), baseOf(reply.GetMap(), held))
+	m, err := mapFromProto(reply.GetMap(), findBase(reply.GetMap(), known))
 	if err != nil {
 		return nil, err
 	}
 	if naming.RefOf(m) != ref {
-		return nil, result.Newf(result.MalformedMsg, "member %d sent another map", from)
+		return nil, result.Newf(result.MalformedMsg, "member %d sent a map that does not match the requested reference", from)
 	}
 	return m, nil
 }
 
-// baseOf returns the map that p names as its base, or nil.
-func baseOf(p *rankpb.Map, held []*expertmap.Map) *expertmap.Map {
-	for _, m := range held {
-		if p.GetBase() != nil && naming.RefOf(m) == refFrom(p.GetBase()) {
+// findBase returns the map that p refers to as its base, or nil.
+func findBase(p *rankpb.Map, known []*expertmap.Map) *expertmap.Map {
+	for _, m := range known {
+		if p.GetBase() != nil && naming.RefOf(m) == refFromProto(p.GetBase()) {
 			return m
 		}
 	}
 	return nil
 }
 
-func (r *Runner) askJoin(ctx context.Context, of int, j naming.Join) (naming.Joining, error) {
-	p, err := r.peer(of)
+func (r *Runner) requestJoin(ctx context.Context, to int, j naming.Join) (naming.Joining, error) {
+	p, err := r.peerClient(to)
 	if err != nil {
 		return naming.Joining{}, err
 	}
@@ -139,14 +140,14 @@
 		Group: r.Group, Member: uint32(j.Member), Incarnation: j.Incarnation,
 	})
 	if err != nil {
-		return naming.Joining{}, eris.Wrapf(err, "join at member %d", of)
+		return naming.Joining{}, eris.Wrapf(err, "request join from member %d", to)
 	}
 	if reply.GetCode() != 0 {
 		return naming.Joining{}, result.New(result.Code(reply.GetCode()), reply.GetDetail())
 	}
-	a := naming.Joining{To: reply.GetTo(), Noted: reply.GetNoted(), State: stateFrom(reply.GetState())}
+	a := naming.Joining{To: reply.GetTo(), Noted: reply.GetNoted(), State: stateFromProto(reply.GetState())}
 	for _, p := range reply.GetMaps() {
-		m, err := mapFrom(p, nil)
+		m, err := mapFromProto(p, nil)
 		if err != nil {
 			return naming.Joining{}, err
 		}
@@ -155,24 +156,24 @@
 	return a, nil
 }
 
-func (r *Runner) count(ctx context.Context, of int) ([]Count, error) {
-	if of == r.Index {
+func (r *Runner) fetchCounts(ctx context.Context, from int) ([]Count, error) {
+	if from == r.Index {
 		return r.Engine.Counts(ctx)
 	}
-	p, err := r.peer(of)
+	p, err := r.peerClient(from)
 	if err != nil {
 		return nil, err
 	}
 	reply, err := p.Count(ctx, &rankpb.CountRequest{Group: r.Group})
 	if err != nil {
-		return nil, eris.Wrapf(err, "counts of member %d", of)
+		return nil, eris.Wrapf(err, "fetch counts of member %d", from)
 	}
 	if reply.GetCode() != 0 {
 		return nil, result.New(result.Code(reply.GetCode()), reply.GetDetail())
 	}
 	layers, experts := reply.GetLayers(), reply.GetExperts()
 	if len(layers) != len(reply.GetCounts()) || len(experts) != len(reply.GetCounts()) {
-		return nil, result.New(result.MalformedMsg, "counts of different lengths")
+		return nil, result.New(result.MalformedMsg, "layers, experts and counts differ in length")
 	}
 	counts := make([]Count, len(layers))
 	for i := range counts {
--- a/internal/rank/runner.go
+++ b/internal/rank/runner.go
@@ -19,106 +19,116 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Event is a change of state for the time line.
+// Event is a state change for the time line.
 type Event struct {
 	// Kind is one of the Event constants.
 	Kind string
-	// Number is the fencing token, the map's version or the step, as the kind
-	// says.
+	// Number is the fencing token, the version of the map or the step,
+	// depending on Kind.
 	Number uint64
-	// Detail is for the reader.
+	// Detail is a description for operators.
 	Detail string
 }
 
 // The kinds of events.
 const (
-	// EventLead says that the agent leads the group; Number is its token.
+	// EventLead means that the agent has begun to lead the group; Number is its
+	// token.
 	EventLead = "rankLead"
-	// EventDeposed says that it no longer does.
+	// EventDeposed means that the agent no longer leads the group; Number is
+	// its token.
 	EventDeposed = "rankDeposed"
-	// EventInForce says that a map got in force; Number is its version.
+	// EventInForce means that a map has been put in force; Number is its
+	// version.
 	EventInForce = "rankMapInForce"
-	// EventStaged says that the engine took a map to keep ready; Number is its
+	// EventStaged means that the engine has staged a map; Number is its
 	// version.
 	EventStaged = "rankMapStaged"
-	// EventJoined says that the member has joined its group.
+	// EventJoined means that the member has joined its group; Number is the
+	// version of the map in force.
 	EventJoined = "rankJoined"
-	// EventLost says that the member lost its maps and waits.
+	// EventLost means that the member has lost its maps and waits; Number is
+	// the version of the map that was in force.
 	EventLost = "rankLost"
 )
 
-// Runner is an agent's part in a group of ranks. Set the fields, register it
-// with the agent's gRPC server by Register, then Run it. Orders that come before
-// Run are answered; the ranks get no order before it.
-//
-// Locks: mu guards the member's and the leader's state machines. It is taken for
-// single calls of them and for nothing that waits; no other lock is taken under
+// Runner is an agent's participation in a group of ranks. Set the fields,
+// register it with the agent's gRPC server by Register, then call Run. Orders
+// that arrive before Run are answered, but the ranks receive no order before
 // it.
+//
+// The mutex mu guards the state machines of the member and the leader. It is
+// held only for single calls of them and never while blocking; no other lock is
+// acquired while it is held.
 type Runner struct {
-	// Group is the group's name.
+	// Group is the name of the group.
 	Group string
-	// Index is the agent's place in Peers, which lists the gRPC addresses of
-	// all agents of the group in the same order everywhere.
+	// Index is the agent's index in Peers, which lists the gRPC addresses of
+	// all agents of the group in the same order on each agent.
 	Index int
 	Peers []string
 	// Incarnation must be greater than that of the agent's earlier runs, such
 	// as its start time in nanoseconds.
 	Incarnation uint64
-	// Engine is the way to the endpoint's ranks.
+	// Engine controls the endpoint's ranks.
 	Engine Engine
-	// Lease is the group's lease and record.
+	// Lease provides the group's lease and record.
 	Lease Lease
-	// Initial is what the group begins with when no rank has a map.
+	// Initial is the first map of the group, used when no rank has a map.
 	Initial *expertmap.Map
-	// Limits bounds the plans, PlanEvery is the time between two of them. A
-	// PlanEvery of zero never rebalances.
+	// Limits limits the cost of the plans. PlanEvery is the time between two
+	// plans; zero disables rebalancing.
 	Limits    expertmap.Limits
 	PlanEvery time.Duration
-	// Memory is how far back the estimate of popularity reaches.
+	// Memory is the time span of the popularity estimate.
 	Memory time.Duration
-	// Tick is the time between two looks at the engine. Lookahead is how many
-	// steps the ranks may run without asking; they must last for some ticks.
+	// Tick is the interval at which the engine's state is read. Lookahead is
+	// how many steps the ranks may run without a further grant; these must last
+	// for several ticks.
 	Tick      time.Duration
 	Lookahead uint64
 	// Resend, Refresh and HoldTime are those of naming.Leader.
 	Resend, Refresh, HoldTime time.Duration
-	// LeaseTime is how long the lease lasts; it is renewed each third of it.
-	// Another agent tries for it after it has heard no leader for LeaseTime,
-	// and a Resend more for each place in Peers.
+	// LeaseTime is the duration of the lease, which is renewed after each third
+	// of it. Another agent tries to acquire the lease after it has received no
+	// order of a leader for LeaseTime plus Index times Resend.
 	LeaseTime time.Duration
-	// CallTimeout bounds each call to a peer, the engine or the platform.
+	// CallTimeout is the timeout of each call to a peer, the engine or the
+	// platform.
 	CallTimeout time.Duration
 	// Drain is how long after a start orders of the agent's earlier run may
 	// still reach the engine.
 	Drain time.Duration
-	// Credentials is the TLS set-up towards peers; nil means plain text.
+	// Credentials is the TLS configuration for connections to peers; nil means
+	// plain text.
 	Credentials credentials.TransportCredentials
-	// Connect returns a connection to a peer, which the Runner closes at its
-	// end; nil means one over TCP with Credentials.
+	// Connect returns a connection to a peer, which the Runner closes when it
+	// ends; nil means a connection over TCP with Credentials.
 	Connect func(addr string) (*grpc.ClientConn, error)
 	// Metrics receives the counters; nil means the default registry.
 	Metrics metrics.Registry
-	// Events receives changes of state; nil drops them. It must not block.
+	// Events receives state changes; nil discards them. It must not block.
 	Events func(Event)
-	// Log receives a line for each change of state; nil means the standard
-	// logger.
+	// Log receives a line for each state change; nil means the standard logger.
 	Log logrus.FieldLogger
 
-	once   sync.Once
-	leads  atomic.Bool
-	conns  []*grpc.ClientConn
-	counts counts
+	once    sync.Once
+	leading atomic.Bool
+	conns   []*grpc.ClientConn
+	stats   runnerMetrics
 
 	mu     sync.Mutex
 	member *naming.Member
-	// heard is when an order of a leader came last; joined is what the member
-	// said last, to tell changes.
-	heard  time.Time
-	joined bool
-	force  naming.Entry
+	// lastOrderAt is the start of the election timeout: when the last order of
+	// a leader arrived, the runner started or acquiring the lease failed.
+	// joined and inForce are the last known state of the member, to detect
+	// changes.
+	lastOrderAt time.Time
+	joined      bool
+	inForce     naming.Entry
 }
 
-// Register makes the runner answer the peers on s.
+// Register registers the runner's gRPC service for the peers on s.
 func (r *Runner) Register(s grpc.ServiceRegistrar) {
 	r.init()
 	rankpb.RegisterRankServer(s, &service{runner: r})
@@ -126,7 +136,7 @@
 
 func (r *Runner) init() {
 	r.once.Do(func() {
-		r.counts = newCounts(r.Metrics)
+		r.stats = newRunnerMetrics(r.Metrics)
 		if r.Log == nil {
 			r.Log = logrus.StandardLogger()
 		}
@@ -136,33 +146,34 @@
 	})
 }
 
-func (r *Runner) check() error {
+func (r *Runner) validate() error {
 	switch {
 	case r.Group == "":
 		return result.New(result.MissingSetting, "group name")
 	case r.Index < 0 || r.Index >= len(r.Peers):
-		return result.Newf(result.BadSetting, "place %d among %d agents", r.Index, len(r.Peers))
+		return result.Newf(result.BadSetting, "index %d is out of range for %d agents", r.Index, len(r.Peers))
 	case r.Engine == nil || r.Lease == nil || r.Initial == nil:
-		return result.New(result.MissingSetting, "engine, lease or first map of the group")
+		return result.New(result.MissingSetting, "engine, lease or initial map of the group")
 	case r.Incarnation == 0 || r.Lookahead == 0:
 		return result.New(result.BadSetting, "incarnation and lookahead must be positive")
 	case min(r.Tick, r.Resend, r.Refresh, r.HoldTime, r.LeaseTime, r.CallTimeout) <= 0:
-		return result.New(result.BadSetting, "the times of a group must be positive")
+		return result.New(result.BadSetting, "tick, resend, refresh, hold, lease and call times must be positive")
 	}
 	return nil
 }
 
-// Run takes part in the group until ctx ends. It returns nil then, and an error
-// at once when the fields can't be used. The ranks go on up to their bound.
+// Run takes part in the group until ctx ends and then returns nil. It returns
+// an error at once when the fields are invalid or a connection to a peer cannot
+// be created. The ranks continue up to the last step granted to them.
 func (r *Runner) Run(ctx context.Context) error {
-	if err := r.check(); err != nil {
+	if err := r.validate(); err != nil {
 		return err
 	}
 	r.init()
 	if err := r.dial(); err != nil {
 		return err
 	}
-	defer r.hangUp()
+	defer r.closeConns()
 	if !pause.For(ctx, r.Drain) {
 		return nil
 	}
@@ -181,20 +192,20 @@
 }
 
 // Leads reports whether this agent leads the group.
-func (r *Runner) Leads() bool { return r.leads.Load() }
+func (r *Runner) Leads() bool { return r.leading.Load() }
 
-// InForce returns the version of the newest map that the member was told to
-// use, or zero while it has not joined its group.
+// InForce returns the version of the newest map in the member's schedule, or
+// zero while the member has not joined its group.
 func (r *Runner) InForce() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.joined {
 		return 0
 	}
-	return r.force.Map.Version
+	return r.inForce.Map.Version
 }
 
-// emit tells the log and the time line of a change of state.
+// emit logs a state change and passes it to Events.
 func (r *Runner) emit(e Event) {
 	r.Log.WithFields(logrus.Fields{"group": r.Group, "number": e.Number}).Info(e.Kind + " " + e.Detail)
 	if r.Events != nil {
@@ -202,45 +213,47 @@
 	}
 }
 
-// observe tells of changes of the member's state. mu must not be held.
-func (r *Runner) observe() {
+// reportChanges reports changes of the member's state. mu must not be held.
+func (r *Runner) reportChanges() {
 	r.mu.Lock()
-	tell := r.changes()
+	report := r.recordChanges()
 	r.mu.Unlock()
-	tell()
+	report()
 }
 
-// changes notes what has changed of the member's state since the last call, and
-// returns what tells of it, to be called without mu. It is called with mu held.
+// recordChanges records the changes of the member's state since the last call
+// and returns a function that reports them, to be called without mu. mu must be
+// held.
 //
-// Guard: what changes the member's state and what looks at it must not be apart. An
-// engine that restarts loses its maps; were the loss looked for only after the
-// engine's next orders, the member may have joined again from its peers by then, and
-// neither log, counter nor time line would tell of the loss.
-func (r *Runner) changes() func() {
+// It has to be called under the same lock as the change itself. An engine that
+// restarts loses its maps; if the loss were looked for only after the engine's
+// next orders, the member might have joined again through its peers by then,
+// and neither log, counter nor time line would show the loss.
+func (r *Runner) recordChanges() func() {
 	s := r.member.State()
-	joined, force := r.joined, r.force
+	wasJoined, previous := r.joined, r.inForce
 	r.joined = s.Joined
 	if n := len(s.Schedule); n > 0 {
-		r.force = s.Schedule[n-1]
+		r.inForce = s.Schedule[n-1]
 	}
-	now := r.force
-	return func() { r.tell(s, joined, force, now) }
+	current := r.inForce
+	return func() { r.emitChanges(s, wasJoined, previous, current) }
 }
 
-// tell tells of a member's state that was joined and at force before, and is at now.
-func (r *Runner) tell(s naming.State, joined bool, force, now naming.Entry) {
-	if s.Joined && !joined {
-		r.counts.joins.Inc(1)
-		r.emit(Event{Kind: EventJoined, Number: now.Map.Version})
+// emitChanges reports the difference between the member's previous state, given
+// by wasJoined and previous, and its current state, given by s and current.
+func (r *Runner) emitChanges(s naming.State, wasJoined bool, previous, current naming.Entry) {
+	if s.Joined && !wasJoined {
+		r.stats.joins.Inc(1)
+		r.emit(Event{Kind: EventJoined, Number: current.Map.Version})
 	}
-	if !s.Joined && joined {
-		r.counts.losses.Inc(1)
-		r.emit(Event{Kind: EventLost, Number: force.Map.Version})
+	if !s.Joined && wasJoined {
+		r.stats.losses.Inc(1)
+		r.emit(Event{Kind: EventLost, Number: previous.Map.Version})
 	}
-	if s.Joined && now != force {
-		r.counts.maps.Inc(1)
-		r.counts.version.Update(int64(now.Map.Version))
-		r.emit(Event{Kind: EventInForce, Number: now.Map.Version})
+	if s.Joined && current != previous {
+		r.stats.mapsInForce.Inc(1)
+		r.stats.mapVersion.Update(int64(current.Map.Version))
+		r.emit(Event{Kind: EventInForce, Number: current.Map.Version})
 	}
 }
--- a/internal/rank/runner_test.go
+++ b/internal/rank/runner_test.go
@@ -22,11 +22,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// long is a time limit that no test reaches unless it fails.
-const long = 60 * time.Second
+// testTimeout is a limit that only a failing test reaches.
+const testTimeout = 60 * time.Second
 
-// fleet is a group of three agents over loopback, with the platform's stand-in.
-type fleet struct {
+// testGroup is a group of three agents over loopback with a simulated platform.
+type testGroup struct {
 	t       *testing.T
 	kv      *kv.Server
 	group   *ranks.Group
@@ -35,7 +35,7 @@
 	metrics []metrics.Registry
 }
 
-func background(t *testing.T, f func(context.Context) error) (stop func()) {
+func runBackground(t *testing.T, f func(context.Context) error) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -55,28 +55,28 @@
 	return stop
 }
 
-func newFleet(t *testing.T) *fleet {
+func newTestGroup(t *testing.T) *testGroup {
 	t.Helper()
-	f := &fleet{t: t, kv: &kv.Server{}, group: &ranks.Group{Endpoints: 3, StepTime: 2 * time.Millisecond}}
-	background(t, f.kv.Run)
-	f.group.SetLoad(load(0))
-	background(t, f.group.Run)
-	for range f.group.Endpoints {
+	g := &testGroup{t: t, kv: &kv.Server{}, group: &ranks.Group{Endpoints: 3, StepTime: 2 * time.Millisecond}}
+	runBackground(t, g.kv.Run)
+	g.group.SetLoad(hotExpertLoad(0))
+	runBackground(t, g.group.Run)
+	for range g.group.Endpoints {
 		addr, err := standin.FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.peers = append(f.peers, addr)
-		f.stops = append(f.stops, nil)
-		f.metrics = append(f.metrics, nil)
+		g.peers = append(g.peers, addr)
+		g.stops = append(g.stops, nil)
+		g.metrics = append(g.metrics, nil)
 	}
-	for i := range f.peers {
-		f.start(i)
+	for i := range g.peers {
+		g.start(i)
 	}
-	return f
+	return g
 }
 
-func load(hot int) [][]float64 {
+func hotExpertLoad(hot int) [][]float64 {
 	loads := make([]float64, 12)
 	for e := range loads {
 		loads[e] = 100
@@ -85,44 +85,44 @@
 	return [][]float64{loads}
 }
 
-// start starts the agent at place i, as after a restart of its process.
-func (f *fleet) start(i int) {
-	f.t.Helper()
-	l, err := net.Listen("tcp", f.peers[i])
+// start starts the agent with index i, as after a restart of its process.
+func (g *testGroup) start(i int) {
+	g.t.Helper()
+	l, err := net.Listen("tcp", g.peers[i])
 	if err != nil {
-		f.t.Fatal(err)
+		g.t.Fatal(err)
 	}
-	client := &platform.Client{Addrs: []string{f.kv.Addr()}, Timeout: time.Second, Metrics: metrics.NewRegistry()}
-	r := f.runner(i, client)
+	client := &platform.Client{Addrs: []string{g.kv.Addr()}, Timeout: time.Second, Metrics: metrics.NewRegistry()}
+	r := g.runner(i, client)
 	s := grpc.NewServer()
 	r.Register(s)
-	stopClient := background(f.t, client.Run)
-	stopServer := background(f.t, func(ctx context.Context) error {
+	stopClient := runBackground(g.t, client.Run)
+	stopServer := runBackground(g.t, func(ctx context.Context) error {
 		done := make(chan error, 1)
 		go func() { done <- s.Serve(l) }()
 		<-ctx.Done()
 		s.Stop()
 		return <-done
 	})
-	stopRunner := background(f.t, r.Run)
-	f.stops[i] = func() { stopRunner(); stopServer(); stopClient() }
+	stopRunner := runBackground(g.t, r.Run)
+	g.stops[i] = func() { stopRunner(); stopServer(); stopClient() }
 }
 
-func (f *fleet) runner(i int, client *platform.Client) *rank.Runner {
+func (g *testGroup) runner(i int, client *platform.Client) *rank.Runner {
 	layer, err := expertmap.Contiguous(expertmap.Shape{Ranks: 6, Slots: 3, Experts: 12})
 	if err != nil {
-		f.t.Fatal(err)
+		g.t.Fatal(err)
 	}
 	first, err := expertmap.NewMap(1, []*expertmap.Layer{layer})
 	if err != nil {
-		f.t.Fatal(err)
+		g.t.Fatal(err)
 	}
-	f.metrics[i] = metrics.NewRegistry()
+	g.metrics[i] = metrics.NewRegistry()
 	log := logrus.New()
 	log.SetLevel(logrus.WarnLevel)
 	return &rank.Runner{
-		Group: "chat", Index: i, Peers: f.peers, Incarnation: uint64(time.Now().UnixNano()),
-		Engine: f.group.Engine(i),
+		Group: "chat", Index: i, Peers: g.peers, Incarnation: uint64(time.Now().UnixNano()),
+		Engine: g.group.Engine(i),
 		Lease: &rank.KVLease{
 			KV: client, Group: "chat", Holder: fmt.Sprintf("%d/%d", i, time.Now().UnixNano()), TTL: time.Second,
 		},
@@ -134,83 +134,84 @@
 		Tick: 5 * time.Millisecond, Lookahead: 50,
 		Resend: 40 * time.Millisecond, Refresh: 100 * time.Millisecond, HoldTime: 2 * time.Second,
 		LeaseTime: time.Second, CallTimeout: time.Second, Drain: time.Millisecond,
-		Metrics: f.metrics[i], Log: log,
+		Metrics: g.metrics[i], Log: log,
 	}
 }
 
-func (f *fleet) counter(i int, name string) int64 {
-	return metrics.GetOrRegisterCounter(name, f.metrics[i]).Count()
+func (g *testGroup) counter(i int, name string) int64 {
+	return metrics.GetOrRegisterCounter(name, g.metrics[i]).Count()
 }
 
-// await waits until ok holds.
-func (f *fleet) await(what string, ok func() bool) {
-	f.t.Helper()
-	for end := time.Now().Add(long); !ok(); time.Sleep(2 * time.Millisecond) {
+// await waits until ok returns true.
+func (g *testGroup) await(what string, ok func() bool) {
+	g.t.Helper()
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			f.t.Fatalf("%s: not within %v; steps %d", what, long, f.group.Steps())
+			g.t.Fatalf("%s: not reached within %v; steps %d", what, testTimeout, g.group.Steps())
 		}
 	}
 }
 
-// awaitSteps waits until the group has made n more steps.
-func (f *fleet) awaitSteps(n uint64) {
-	f.t.Helper()
-	from := f.group.Steps()
-	f.await(fmt.Sprintf("%d steps", n), func() bool { return f.group.Steps() >= from+n })
+// awaitSteps waits until the group has run n more steps.
+func (g *testGroup) awaitSteps(n uint64) {
+	g.t.Helper()
+	from := g.group.Steps()
+	g.await(fmt.Sprintf("%d steps", n), func() bool { return g.group.Steps() >= from+n })
 }
 
-// awaitMap waits until a map got in force at all members that gives the hot
-// expert more replicas.
-func (f *fleet) awaitMap(hot int) {
-	f.t.Helper()
-	before := f.counter(0, "rank.mapsInForce")
-	f.group.SetLoad(load(hot))
-	f.await("a new map", func() bool { return f.counter(0, "rank.mapsInForce") > before })
-	f.awaitSteps(200)
+// awaitMap makes an expert hot, waits until a new map is in force at the first
+// member, and then for 200 more steps.
+func (g *testGroup) awaitMap(hot int) {
+	g.t.Helper()
+	before := g.counter(0, "rank.mapsInForce")
+	g.group.SetLoad(hotExpertLoad(hot))
+	g.await("a new map", func() bool { return g.counter(0, "rank.mapsInForce") > before })
+	g.awaitSteps(200)
 }
 
-func (f *fleet) assertOneMap() {
-	f.t.Helper()
-	for _, s := range f.group.Faults() {
-		f.t.Error(s)
+func (g *testGroup) assertConsistentMaps() {
+	g.t.Helper()
+	for _, s := range g.group.Faults() {
+		g.t.Error(s)
 	}
 }
 
-// TestGroupOverSockets: callers would see garbled answers if agents, platform
-// and ranks came and went and ranks of a group used two maps in a step. The
-// group begins, follows popularity, and goes through each fault in turn.
+// TestGroupOverSockets guards against ranks of a group that use two maps in one
+// step, which garbles the responses to callers, while agents, platform and
+// ranks fail and return. The group starts, follows the popularity of experts,
+// and meets each fault in turn.
 func TestGroupOverSockets(t *testing.T) {
-	f := newFleet(t)
-	f.awaitSteps(100)
+	g := newTestGroup(t)
+	g.awaitSteps(100)
 	t.Run("follows popularity", func(t *testing.T) {
-		f.t = t
-		f.awaitMap(5)
-		f.assertOneMap()
+		g.t = t
+		g.awaitMap(5)
+		g.assertConsistentMaps()
 	})
 	t.Run("ranks restart", func(t *testing.T) {
-		f.t = t
-		f.group.Engine(1).Restart()
-		f.awaitSteps(200)
-		f.awaitMap(7)
-		f.assertOneMap()
+		g.t = t
+		g.group.Engine(1).Restart()
+		g.awaitSteps(200)
+		g.awaitMap(7)
+		g.assertConsistentMaps()
 	})
 	t.Run("platform down", func(t *testing.T) {
-		f.t = t
-		f.kv.SetDown(true)
-		f.awaitSteps(1000)
-		f.kv.SetDown(false)
-		f.awaitMap(2)
-		f.assertOneMap()
+		g.t = t
+		g.kv.SetDown(true)
+		g.awaitSteps(1000)
+		g.kv.SetDown(false)
+		g.awaitMap(2)
+		g.assertConsistentMaps()
 	})
 	t.Run("leader gone", func(t *testing.T) {
-		f.t = t
-		f.stops[0]()
-		f.await("another leader", func() bool {
-			return f.counter(1, "rank.leads")+f.counter(2, "rank.leads") > 0
+		g.t = t
+		g.stops[0]()
+		g.await("another leader", func() bool {
+			return g.counter(1, "rank.leads")+g.counter(2, "rank.leads") > 0
 		})
-		f.start(0)
-		f.awaitSteps(200)
-		f.awaitMap(9)
-		f.assertOneMap()
+		g.start(0)
+		g.awaitSteps(200)
+		g.awaitMap(9)
+		g.assertConsistentMaps()
 	})
 }
--- a/internal/rank/service.go
+++ b/internal/rank/service.go
@@ -10,7 +10,7 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// service answers the other agents of the group.
+// service implements the gRPC service for the other agents of the group.
 type service struct {
 	rankpb.UnimplementedRankServer
 
@@ -21,55 +21,55 @@
 func (s *service) Give(ctx context.Context, p *rankpb.GiveRequest) (*rankpb.GiveReply, error) {
 	r := s.runner
 	if err := r.checkGroup(p.GetGroup()); err != nil {
-		return &rankpb.GiveReply{Code: codeOf(err), Detail: err.Error()}, nil
+		return &rankpb.GiveReply{Code: resultCode(err), Detail: err.Error()}, nil
 	}
 	staged, err := r.mapToStage(ctx, p.GetStage())
 	if err != nil {
-		return r.refusal(err), nil
+		return r.refusalReply(err), nil
 	}
-	o, err := orderFrom(p, staged)
+	o, err := orderFromProto(p, staged)
 	if err != nil {
-		return r.refusal(err), nil
+		return r.refusalReply(err), nil
 	}
-	state, err := r.give(o, time.Now())
-	reply := &rankpb.GiveReply{State: stateProto(state)}
+	state, err := r.handleOrder(o, time.Now())
+	reply := &rankpb.GiveReply{State: stateToProto(state)}
 	if err != nil {
-		reply.Code, reply.Detail = codeOf(err), err.Error()
+		reply.Code, reply.Detail = resultCode(err), err.Error()
 	}
 	return reply, nil
 }
 
-// refusal answers an order that did not reach the member.
-func (r *Runner) refusal(err error) *rankpb.GiveReply {
+// refusalReply returns the reply to an order that was not passed to the member.
+func (r *Runner) refusalReply(err error) *rankpb.GiveReply {
 	r.mu.Lock()
 	state := r.member.State()
 	r.mu.Unlock()
-	return &rankpb.GiveReply{Code: codeOf(err), Detail: err.Error(), State: stateProto(state)}
+	return &rankpb.GiveReply{Code: resultCode(err), Detail: err.Error(), State: stateToProto(state)}
 }
 
-// give hands an order to the member.
-func (r *Runner) give(o naming.Order, now time.Time) (naming.State, error) {
+// handleOrder passes an order to the member.
+func (r *Runner) handleOrder(o naming.Order, now time.Time) (naming.State, error) {
 	r.mu.Lock()
 	state, err := r.member.Handle(o)
 	if err == nil {
-		r.heard = now
+		r.lastOrderAt = now
 	}
 	r.mu.Unlock()
-	r.counts.orders.Inc(1)
+	r.stats.orders.Inc(1)
 	if err != nil {
-		r.counts.refused.Inc(1)
+		r.stats.ordersRefused.Inc(1)
 	}
-	r.observe()
+	r.reportChanges()
 	return state, err
 }
 
-// mapToStage returns the map that a Stage order names: the member's own copy, or
-// that of the first member asked that has it.
+// mapToStage returns the map that a Stage order refers to: the member's own
+// copy, or else that of the first listed member that provides it.
 func (r *Runner) mapToStage(ctx context.Context, p *rankpb.Stage) (*expertmap.Map, error) {
 	if p == nil {
 		return nil, nil
 	}
-	ref := refFrom(p.GetMap())
+	ref := refFromProto(p.GetMap())
 	r.mu.Lock()
 	m, ok := r.member.Map(ref)
 	r.mu.Unlock()
@@ -78,7 +78,7 @@
 	}
 	err := error(result.Newf(result.MapMissing, "version %d", ref.Version))
 	for _, i := range p.GetFrom() {
-		m, err = r.fetch(ctx, int(i), ref)
+		m, err = r.fetchMap(ctx, int(i), ref)
 		if err == nil {
 			return m, nil
 		}
@@ -90,14 +90,14 @@
 func (s *service) Join(_ context.Context, p *rankpb.JoinRequest) (*rankpb.JoinReply, error) {
 	r := s.runner
 	if err := r.checkGroup(p.GetGroup()); err != nil {
-		return &rankpb.JoinReply{Code: codeOf(err), Detail: err.Error()}, nil
+		return &rankpb.JoinReply{Code: resultCode(err), Detail: err.Error()}, nil
 	}
 	r.mu.Lock()
 	a := r.member.HandleJoin(naming.Join{Member: int(p.GetMember()), Incarnation: p.GetIncarnation()})
 	r.mu.Unlock()
-	reply := &rankpb.JoinReply{To: a.To, Noted: a.Noted, State: stateProto(a.State)}
+	reply := &rankpb.JoinReply{To: a.To, Noted: a.Noted, State: stateToProto(a.State)}
 	for _, m := range a.Maps {
-		reply.Maps = append(reply.Maps, mapProto(m, nil))
+		reply.Maps = append(reply.Maps, mapToProto(m, nil))
 	}
 	return reply, nil
 }
@@ -106,13 +106,13 @@
 func (s *service) Fetch(_ context.Context, p *rankpb.FetchRequest) (*rankpb.FetchReply, error) {
 	r := s.runner
 	if err := r.checkGroup(p.GetGroup()); err != nil {
-		return &rankpb.FetchReply{Code: codeOf(err), Detail: err.Error()}, nil
+		return &rankpb.FetchReply{Code: resultCode(err), Detail: err.Error()}, nil
 	}
 	r.mu.Lock()
-	m, ok := r.member.Map(refFrom(p.GetMap()))
+	m, ok := r.member.Map(refFromProto(p.GetMap()))
 	var base *expertmap.Map
 	for _, have := range p.GetHave() {
-		if b, ok := r.member.Map(refFrom(have)); ok {
+		if b, ok := r.member.Map(refFromProto(have)); ok {
 			base = b
 		}
 	}
@@ -120,18 +120,18 @@
 	if !ok {
 		return &rankpb.FetchReply{Code: int32(result.MapMissing)}, nil
 	}
-	return &rankpb.FetchReply{Map: mapProto(m, base)}, nil
+	return &rankpb.FetchReply{Map: mapToProto(m, base)}, nil
 }
 
 // Count implements rankpb.RankServer.
 func (s *service) Count(ctx context.Context, p *rankpb.CountRequest) (*rankpb.CountReply, error) {
 	r := s.runner
 	if err := r.checkGroup(p.GetGroup()); err != nil {
-		return &rankpb.CountReply{Code: codeOf(err), Detail: err.Error()}, nil
+		return &rankpb.CountReply{Code: resultCode(err), Detail: err.Error()}, nil
 	}
 	counts, err := r.Engine.Counts(ctx)
 	if err != nil {
-		return &rankpb.CountReply{Code: codeOf(err), Detail: err.Error()}, nil
+		return &rankpb.CountReply{Code: resultCode(err), Detail: err.Error()}, nil
 	}
 	reply := &rankpb.CountReply{}
 	for _, c := range counts {
@@ -144,14 +144,14 @@
 
 func (r *Runner) checkGroup(group string) error {
 	if group != r.Group {
-		return result.Newf(result.MalformedMsg, "message for group %q at an agent of %q", group, r.Group)
+		return result.Newf(result.MalformedMsg, "received a message for group %q at an agent of group %q", group, r.Group)
 	}
 	return nil
 }
 
-// codeOf returns the result code behind an error. Errors without one are from
-// the engine or the network.
-func codeOf(err error) int32 {
+// resultCode returns the result code of an error. Errors without one come from
+// the engine or the network and count as EndpointFailed.
+func resultCode(err error) int32 {
 	if e := result.Of(err); e != nil {
 		return int32(e.Code())
 	}
