--- a/internal/endpoint/direct/answer.go
+++ b/internal/endpoint/direct/answer.go
@@ -10,35 +10,37 @@
 )
 
 const (
-	// lateAnswers is how many answers to earlier requests are skipped.
-	lateAnswers = 2
-	// lateWrite bounds how long the rest of a body is still sent to an endpoint
-	// that has answered before it read all of it.
-	lateWrite = 5 * time.Second
+	// maxStaleResponses is how many responses to earlier requests are skipped.
+	maxStaleResponses = 2
+	// bodyWriteTimeout bounds how long the rest of a request body is still sent
+	// to an endpoint that responded before it had read all of it.
+	bodyWriteTimeout = 5 * time.Second
 )
 
-// Answer is an answer whose head has arrived. Close must be called.
+// Answer is a response whose header has arrived. Close must be called.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the declared length of the body, or -1.
+	// Length is the declared length of the body in bytes, or -1 if it is unknown.
 	Length int64
 
-	client *Client
-	conn   *conn
-	resp   *http.Response
-	writer *writer
-	whole  bool
-	stop   func() bool
+	client    *Client
+	conn      *conn
+	resp      *http.Response
+	writer    *writer
+	complete  bool
+	stopAbort func() bool
 }
 
+// exchange writes r and reads the header of the response to it, skipping up to
+// maxStaleResponses responses to earlier requests.
 func (a *Answer) exchange(r *Request) error {
 	a.writer = startWriter(a.conn, r)
 	if a.writer.sent == 0 && a.writer.err != nil {
 		return &NotSentError{cause: a.writer.err}
 	}
-	for range lateAnswers + 1 {
-		resp, err := readHead(a.conn.br, r.Method)
+	for range maxStaleResponses + 1 {
+		resp, err := readResponse(a.conn.br, r.Method)
 		if err != nil {
 			return err
 		}
@@ -46,9 +48,9 @@
 		if r.Mine == nil || r.Mine(resp.Header) {
 			return nil
 		}
-		// Guard: an endpoint may answer a request twice. The second answer comes
-		// where the next request's is due; its id shows that, and the right one
-		// follows on the same connection.
+		// An endpoint may respond to a request twice, and the duplicate is read
+		// as the response to the next request. The id in its header shows that;
+		// the right response follows on the same connection.
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 			return ErrForeign
 		}
@@ -59,8 +61,9 @@
 	return ErrForeign
 }
 
-// readHead reads the head of the next final answer.
-func readHead(br *bufio.Reader, method string) (*http.Response, error) {
+// readResponse reads the header of the next response, skipping informational (1xx)
+// ones.
+func readResponse(br *bufio.Reader, method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(br, &http.Request{Method: method})
 		if err != nil {
@@ -75,46 +78,51 @@
 	}
 }
 
-// Read reads the body. It returns io.EOF only when the body is whole.
+// Read reads the body. It returns io.EOF only if the body is complete.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.resp.Body.Read(p)
 	if err == io.EOF {
-		a.whole = true
+		a.complete = true
 	}
 	return n, err
 }
 
 // Whole reports whether the body has been read to its end.
-func (a *Answer) Whole() bool { return a.whole }
+func (a *Answer) Whole() bool { return a.complete }
 
-// Close gives the connection back, or closes it unless the answer was read to
-// its end and the endpoint keeps it.
+// Close returns the connection to the pool if the body was read to its end and
+// the connection can be reused, and closes it otherwise.
 func (a *Answer) Close() {
-	running := a.stop()
-	if !running || !a.reusable() {
-		a.finishWriting(running)
+	active := a.stopAbort()
+	if !active || !a.reusable() {
+		a.closeAfterWrite(active)
 		return
 	}
 	a.conn.used = true
-	a.client.release(a.conn, keepFor(a.resp.Header))
+	a.client.release(a.conn, idleTimeout(a.resp.Header))
 }
 
+// reusable reports whether the connection can carry another request: request
+// and response are complete, no data follows, and the endpoint doesn't close
+// the connection.
 func (a *Answer) reusable() bool {
-	return a.whole && a.resp != nil && !a.resp.Close && a.conn.br.Buffered() == 0 && a.writer.finished() == nil && framed(a.resp)
+	return a.complete && a.resp != nil && !a.resp.Close && a.conn.br.Buffered() == 0 && a.writer.finished() == nil && hasFraming(a.resp)
 }
 
-// framed reports whether the body's end was told other than by the close.
-func framed(r *http.Response) bool {
+// hasFraming reports whether the end of the body is marked by its length or by
+// chunked encoding, not by the close of the connection.
+func hasFraming(r *http.Response) bool {
 	return r.ContentLength >= 0 || len(r.TransferEncoding) > 0
 }
 
-// finishWriting closes the connection.
+// closeAfterWrite closes a connection that can't be reused.
 //
-// Guard: an endpoint may answer before it has read a long body and read on
-// later. It must get the rest of that body and nothing else there, so the
-// connection closes only when the writer is done.
-func (a *Answer) finishWriting(running bool) {
-	if !running || !a.whole {
+// An endpoint may respond before it has read a long request body and read the rest
+// later. It must receive all of the body, so after a complete response the
+// connection is closed only when the body has been written or bodyWriteTimeout
+// has passed. Otherwise the connection is reset at once.
+func (a *Answer) closeAfterWrite(active bool) {
+	if !active || !a.complete {
 		a.conn.abort()
 		return
 	}
@@ -125,14 +133,15 @@
 	go func() {
 		select {
 		case <-a.writer.done:
-		case <-time.After(lateWrite):
+		case <-time.After(bodyWriteTimeout):
 		}
 		_ = a.conn.Conn.Close()
 	}()
 }
 
-// keepFor returns how long a connection may be unused.
-func keepFor(h http.Header) time.Duration {
+// idleTimeout returns how long a connection may stay idle in the pool, given the
+// response header h. Zero or less means that it must not be reused.
+func idleTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -140,8 +149,8 @@
 		}
 		s, err := strconv.Atoi(value)
 		if err == nil && s >= 0 {
-			return time.Duration(s)*time.Second - keepMargin
+			return time.Duration(s)*time.Second - idleTimeoutMargin
 		}
 	}
-	return keepLeast
+	return defaultIdleTimeout
 }
--- a/internal/endpoint/direct/client.go
+++ b/internal/endpoint/direct/client.go
@@ -8,55 +8,60 @@
 	"sync"
 )
 
-// NotSentError says that no byte of the request left.
+// NotSentError reports that no byte of the request was written to the network.
 type NotSentError struct{ cause error }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *NotSentError) Error() string { return "not sent: " + e.cause.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *NotSentError) Unwrap() error { return e.cause }
 
-// IsNotSent reports whether err says that no byte of the request left.
+// IsNotSent reports whether err is or wraps a NotSentError.
 func IsNotSent(err error) bool {
 	var e *NotSentError
 	return errors.As(err, &e)
 }
 
-// ErrForeign reports an answer that belongs to another request.
-var ErrForeign = errors.New("direct: the answer belongs to another request")
+// ErrForeign reports a response that belongs to another request.
+var ErrForeign = errors.New("direct: response belongs to another request")
 
-// ErrSpoiled reports an answer that can't be passed on.
-var ErrSpoiled = errors.New("direct: the answer is not in the protocol")
+// ErrSpoiled reports a 101 Switching Protocols response, which can't be passed
+// on.
+var ErrSpoiled = errors.New("direct: unexpected switch of protocols")
 
-// Request is one request for an endpoint.
+// Request is an HTTP request to an endpoint.
 type Request struct {
 	Method, Target, Host string
 	Header               http.Header
 	Body                 []byte
-	// Mine reports whether an answer's headers name this request.
+	// Mine reports whether a response with the given header belongs to this
+	// request. If it is nil, every response is accepted.
 	Mine func(http.Header) bool
-	// Fresh asks for a connection that is known to be open: a request that may
-	// run once should not meet one that the endpoint is about to close.
+	// Fresh excludes pooled connections that are close to their idle timeout.
+	// It is for requests that must not run twice: if the endpoint closes the
+	// connection while such a request is in flight, its outcome is unknown.
 	Fresh bool
 }
 
-// Client keeps connections to endpoints. Its zero value is ready for use.
+// Client sends requests to endpoints over pooled connections. Its zero value is
+// ready for use. It is safe for concurrent use.
 type Client struct {
 	mu    sync.Mutex
 	idle  map[string][]*conn
 	dials int64
 }
 
-// Do sends the request and returns the answer when its head has arrived. When
-// ctx ends, the connection is closed, also while the body is read.
+// Do sends r to addr and returns the response when its header has arrived. The
+// returned Answer must be closed. When ctx is done, the connection is reset, also
+// while the body is being read.
 func (c *Client) Do(ctx context.Context, addr string, r *Request) (*Answer, error) {
 	cn, err := c.acquire(ctx, addr, r.Fresh)
 	if err != nil {
 		return nil, &NotSentError{cause: err}
 	}
 	a := &Answer{client: c, conn: cn}
-	a.stop = context.AfterFunc(ctx, cn.abort)
+	a.stopAbort = context.AfterFunc(ctx, cn.abort)
 	if err := a.exchange(r); err != nil {
 		a.Close()
 		if ctx.Err() != nil && !IsNotSent(err) {
--- a/internal/endpoint/direct/client_test.go
+++ b/internal/endpoint/direct/client_test.go
@@ -13,10 +13,11 @@
 	"time"
 )
 
-// script is what a stand-in does with one connection.
+// script is what a test server does with one connection.
 type script func(t *testing.T, c net.Conn, br *bufio.Reader)
 
-// serve runs one script for each connection, in order, and returns the address.
+// serve starts a server that runs one script per connection, in order, and returns
+// its address.
 func serve(t *testing.T, scripts ...script) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,7 +37,7 @@
 	return ln.Addr().String()
 }
 
-// readRequest reads one request with its body.
+// readRequest reads one request and discards its body.
 func readRequest(t *testing.T, br *bufio.Reader) *http.Request {
 	t.Helper()
 	r, err := http.ReadRequest(br)
@@ -50,7 +51,7 @@
 	return r
 }
 
-func answerFor(id, body string) string {
+func responseFor(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
@@ -61,7 +62,7 @@
 	}
 }
 
-// get sends a request and reads its answer.
+// get sends a request and returns the body of the response.
 func get(c *Client, addr, id string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -81,29 +82,29 @@
 	}
 }
 
-// A caller gets the answer to somebody else's order: an endpoint answered an
-// earlier request twice, and the second answer lay where the next one was due.
+// An endpoint responds to a request twice, and the duplicate is taken for the
+// response to the next request on the connection.
 func TestSecondAnswerBelongsToNobody(t *testing.T) {
-	t.Run("it is there before the next request", func(t *testing.T) {
+	t.Run("duplicate arrives before the next request", func(t *testing.T) {
 		addr := serve(t,
 			func(t *testing.T, c net.Conn, br *bufio.Reader) {
 				readRequest(t, br)
-				_, _ = io.WriteString(c, answerFor("1", "one")+answerFor("1", "one"))
+				_, _ = io.WriteString(c, responseFor("1", "one")+responseFor("1", "one"))
 			},
 			func(t *testing.T, c net.Conn, br *bufio.Reader) {
 				readRequest(t, br)
-				_, _ = io.WriteString(c, answerFor("2", "two"))
+				_, _ = io.WriteString(c, responseFor("2", "two"))
 			})
 		c := &Client{}
 		wantBody(t, c, addr, "1", "one")
 		wantBody(t, c, addr, "2", "two")
 	})
-	t.Run("it comes after the next request", func(t *testing.T) {
+	t.Run("duplicate arrives after the next request", func(t *testing.T) {
 		addr := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
 			readRequest(t, br)
-			_, _ = io.WriteString(c, answerFor("1", "one"))
+			_, _ = io.WriteString(c, responseFor("1", "one"))
 			readRequest(t, br)
-			_, _ = io.WriteString(c, answerFor("1", "one")+answerFor("2", "two"))
+			_, _ = io.WriteString(c, responseFor("1", "one")+responseFor("2", "two"))
 		})
 		c := &Client{}
 		wantBody(t, c, addr, "1", "one")
@@ -114,11 +115,11 @@
 	})
 }
 
-// A half answer passes for a whole one: it has no length, and its connection was
-// reset where a whole one would have been closed.
+// A truncated response without a length is taken for a complete one. Only the way
+// in which the connection ends tells them apart: a reset means truncation.
 func TestAnswerWithoutLength(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\n"
-	t.Run("closed, it is whole", func(t *testing.T) {
+	t.Run("closed, response is complete", func(t *testing.T) {
 		addr := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
 			readRequest(t, br)
 			_, _ = io.WriteString(c, head+"all of it")
@@ -126,7 +127,7 @@
 		})
 		wantBody(t, &Client{}, addr, "1", "all of it")
 	})
-	t.Run("reset, it is not", func(t *testing.T) {
+	t.Run("reset, response is truncated", func(t *testing.T) {
 		addr := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
 			readRequest(t, br)
 			_, _ = io.WriteString(c, head+"a part")
@@ -135,7 +136,7 @@
 			_ = c.Close()
 		})
 		if body, err := get(&Client{}, addr, "1"); err == nil {
-			t.Fatalf("%q passed for whole", body)
+			t.Fatalf("truncated body %q was accepted", body)
 		}
 	})
 }
@@ -155,22 +156,22 @@
 			})
 			body, err := get(&Client{}, addr, "1")
 			if err == nil {
-				t.Fatalf("%q passed for whole", body)
+				t.Fatalf("truncated body %q was accepted", body)
 			}
 			if IsNotSent(err) {
-				t.Fatalf("a request that was sent is said not to be: %v", err)
+				t.Fatalf("a request that was sent was reported as not sent: %v", err)
 			}
 		})
 	}
 }
 
-// An order is sent a second time by the client library itself because a kept
-// connection broke. Nothing here sends twice: the outcome is unknown.
+// When a reused connection breaks, some HTTP clients resend the request on their
+// own, which runs it twice. Here it must fail with an unknown outcome.
 func TestBrokenKeptConnectionIsNotRetried(t *testing.T) {
 	seen := make(chan string, 4)
 	addr := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
 		seen <- readRequest(t, br).Header.Get("X-Id")
-		_, _ = io.WriteString(c, answerFor("1", "one"))
+		_, _ = io.WriteString(c, responseFor("1", "one"))
 		seen <- readRequest(t, br).Header.Get("X-Id")
 		_ = c.Close()
 	})
@@ -180,23 +181,23 @@
 		t.Fatalf("%v", err)
 	}
 	if len(seen) != 2 {
-		t.Fatalf("%d requests arrived", len(seen))
+		t.Fatalf("%d requests arrived, want 2", len(seen))
 	}
 }
 
-// An endpoint closes a connection that rests. The next request must not meet it.
+// An endpoint closes an idle connection. The next request must not be sent on it.
 func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{})
 	addr := serve(t,
 		func(t *testing.T, c net.Conn, br *bufio.Reader) {
 			readRequest(t, br)
-			_, _ = io.WriteString(c, answerFor("1", "one"))
+			_, _ = io.WriteString(c, responseFor("1", "one"))
 			_ = c.Close()
 			close(closed)
 		},
 		func(t *testing.T, c net.Conn, br *bufio.Reader) {
 			readRequest(t, br)
-			_, _ = io.WriteString(c, answerFor("2", "two"))
+			_, _ = io.WriteString(c, responseFor("2", "two"))
 		})
 	c := &Client{}
 	wantBody(t, c, addr, "1", "one")
@@ -217,8 +218,8 @@
 	}
 }
 
-// An endpoint rejects a long body before it has read it, and reads on later. It
-// must find the rest of that body there and nothing else.
+// An endpoint rejects a long request before it has read the body, and reads the
+// body later. It must still receive all of the body and nothing else.
 func TestEarlyAnswerGetsTheRestOfTheBody(t *testing.T) {
 	body := strings.Repeat("b", 4<<20)
 	got := make(chan int, 1)
@@ -232,7 +233,7 @@
 		time.Sleep(30 * time.Millisecond)
 		b, err := io.ReadAll(r.Body)
 		if err != nil || strings.Trim(string(b), "b") != "" {
-			t.Errorf("the rest of the body: %d bytes, %v", len(b), err)
+			t.Errorf("read %d bytes of the request body, error %v", len(b), err)
 		}
 		got <- len(b)
 	})
@@ -251,15 +252,15 @@
 	}
 }
 
-// A caller leaves. The endpoint must see its connection close, or it works on
-// for nobody.
+// The client cancels a request. The endpoint must see the connection close, or it
+// continues to work on a request without a client.
 func TestCancelledRequestClosesItsConnection(t *testing.T) {
 	closed := make(chan struct{})
 	addr := serve(t, func(t *testing.T, _ net.Conn, br *bufio.Reader) {
 		readRequest(t, br)
 		_, err := br.ReadByte()
 		if err == nil {
-			t.Error("a byte came")
+			t.Error("the server received a byte, want a closed connection")
 		}
 		close(closed)
 	})
@@ -296,8 +297,8 @@
 	})
 }
 
-// oneByte gives one byte at a time.
+// oneByte returns one byte per read.
 type oneByte struct{ r io.Reader }
 
-// Read implements io.Reader.
+// Read implements the io.Reader interface.
 func (o oneByte) Read(p []byte) (int, error) { return o.r.Read(p[:1]) }
--- a/internal/endpoint/direct/doc.go
+++ b/internal/endpoint/direct/doc.go
@@ -1,13 +1,13 @@
-// Package direct is an entry's HTTP/1.1 client to endpoints that have no agent
-// on the way. It passes answers on as they came.
+// Package direct is the HTTP/1.1 client with which an entry calls endpoints
+// without going through an agent. It passes responses on unchanged.
 //
-// The standard library's parser reads the answers, over connections that this
-// package dials and keeps: nbhttp's parser takes an answer without a length for
-// whole before its first byte, and loses a header behind a status line without
-// a reason, and endpoints send both. The library's own client is not used
-// because it sends some requests again by itself after a kept connection broke,
-// which would run a request twice and spend the retry budget unseen.
+// Responses are parsed by net/http over connections that this package dials and
+// pools. The parser of nbhttp isn't used: it treats a response without a length as
+// complete before its first body byte, and it drops a header that follows a status
+// line without a reason phrase; endpoints send both. http.Transport isn't used:
+// it resends some requests on its own when a reused connection breaks, which would
+// run a request twice and bypass the retry budget.
 //
-// An error says whether the request can have reached the endpoint: a NotSentError
-// is a true "not run", anything else leaves the outcome unknown.
+// A NotSentError guarantees that the endpoint didn't receive the request. After any
+// other error the outcome of the request is unknown.
 package direct
--- a/internal/endpoint/direct/events.go
+++ b/internal/endpoint/direct/events.go
@@ -7,26 +7,28 @@
 	"strconv"
 )
 
-// maxEvent bounds one event; streams carry a few tokens in each.
-const maxEvent = 1 << 20
+// maxEventSize bounds one event, in bytes. Events usually carry a few tokens.
+const maxEventSize = 1 << 20
 
 // ErrTorn reports a stream that ended inside an event.
-var ErrTorn = errors.New("direct: the stream ended inside an event")
+var ErrTorn = errors.New("direct: stream ended inside an event")
 
-var errEventTooLong = errors.New("direct: an event is too long")
+var errEventTooLong = errors.New("direct: event is too long")
 
-// Event is one whole event of a stream, as it came.
+// Event is one complete server-sent event.
 type Event struct {
-	// Raw is the event with the blank line that ends it. It holds until the
-	// next call of Next.
+	// Raw is the event as received, with the blank line that ends it. It is
+	// valid until the next call to Next.
 	Raw []byte
-	// ID is the event's number, and HasID whether it has one.
+	// ID is the value of the event's id field. HasID reports whether the event
+	// has an id that is an integer.
 	ID    int64
 	HasID bool
 }
 
-// Events cuts a stream into whole events, however its bytes were cut on their
-// way. An event that the stream's end has torn is never returned.
+// Events splits a stream into complete events, independent of how its bytes are
+// distributed over reads. It never returns an event that is cut off by the end
+// of the stream.
 type Events struct {
 	r     io.Reader
 	buf   []byte
@@ -34,14 +36,15 @@
 	err   error
 }
 
-// NewEvents returns the events of r.
+// NewEvents returns an Events that reads from r.
 func NewEvents(r io.Reader) *Events { return &Events{r: r} }
 
-// Next returns the next event. At the whole stream's end it returns io.EOF, and
-// ErrTorn when bytes of an event are left over.
+// Next returns the next event. It returns io.EOF at the end of the stream, ErrTorn
+// if the stream ended inside an event, and else the error of the reader or an error
+// for an event that is too long.
 func (e *Events) Next() (Event, error) {
 	for {
-		if ev, ok := e.cut(); ok {
+		if ev, ok := e.takeEvent(); ok {
 			return ev, nil
 		}
 		if e.err != nil {
@@ -54,27 +57,29 @@
 	}
 }
 
-// Waiting reports whether another whole event is there already.
-func (e *Events) Waiting() bool { return endOf(e.buf[e.start:]) > 0 }
+// Waiting reports whether another complete event is buffered.
+func (e *Events) Waiting() bool { return eventEnd(e.buf[e.start:]) > 0 }
 
+// fill reads more bytes into the buffer and records the error, if any.
 func (e *Events) fill() {
 	if e.start > 0 {
 		e.buf = append(e.buf[:0], e.buf[e.start:]...)
 		e.start = 0
 	}
-	if len(e.buf) > maxEvent {
+	if len(e.buf) > maxEventSize {
 		e.err = errEventTooLong
 		return
 	}
 	n := len(e.buf)
-	e.buf = append(e.buf, make([]byte, readBuffer)...)
+	e.buf = append(e.buf, make([]byte, readBufferSize)...)
 	m, err := e.r.Read(e.buf[n:])
 	e.buf = e.buf[:n+m]
 	e.err = err
 }
 
-func (e *Events) cut() (Event, bool) {
-	n := endOf(e.buf[e.start:])
+// takeEvent removes the first complete event from the buffer.
+func (e *Events) takeEvent() (Event, bool) {
+	n := eventEnd(e.buf[e.start:])
 	if n == 0 {
 		return Event{}, false
 	}
@@ -85,25 +90,28 @@
 	return ev, true
 }
 
-// endOf returns where the first event of b ends, or 0.
-func endOf(b []byte) int {
-	at := 0
+// eventEnd returns the length of the first event in b, including the blank line
+// that ends it, or 0 if it is incomplete.
+func eventEnd(b []byte) int {
+	pos := 0
 	for {
-		i := bytes.IndexByte(b[at:], '\n')
+		i := bytes.IndexByte(b[pos:], '\n')
 		if i < 0 {
 			return 0
 		}
-		at += i + 1
-		rest := b[at:]
+		pos += i + 1
+		rest := b[pos:]
 		if bytes.HasPrefix(rest, []byte("\n")) {
-			return at + 1
+			return pos + 1
 		}
 		if bytes.HasPrefix(rest, []byte("\r\n")) {
-			return at + 2
+			return pos + 2
 		}
 	}
 }
 
+// eventID returns the value of the first id field of an event, and whether it
+// is an integer.
 func eventID(raw []byte) (int64, bool) {
 	for _, line := range bytes.Split(raw, []byte("\n")) {
 		value, ok := bytes.CutPrefix(line, []byte("id:"))
--- a/internal/endpoint/direct/pool.go
+++ b/internal/endpoint/direct/pool.go
@@ -12,55 +12,56 @@
 )
 
 const (
-	// DialTimeout bounds connecting. Endpoints accept within a millisecond or
-	// two; a longer wait means that the endpoint is dark or cut off, and the
-	// request can still be answered elsewhere within its target of 300 ms.
+	// DialTimeout bounds connecting. Endpoints accept within 1 or 2 ms; a longer
+	// wait means that the endpoint is down or unreachable, and another endpoint
+	// can still answer the request within its latency target of 300 ms.
 	DialTimeout = 250 * time.Millisecond
-	// unackedTimeout is how long sent bytes may go without an acknowledgement.
-	// A connection whose other side was cut off would else hang for minutes.
-	unackedTimeout = 2 * time.Second
-	// probeIdle and probeEvery make the kernel notice a connection that has
-	// gone silent while an answer is awaited, within probeIdle + 3 probes.
-	probeIdle  = time.Second
-	probeEvery = time.Second
-	probeCount = 3
-	// keepLeast is how long an unused connection is kept if the endpoint names
-	// no time, and keepMargin how much sooner than the endpoint's own time it
-	// is given up: a connection that the endpoint closes while a request is on
-	// its way leaves the outcome unknown.
-	keepLeast  = 4 * time.Second
-	keepMargin = time.Second
-	// readBuffer holds the head of an answer and some events of a stream.
-	readBuffer = 4 << 10
+	// userTimeout (TCP_USER_TIMEOUT) bounds how long sent data may stay
+	// unacknowledged. Without it, a connection to an unreachable peer hangs for
+	// minutes.
+	userTimeout = 2 * time.Second
+	// TCP keep-alive detects a dead peer while a response is awaited, within
+	// keepAliveIdle + keepAliveCount * keepAliveInterval.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 3
+	// defaultIdleTimeout is how long an idle connection is kept if the endpoint
+	// sends no Keep-Alive timeout. If it sends one, the connection is dropped
+	// idleTimeoutMargin before it: if the endpoint closes a connection while a
+	// request is in flight, the outcome of the request is unknown.
+	defaultIdleTimeout = 4 * time.Second
+	idleTimeoutMargin  = time.Second
+	// readBufferSize, in bytes, holds a response header or several events of a
+	// stream.
+	readBufferSize = 4 << 10
 )
 
-// conn is one connection. It belongs to the pool or to one exchange.
+// conn is a connection. It is owned either by the pool or by one Answer.
 type conn struct {
 	net.Conn
 	br   *bufio.Reader
 	addr string
-	// until is when the pool gives it up.
-	until time.Time
-	used  bool
+	// expires is when the pool closes the connection if it is still idle.
+	expires time.Time
+	used    bool
 }
 
-// abort closes the connection with a reset.
+// abort closes the connection with a TCP reset.
 //
-// Guard: an endpoint whose VM is frozen or cut off takes bytes into its queue.
-// Closed in the ordinary way, a connection still delivers them when the VM is
-// back, and the endpoint works on a request whose caller has long left. A reset
-// discards what has not arrived.
+// After an ordinary close the kernel still delivers data that is queued for an
+// endpoint whose VM is frozen or unreachable. When the VM recovers, the endpoint
+// would run a request whose client has gone. A reset discards undelivered data.
 func (c *conn) abort() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // a connection that is closed already needs none
+		_ = tcp.SetLinger(0) // fails only if the connection is already closed
 	}
 	_ = c.Conn.Close()
 }
 
-// acquire returns a kept connection that is still open, or a new one.
+// acquire returns a pooled connection that is still open, or dials a new one.
 func (c *Client) acquire(ctx context.Context, addr string, fresh bool) (*conn, error) {
 	for cn := c.takeIdle(addr); cn != nil; cn = c.takeIdle(addr) {
-		if cn.br.Buffered() == 0 && quiet(cn.Conn) && (!fresh || time.Until(cn.until) > keepMargin) {
+		if cn.br.Buffered() == 0 && isIdle(cn.Conn) && (!fresh || time.Until(cn.expires) > idleTimeoutMargin) {
 			return cn, nil
 		}
 		_ = cn.Conn.Close()
@@ -69,7 +70,7 @@
 	defer cancel()
 	d := net.Dialer{
 		Control:         setTimeouts,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 	}
 	nc, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -78,20 +79,20 @@
 	c.mu.Lock()
 	c.dials++
 	c.mu.Unlock()
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), addr: addr}, nil
+	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBufferSize), addr: addr}, nil
 }
 
 func setTimeouts(_, _ string, raw syscall.RawConn) error {
-	var opt error
+	var optErr error
 	err := raw.Control(func(fd uintptr) {
-		opt = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
-	return errors.Join(err, opt)
+	return errors.Join(err, optErr)
 }
 
-// quiet reports whether an unused connection is open and has nothing to read:
-// what came unasked belongs to no request.
-func quiet(nc net.Conn) bool {
+// isIdle reports whether nc is open and has no data to read. Data that arrives
+// on an idle connection belongs to no request, so the connection can't be reused.
+func isIdle(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return false
@@ -100,36 +101,39 @@
 	if err != nil {
 		return false
 	}
-	open := false
+	idle := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, e := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		open = errors.Is(e, unix.EAGAIN)
+		idle = errors.Is(e, unix.EAGAIN)
 		return true
 	})
-	return err == nil && open
+	return err == nil && idle
 }
 
-// takeIdle returns the connection that was used last, which is the least likely
-// to be closed by the endpoint.
+// takeIdle removes the most recently used connection to addr from the pool and
+// returns it, or nil if there is none. It is the least likely one to be closed by
+// the endpoint.
 func (c *Client) takeIdle(addr string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kept := c.idle[addr]
-	if len(kept) == 0 {
+	idle := c.idle[addr]
+	if len(idle) == 0 {
 		return nil
 	}
-	cn := kept[len(kept)-1]
-	c.idle[addr] = kept[:len(kept)-1]
+	cn := idle[len(idle)-1]
+	c.idle[addr] = idle[:len(idle)-1]
 	return cn
 }
 
-func (c *Client) release(cn *conn, keep time.Duration) {
-	if keep <= 0 {
+// release puts cn into the pool for the given time. It closes cn if the time is
+// zero or less.
+func (c *Client) release(cn *conn, timeout time.Duration) {
+	if timeout <= 0 {
 		_ = cn.Conn.Close()
 		return
 	}
-	cn.until = time.Now().Add(keep)
+	cn.expires = time.Now().Add(timeout)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.idle == nil {
@@ -138,31 +142,31 @@
 	c.idle[cn.addr] = append(c.idle[cn.addr], cn)
 }
 
-// Sweep closes the kept connections whose time is over.
+// Sweep closes the idle connections that have expired by now.
 func (c *Client) Sweep(now time.Time) {
-	var over []*conn
+	var expired []*conn
 	c.mu.Lock()
-	for addr, kept := range c.idle {
-		stay := kept[:0]
-		for _, cn := range kept {
-			if now.After(cn.until) {
-				over = append(over, cn)
+	for addr, conns := range c.idle {
+		remaining := conns[:0]
+		for _, cn := range conns {
+			if now.After(cn.expires) {
+				expired = append(expired, cn)
 				continue
 			}
-			stay = append(stay, cn)
+			remaining = append(remaining, cn)
 		}
-		c.idle[addr] = stay
-		if len(stay) == 0 {
+		c.idle[addr] = remaining
+		if len(remaining) == 0 {
 			delete(c.idle, addr)
 		}
 	}
 	c.mu.Unlock()
-	for _, cn := range over {
+	for _, cn := range expired {
 		_ = cn.Conn.Close()
 	}
 }
 
-// Dials returns how many connections have been made.
+// Dials returns how many connections have been established.
 func (c *Client) Dials() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/endpoint/direct/writer.go
+++ b/internal/endpoint/direct/writer.go
@@ -7,11 +7,13 @@
 	"strconv"
 )
 
-// inlineBody is the largest body that is written before the answer is read.
-// It fits the kernel's buffer, so the write does not wait for the endpoint.
-const inlineBody = 16 << 10
+// maxInlineBody is the size in bytes of the largest body that is written before
+// the response is read. It fits into the socket's send buffer, so that the write
+// doesn't block on the endpoint.
+const maxInlineBody = 16 << 10
 
-// writer sends a request.
+// writer is the writing of one request. The error err is valid once done is
+// closed; sent is the number of bytes that startWriter wrote itself.
 type writer struct {
 	done chan struct{}
 	sent int
@@ -27,9 +29,10 @@
 	}
 }
 
-var errWriting = errors.New("direct: the request is still being sent")
+var errWriting = errors.New("direct: request is still being sent")
 
-// finished returns nil when the whole request was written.
+// finished returns nil if the whole request has been written, errWriting while it
+// is being written, and else the error that stopped it.
 func (w *writer) finished() error {
 	if !w.isDone() {
 		return errWriting
@@ -37,17 +40,17 @@
 	return w.err
 }
 
-// startWriter writes a small request at once and a large one beside the reading
-// of the answer, which may come before the endpoint has read the body.
+// startWriter writes r to cn. It writes a body of more than maxInlineBody bytes in
+// a goroutine, because the endpoint may respond before it has read the body.
 func startWriter(cn *conn, r *Request) *writer {
 	w := &writer{done: make(chan struct{})}
-	head := encodeHead(r)
-	if len(r.Body) <= inlineBody {
-		w.sent, w.err = cn.Write(append(head, r.Body...))
+	header := encodeHeader(r)
+	if len(r.Body) <= maxInlineBody {
+		w.sent, w.err = cn.Write(append(header, r.Body...))
 		close(w.done)
 		return w
 	}
-	w.sent, w.err = cn.Write(head)
+	w.sent, w.err = cn.Write(header)
 	if w.err != nil {
 		close(w.done)
 		return w
@@ -59,9 +62,9 @@
 	return w
 }
 
-// encodeHead writes the request's head. The headers have been parsed before, so
-// none holds a line break.
-func encodeHead(r *Request) []byte {
+// encodeHeader returns the request line and the header of r. It doesn't escape
+// header values: they come from a parsed request and contain no line breaks.
+func encodeHeader(r *Request) []byte {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	for name, values := range r.Header {
