--- a/internal/endpoint/batch/batch.go
+++ b/internal/endpoint/batch/batch.go
@@ -1,5 +1,5 @@
-// Package batch says how many requests an engine that works in passes may write
-// at once so that its streams keep their pace.
+// Package batch computes the largest decode batch that an engine can run while
+// the delay between the events of a stream stays within a bound.
 package batch
 
 import (
@@ -9,60 +9,62 @@
 )
 
 const (
-	// JumpSkew is the load of the most loaded rank over the mean that a batch
-	// must bear. When the popularity of experts jumps, 2.4 to 3 were seen
-	// until the next map is in force half a second later; a planned map has
-	// 1.2 to 1.4.
+	// JumpSkew is the load imbalance (load of the busiest rank over the mean)
+	// that a batch is sized for. After a sudden change in expert popularity,
+	// 2.4 to 3 were observed until the next expert map took effect half a second
+	// later; a planned map has 1.2 to 1.4.
 	JumpSkew = 1.7
-	// CalmSkew is the skew of a planned map.
+	// CalmSkew is the load imbalance of a planned expert map.
 	CalmSkew = 1.3
-	// SlowFrom is the pace from which an engine counts as slow. Engines report
-	// their pace rounded, and maps and allowances would change for nothing if
-	// they followed each tenth.
+	// SlowFrom is the slowdown factor from which an engine counts as slow.
+	// Engines report their slowdown rounded; without the threshold, expert maps
+	// and allowances would change with every tenth for no benefit.
 	SlowFrom = 1.2
-	// wayMargin is kept of the pause between events for their way to the
-	// caller and for the reading of other prompts.
-	wayMargin = 10 * time.Millisecond
+	// deliveryMargin is the part of the bound on the delay between events that
+	// is reserved for delivery to the client and for prefill of other prompts.
+	deliveryMargin = 10 * time.Millisecond
 )
 
-// Pass returns how long a pass takes that writes the given number of requests,
-// when the most loaded rank has skew times the mean load of experts.
-func Pass(e *routing.Engine, writers int, skew float64) time.Duration {
+// Pass returns the duration of one pass, which is e.Stride token steps, over a
+// batch of the given size. The parameter skew is the load imbalance of the
+// experts: the load of the busiest rank over the mean.
+func Pass(e *routing.Engine, size int, skew float64) time.Duration {
 	context := float64(e.MeanPrompt+e.MeanOutput) / 1000
-	each := float64(e.PerSequence) + context*float64(e.PerThousand)
-	step := float64(e.Step) + float64(writers)*each
+	perRequest := float64(e.PerSequence) + context*float64(e.PerThousand)
+	step := float64(e.Step) + float64(size)*perRequest
 	share := e.Experts.Share
 	return time.Duration(float64(e.Stride) * step * (1 - share + share*skew))
 }
 
-// MostWriters returns how many requests an engine may write at once.
+// MostWriters returns the largest batch of which a pass takes at most gap less
+// deliveryMargin at an imbalance of JumpSkew. It is at least 1 and otherwise at most
+// e.Slots; a gap of zero means no bound.
 //
-// Load: arrivals near or beyond what the group bears, with popularity that jumps.
-// Each further writer makes every pass longer, on all ranks of the group. Harm
-// prevented: with full batches one jump pushes a pass over the longest pause that
-// callers bear, and every stream that is under way is late; with fewer writers
-// the passes stay below it, at a tenth less throughput. Limits: a gap of zero
-// means no bound, and at least one request is always written.
+// Each request added to a batch lengthens every pass on all ranks of the group.
+// With full batches, one change in expert popularity under high load makes passes
+// longer than the longest pause that clients tolerate, and all running streams
+// are late. Smaller batches keep passes below it and cost a tenth of the
+// throughput.
 func MostWriters(e *routing.Engine, gap time.Duration) int {
 	if gap <= 0 || e.Slots <= 0 {
 		return max(1, e.Slots)
 	}
 	n := 1
-	for n < e.Slots && Pass(e, n+1, JumpSkew) <= gap-wayMargin {
+	for n < e.Slots && Pass(e, n+1, JumpSkew) <= gap-deliveryMargin {
 		n++
 	}
 	return n
 }
 
-// MostAtPace returns how many requests an engine may write that is pace times
-// slower than usual, so that its passes keep within gap with a planned map. It may
-// be none. A gap of zero means no bound.
+// MostAtPace returns the largest batch of which a pass takes at most gap less
+// deliveryMargin at an imbalance of CalmSkew, on an engine that is slower than usual
+// by the factor pace. It may be 0; a gap of zero means no bound.
 func MostAtPace(e *routing.Engine, gap time.Duration, pace float64) int {
 	if gap <= 0 {
 		return e.Slots
 	}
 	n := 0
-	for n < e.Slots && float64(Pass(e, n+1, CalmSkew))*pace <= float64(gap-wayMargin) {
+	for n < e.Slots && float64(Pass(e, n+1, CalmSkew))*pace <= float64(gap-deliveryMargin) {
 		n++
 	}
 	return n
