--- a/internal/endpoint/placement/affinity.go
+++ b/internal/endpoint/placement/affinity.go
@@ -6,39 +6,43 @@
 )
 
 const (
-	// ringPoints is how many points each endpoint has on the ring.
-	ringPoints = 16
-	// ringSteps is how many endpoints are tried along the ring.
-	ringSteps = 4
-	// affineSample is how many endpoints the mean is estimated from.
-	affineSample = 8
+	// virtualNodes is the number of points that each endpoint has on the ring.
+	virtualNodes = 16
+	// maxRingCandidates is the number of endpoints along the ring that are
+	// considered for a prefix.
+	maxRingCandidates = 4
+	// meanSampleSize is the number of endpoints from which the mean load score
+	// is estimated.
+	meanSampleSize = 8
 )
 
-// ring is a consistent hashing ring.
+// ring is a consistent hash ring.
 type ring struct {
 	points []point
 	stale  bool
 }
 
+// point is a virtual node on the ring.
 type point struct {
 	hash uint64
 	e    *endpoint
 }
 
-// build makes the ring of the local endpoints, or of all when none is local.
-func (g *ring) build(endpoints []*endpoint) {
-	g.stale = false
-	g.points = g.points[:0]
+// build places the local endpoints on the ring, or all endpoints if none is
+// local.
+func (r *ring) build(endpoints []*endpoint) {
+	r.stale = false
+	r.points = r.points[:0]
 	local := slices.ContainsFunc(endpoints, func(e *endpoint) bool { return e.local })
 	for _, e := range endpoints {
 		if local && !e.local {
 			continue
 		}
-		for i := range uint64(ringPoints) {
-			g.points = append(g.points, point{mix(e.hash + i), e})
+		for i := range uint64(virtualNodes) {
+			r.points = append(r.points, point{mix64(e.hash + i), e})
 		}
 	}
-	slices.SortFunc(g.points, func(a, b point) int {
+	slices.SortFunc(r.points, func(a, b point) int {
 		if a.hash < b.hash {
 			return -1
 		}
@@ -46,12 +50,13 @@
 	})
 }
 
-// find returns the position of the first point at or after h.
-func (g *ring) find(h uint64) int {
-	lo, hi := 0, len(g.points)
+// successor returns the index of the first point at or after h, or
+// len(r.points) if there is none.
+func (r *ring) successor(h uint64) int {
+	lo, hi := 0, len(r.points)
 	for lo < hi {
 		mid := int(uint(lo+hi) / 2)
-		if g.points[mid].hash < h {
+		if r.points[mid].hash < h {
 			lo = mid + 1
 		} else {
 			hi = mid
@@ -60,12 +65,15 @@
 	return lo
 }
 
-// affine returns the endpoint that keeps the query's prefix, or nil when there
-// is no prefix or the next endpoints on the ring are too loaded. The harm on
-// one side is a prompt computed again at an endpoint that has not cached it,
-// on the other a popular prefix that overloads one endpoint; the bound settles
-// between them.
-func (p *Picture) affine(s *routeSet, q *Query, now time.Time) *endpoint {
+// affinityEndpoint returns the endpoint on the ring for the prefix of the
+// query. It returns nil if the query has no prefix, or if none of the next
+// endpoints on the ring can be selected with a load score of at most
+// AffineBound times the mean.
+//
+// An endpoint that hasn't cached the prefix must compute it again, whereas a
+// popular prefix can overload the one endpoint that has; AffineBound is the
+// compromise between both.
+func (p *Picture) affinityEndpoint(s *route, q *Query, now time.Time) *endpoint {
 	if q.Prefix == 0 {
 		return nil
 	}
@@ -76,36 +84,37 @@
 	if len(points) == 0 {
 		return nil
 	}
-	bound := p.AffineBound * p.meanPressure(s, q, now)
-	at := s.ring.find(mix(q.Prefix))
-	var last *endpoint
-	for steps := 0; steps < ringSteps; at++ {
-		e := points[at%len(points)].e
-		if e == last {
-			steps++
+	maxScore := p.AffineBound * p.meanLoadScore(s, q, now)
+	pos := s.ring.successor(mix64(q.Prefix))
+	var previous *endpoint
+	for candidates := 0; candidates < maxRingCandidates; pos++ {
+		e := points[pos%len(points)].e
+		if e == previous {
+			candidates++
 			continue
 		}
-		last = e
-		steps++
-		if p.state(e, s, now) != eligible || tried(q, e) || e.slowness(s, now) >= slowFrom {
+		previous = e
+		candidates++
+		if p.state(e, s, now) != eligible || alreadyTried(q, e) || e.slowdown(s, now) >= slowThreshold {
 			continue
 		}
-		if p.pressure(e, s, q, now) <= bound {
+		if p.loadScore(e, s, q, now) <= maxScore {
 			return e
 		}
 	}
 	return nil
 }
 
-// meanPressure estimates the mean over the endpoints that can be chosen.
-func (p *Picture) meanPressure(s *routeSet, q *Query, now time.Time) float64 {
+// meanLoadScore estimates the mean load score of the available endpoints from a
+// random sample. It returns 1 if the sample contains none.
+func (p *Picture) meanLoadScore(s *route, q *Query, now time.Time) float64 {
 	var sum, n float64
-	for range affineSample {
-		e := s.endpoints[p.next()%uint64(len(s.endpoints))]
+	for range meanSampleSize {
+		e := s.endpoints[p.nextRandom()%uint64(len(s.endpoints))]
 		if e.unavailable() {
 			continue
 		}
-		sum += p.pressure(e, s, q, now)
+		sum += p.loadScore(e, s, q, now)
 		n++
 	}
 	if n == 0 {
--- a/internal/endpoint/placement/attempt.go
+++ b/internal/endpoint/placement/attempt.go
@@ -2,28 +2,30 @@
 
 import "time"
 
-// Attempt is one attempt of this entry that has been placed and not ended.
+// Attempt is an attempt of this entry that has been placed on an endpoint.
 type Attempt struct {
 	endpoint    *endpoint
 	incarnation uint64
 	tokens      int
 	started     time.Time
-	// heard is the start, or when the last piece came.
-	heard    time.Time
-	answered bool
-	ended    bool
-	set      *routeSet
-	// prev and next link the endpoint's attempts by heard.
+	// lastProgress is when the last part of the response arrived, or started if
+	// none has.
+	lastProgress time.Time
+	responded    bool
+	ended        bool
+	route        *route
+	// prev and next link the attempts of an endpoint in order of lastProgress.
 	prev, next *Attempt
 }
 
 // Endpoint returns the name of the attempt's endpoint.
 func (a *Attempt) Endpoint() string { return a.endpoint.name }
 
-// attempts lists the open attempts of an endpoint, longest silent first.
-type attempts struct{ first, last *Attempt }
+// attemptList is the list of the open attempts of an endpoint, ordered by
+// lastProgress, oldest first.
+type attemptList struct{ first, last *Attempt }
 
-func (l *attempts) add(a *Attempt) {
+func (l *attemptList) add(a *Attempt) {
 	a.prev, a.next = l.last, nil
 	if l.last != nil {
 		l.last.next = a
@@ -33,7 +35,7 @@
 	l.last = a
 }
 
-func (l *attempts) remove(a *Attempt) {
+func (l *attemptList) remove(a *Attempt) {
 	if a.prev != nil {
 		a.prev.next = a.next
 	} else {
@@ -47,9 +49,9 @@
 	a.prev, a.next = nil, nil
 }
 
-// Started commits an attempt to the chosen endpoint. Its work counts from now
-// until Ended, whatever the reports say. It returns nil when the endpoint has
-// been removed since the choice.
+// Started records that an attempt was placed on the selected endpoint. Its load
+// counts from now until it ends, independent of reports. Started returns nil if
+// the endpoint was removed after it was selected.
 func (p *Picture) Started(c Choice, q Query, now time.Time) *Attempt {
 	e := p.endpoints[c.Endpoint]
 	if e == nil {
@@ -57,114 +59,121 @@
 	}
 	a := &Attempt{
 		endpoint: e, incarnation: e.incarnation, tokens: max(0, q.Tokens),
-		started: now, heard: now, set: p.routes[q.Route],
+		started: now, lastProgress: now, route: p.routes[q.Route],
 	}
-	p.noteTokens(a.tokens)
+	p.observeTokens(a.tokens)
 	e.attempts.add(a)
-	e.commit(1, a.tokens, now)
+	e.addOwnLoad(1, a.tokens, now)
 	return a
 }
 
-func (e *endpoint) commit(streams, tokens int, now time.Time) {
-	e.own += streams
+// addOwnLoad adds the given streams and tokens, which may be negative, to the
+// load of this entry on the endpoint.
+func (e *endpoint) addOwnLoad(streams, tokens int, now time.Time) {
+	e.ownStreams += streams
 	e.ownTokens += tokens
-	e.history.add(now, e.own, e.ownTokens)
+	e.history.add(now, e.ownStreams, e.ownTokens)
 }
 
-// Piece records that a piece of the answer has come.
+// Piece records that a part of the response has arrived. It does nothing if a
+// is nil or has ended.
 func (p *Picture) Piece(a *Attempt, now time.Time) {
 	if a == nil || a.ended {
 		return
 	}
 	e := a.endpoint
 	p.Accepted(a)
-	if !a.answered {
-		a.answered = true
-		e.failures = 0
-		e.observe(now.Sub(a.started).Seconds(), a)
+	if !a.responded {
+		a.responded = true
+		e.consecutiveFailures = 0
+		e.observeLatency(now.Sub(a.started).Seconds(), a)
 	}
-	a.heard = now
+	a.lastProgress = now
 	e.attempts.remove(a)
 	e.attempts.add(a)
 }
 
-// Ended takes the attempt's work off its endpoint. Ending twice does no harm.
+// Ended removes the load of the attempt from its endpoint. It does nothing if a
+// is nil or has ended.
 func (p *Picture) Ended(a *Attempt, now time.Time) {
 	if a == nil || a.ended {
 		return
 	}
 	a.ended = true
 	a.endpoint.attempts.remove(a)
-	a.endpoint.commit(-1, -a.tokens, now)
+	a.endpoint.addOwnLoad(-1, -a.tokens, now)
 }
 
-// Refused records that the agent has refused the attempt as not run, and ends
-// it. The endpoint counts as full until a report from after the refusal says
-// otherwise or an own attempt ends there. Reports may be seconds old, so that
-// one attempt may also ask again after a pause: retryAfter or leastBackOff,
-// whichever is longer, doubled with each refusal in a row.
+// Refused records that the agent refused the attempt without running it, and
+// ends the attempt. The endpoint then counts as full until a report from after
+// the refusal shows free capacity or an attempt of this entry ends there. As
+// reports may be seconds old, one attempt may also be placed after a backoff:
+// the longer of retryAfter and minBackoff, doubled with each consecutive
+// refusal, up to maxBackoff.
 //
-// The load is saturation: each entry has waiting requests and asks for each
-// place that a lagging report shows. Without the pause most of what agents do
-// would be to refuse.
+// At saturation each entry has queued requests and tries each free slot that an
+// outdated report shows. Without the backoff agents would spend most of their
+// work on refusals.
 func (p *Picture) Refused(a *Attempt, retryAfter time.Duration, now time.Time) {
 	if a == nil || a.ended {
 		return
 	}
 	p.Ended(a, now)
 	e := a.endpoint
-	pause := min(max(retryAfter, leastBackOff<<min(e.refusals, 10)), mostBackOff)
-	if !a.started.Before(e.refused) {
-		e.refusals++
+	backoff := min(max(retryAfter, minBackoff<<min(e.consecutiveRefusals, 10)), maxBackoff)
+	if !a.started.Before(e.lastRefusal) {
+		e.consecutiveRefusals++
 	}
-	e.backOff = now.Add(pause)
-	e.refused = now
-	e.others = max(e.others, float64(e.allowance-e.own))
+	e.backoffUntil = now.Add(backoff)
+	e.lastRefusal = now
+	e.otherStreams = max(e.otherStreams, float64(e.allowance-e.ownStreams))
 }
 
-// Failed records that the endpoint has failed the attempt, and ends it. The
-// endpoint is left alone for a pause that doubles with each failure in a row.
+// Failed records that the endpoint failed the attempt, and ends the attempt.
+// The endpoint is ejected (not selected) for a time that doubles with each
+// consecutive failure.
 //
-// The load is an endpoint that fails each request within moments. It never has
-// work, so by committed load it is always the best choice, and a fleet sends
-// it a large part of all requests. After the pause one failure is enough to
-// pause it again for longer, so it costs few callers until it is healthy.
+// An endpoint that fails each request immediately has no load and would always
+// be preferred by committed load, so that it would receive a large part of all
+// requests. After the ejection a single failure ejects it again for longer, so
+// few requests are lost until it recovers.
 //
-// Attempts that began before the last failure say nothing new: an engine that
-// restarts breaks all its streams at once. Without that rule six broken streams
-// made a pause of 8 s for an engine that was back at once.
+// Attempts that started before the last failure are ignored, because an engine
+// that restarts breaks all its streams at once. Without this rule, six
+// broken streams ejected an engine for 8 s that was back immediately.
 func (p *Picture) Failed(a *Attempt, now time.Time) {
 	if a == nil || a.ended {
 		return
 	}
 	p.Ended(a, now)
 	e := a.endpoint
-	if a.incarnation != e.incarnation || a.started.Before(e.failedAt) {
+	if a.incarnation != e.incarnation || a.started.Before(e.lastFailure) {
 		return
 	}
-	e.failedAt = now
-	e.failedUntil = now.Add(leastFailPause << min(e.failures, mostFailDoublings))
-	e.failures++
+	e.lastFailure = now
+	e.ejectedUntil = now.Add(minEjection << min(e.consecutiveFailures, maxEjectionDoublings))
+	e.consecutiveFailures++
 }
 
-// Bounds of the pause after a failure: a quarter of a second, doubled up to 16
-// seconds. A request or two of a healthy endpoint fail for their own reasons,
-// which must not cost its capacity for long.
+// Bounds of the ejection after a failure: 250 ms, doubled up to 16 s. The first is
+// short because single requests also fail on healthy endpoints, which must not be
+// ejected for long.
 const (
-	leastFailPause    = 250 * time.Millisecond
-	mostFailDoublings = 6
+	minEjection          = 250 * time.Millisecond
+	maxEjectionDoublings = 6
 )
 
-// Accepted records that the agent has accepted the attempt.
+// Accepted records that the agent accepted the attempt. It does nothing if a is
+// nil.
 func (p *Picture) Accepted(a *Attempt) {
 	if a != nil && a.incarnation == a.endpoint.incarnation {
-		a.endpoint.refusals = 0
+		a.endpoint.consecutiveRefusals = 0
 	}
 }
 
-// Bounds of the pause after a refusal. Reports usually come sooner than the
-// lower one; the upper one is what a caller hardly notices.
+// Bounds of the backoff after a refusal. A new report usually arrives before
+// minBackoff has passed; maxBackoff is a delay that clients hardly notice.
 const (
-	leastBackOff = 250 * time.Millisecond
-	mostBackOff  = time.Second
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = time.Second
 )
--- a/internal/endpoint/placement/choose.go
+++ b/internal/endpoint/placement/choose.go
@@ -8,95 +8,102 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// routeSet is the endpoints that serve one route.
-type routeSet struct {
+// route holds the endpoints that serve one route.
+type route struct {
 	endpoints []*endpoint
 	ring      ring
-	// typical is the median time to the first piece in seconds.
-	typical float64
+	// medianLatency is the running median of the time to the first part of a
+	// response, in seconds.
+	medianLatency float64
 }
 
-func (s *routeSet) add(e *endpoint) {
+func (s *route) add(e *endpoint) {
 	s.endpoints = append(s.endpoints, e)
 	s.ring.stale = true
 }
 
-func (s *routeSet) drop(e *endpoint) {
+func (s *route) remove(e *endpoint) {
 	if i := slices.Index(s.endpoints, e); i >= 0 {
 		s.endpoints = slices.Delete(s.endpoints, i, i+1)
 	}
 	s.ring.stale = true
 }
 
-// tokenWeight is the weight of promised tokens against open streams. A stream
-// holds a place in the engine's batch however short it is; its tokens say for
-// how long, and so tell endpoints apart that have equally many. A larger weight
-// sent requests to endpoints with more streams and met more refusals.
+// tokenWeight is the weight of committed tokens relative to open streams. Each
+// stream occupies a slot of the engine's batch regardless of its length, so
+// streams determine the load; tokens, which determine for how long a slot is
+// occupied, distinguish endpoints with equally many streams. Larger weights
+// sent requests to endpoints with more streams and caused more refusals.
 const tokenWeight = 0.1
 
-// leastRamp is the part of the load that a returning endpoint gets at first.
-const leastRamp = 0.1
+// minSlowStartFraction is the fraction of its capacity that an endpoint gets at
+// the beginning of its slow start.
+const minSlowStartFraction = 0.1
 
-// pressure returns the committed work of e after taking the query on, as a
-// part of what e can bear; lower is better.
-func (p *Picture) pressure(e *endpoint, s *routeSet, q *Query, now time.Time) float64 {
+// loadScore returns the load of e with the query added, relative to its
+// capacity; lower is better. Slow endpoints, endpoints in slow start and
+// endpoints of other data centres get higher scores.
+func (p *Picture) loadScore(e *endpoint, s *route, q *Query, now time.Time) float64 {
 	streams := e.streams() + 1
 	tokens := e.otherTokens + float64(e.ownTokens+q.Tokens)
-	bears := float64(e.capacity)
+	capacity := float64(e.capacity)
 	if e.cold {
-		bears = float64(max(1, e.allowance))
+		capacity = float64(max(1, e.allowance))
 	}
-	if !e.fresh(now, p.StaleAfter) {
-		streams = math.Max(streams, unknownLoad*bears)
+	if !e.hasRecentReport(now, p.StaleAfter) {
+		streams = math.Max(streams, unknownLoad*capacity)
 	}
-	x := (streams + tokenWeight*tokens/p.tokens) / (bears * p.ramp(e, now))
-	x *= e.slowness(s, now)
+	score := (streams + tokenWeight*tokens/p.meanTokens) / (capacity * p.slowStartFraction(e, now))
+	score *= e.slowdown(s, now)
 	if !e.local {
-		x += p.Spill
+		score += p.Spill
 	}
-	return x
+	return score
 }
 
-// unknownLoad is the load assumed of an endpoint whose report is not recent,
-// as a part of what it bears.
+// unknownLoad is the minimum load that is assumed for an endpoint without a
+// recent report, as a fraction of its capacity.
 const unknownLoad = 0.9
 
-// ramp returns the part of its load that a returning endpoint is given yet.
-// The load is a data centre that returns at the peak: all its endpoints look
-// empty at once, and without the ramp all entries would send them everything,
-// with empty caches, in the first moment.
-func (p *Picture) ramp(e *endpoint, now time.Time) float64 {
-	back := now.Sub(e.returned)
-	if back >= p.SlowStart {
+// slowStartFraction returns the fraction of its capacity that an endpoint gets
+// in its slow start, and 1 after it. When a data centre comes back at peak
+// load, all its endpoints look idle at once; without the slow start, all
+// entries would immediately send them all requests, while their caches are
+// empty.
+func (p *Picture) slowStartFraction(e *endpoint, now time.Time) float64 {
+	elapsed := now.Sub(e.availableSince)
+	if elapsed >= p.SlowStart {
 		return 1
 	}
-	return math.Max(leastRamp, back.Seconds()/p.SlowStart.Seconds())
+	return math.Max(minSlowStartFraction, elapsed.Seconds()/p.SlowStart.Seconds())
 }
 
-// Choose returns the endpoint for one attempt. When ok is false, the code says
-// why there is none: EndpointBusy and EndpointCold pass with time, the others
-// need an endpoint to come into service. It allocates nothing.
+// Choose returns the endpoint for one attempt. If ok is false, why is the
+// reason that none could be selected: EndpointBusy and EndpointCold are
+// temporary, the other codes last until an endpoint comes into service. Choose
+// doesn't allocate.
 func (p *Picture) Choose(q Query, now time.Time) (c Choice, ok bool, why result.Code) {
 	s := p.routes[q.Route]
 	if s == nil || len(s.endpoints) == 0 {
 		return Choice{}, false, result.NoEndpoint
 	}
-	if e := p.affine(s, &q, now); e != nil {
-		return p.chosen(e, true, false, now), true, result.OK
+	if e := p.affinityEndpoint(s, &q, now); e != nil {
+		return p.recordChoice(e, true, false, now), true, result.OK
 	}
-	e, probe := p.draw(s, &q, now)
+	e, probe := p.sample(s, &q, now)
 	if e != nil {
-		return p.chosen(e, false, probe, now), true, result.OK
+		return p.recordChoice(e, false, probe, now), true, result.OK
 	}
 	e, best := p.scan(s, &q, now)
 	if e != nil {
-		return p.chosen(e, false, false, now), true, result.OK
+		return p.recordChoice(e, false, false, now), true, result.OK
 	}
-	return Choice{}, false, reasons[best]
+	return Choice{}, false, rejectionCodes[best]
 }
 
-func (p *Picture) chosen(e *endpoint, affine, probe bool, now time.Time) Choice {
-	e.chosen = now
+// recordChoice records that e was selected and returns the Choice.
+func (p *Picture) recordChoice(e *endpoint, affine, probe bool, now time.Time) Choice {
+	e.lastChosen = now
 	if probe {
 		e.probes++
 	}
@@ -106,43 +113,47 @@
 	}
 }
 
-// draw compares a few endpoints drawn at random.
-func (p *Picture) draw(s *routeSet, q *Query, now time.Time) (best *endpoint, probe bool) {
-	least := math.Inf(1)
+// sample returns the endpoint with the lowest load score among p.Draws random
+// ones, or nil if none of them can be selected. It returns a slow endpoint,
+// with probe set, as soon as it finds one that is due to be probed.
+func (p *Picture) sample(s *route, q *Query, now time.Time) (lowest *endpoint, probe bool) {
+	lowestScore := math.Inf(1)
 	n := uint64(len(s.endpoints))
 	for range p.Draws {
-		e := s.endpoints[p.next()%n]
-		if p.state(e, s, now) != eligible || tried(q, e) {
+		e := s.endpoints[p.nextRandom()%n]
+		if p.state(e, s, now) != eligible || alreadyTried(q, e) {
 			continue
 		}
-		if p.wantsProbe(e, s, q, now) {
+		if p.probeDue(e, s, q, now) {
 			return e, true
 		}
-		if x := p.pressure(e, s, q, now); x < least {
-			best, least = e, x
+		if score := p.loadScore(e, s, q, now); score < lowestScore {
+			lowest, lowestScore = e, score
 		}
 	}
-	return best, false
+	return lowest, false
 }
 
-// wantsProbe reports whether a slow endpoint without work is due to be tried.
-// Without it an endpoint that was slow once would look slow for ever, because
-// it gets no work that could show its recovery. Each probe makes a caller wait
-// if the endpoint is still slow, so they come ever more seldom.
-func (p *Picture) wantsProbe(e *endpoint, s *routeSet, q *Query, now time.Time) bool {
-	gap := p.ProbeEvery << min(e.probes, mostProbeDoublings)
-	if q.RunOnce || e.own > 0 || now.Sub(e.chosen) < gap {
+// probeDue reports whether e is slow, has no load from this entry and is due to
+// be probed. An endpoint that was slow once would otherwise be considered slow
+// for ever, because it gets no requests that could show its recovery. Probes
+// become less frequent as long as the endpoint stays slow, because each of them
+// delays a client.
+func (p *Picture) probeDue(e *endpoint, s *route, q *Query, now time.Time) bool {
+	interval := p.ProbeEvery << min(e.probes, maxProbeDoublings)
+	if q.RunOnce || e.ownStreams > 0 || now.Sub(e.lastChosen) < interval {
 		return false
 	}
-	return e.slowness(s, now) >= slowFrom
+	return e.slowdown(s, now) >= slowThreshold
 }
 
-// scan looks at all endpoints after the draws have found none, and otherwise
-// returns the most hopeful reason.
-func (p *Picture) scan(s *routeSet, q *Query, now time.Time) (best *endpoint, why int) {
+// scan returns the endpoint with the lowest load score among all endpoints, for
+// when sample finds none. If no endpoint can be selected, it returns the index
+// in rejectionCodes of the reason that is most likely to pass.
+func (p *Picture) scan(s *route, q *Query, now time.Time) (lowest *endpoint, why int) {
 	least := math.Inf(1)
 	for _, e := range s.endpoints {
-		if tried(q, e) {
+		if alreadyTried(q, e) {
 			continue
 		}
 		st := p.state(e, s, now)
@@ -150,13 +161,14 @@
 			why = max(why, st)
 			continue
 		}
-		if x := p.pressure(e, s, q, now); x < least {
-			best, least = e, x
+		if x := p.loadScore(e, s, q, now); x < least {
+			lowest, least = e, x
 		}
 	}
-	return best, why
+	return lowest, why
 }
 
-func tried(q *Query, e *endpoint) bool {
+// alreadyTried reports whether an earlier attempt of the request used e.
+func alreadyTried(q *Query, e *endpoint) bool {
 	return len(q.Tried) > 0 && slices.Contains(q.Tried, e.name)
 }
--- a/internal/endpoint/placement/endpoint.go
+++ b/internal/endpoint/placement/endpoint.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// endpoint is what is known about one endpoint.
+// endpoint is the state of one endpoint as known to this entry.
 type endpoint struct {
 	name        string
 	hash        uint64
@@ -14,169 +14,185 @@
 	incarnation uint64
 	routes      []string
 
-	reported  time.Time
-	allowance int
-	capacity  int
-	cold      bool
-	leaving   bool
-	// out is what the agent says and ordered what this entry's configuration
-	// says. Either may lag behind the other, and out of service wins.
-	out     bool
-	ordered bool
-	// others and otherTokens are the reported work that is not this entry's.
-	others      float64
-	otherTokens float64
-
-	own       int
-	ownTokens int
-	history   history
-	attempts  attempts
-
-	// returned is when the endpoint began to be available again.
-	returned time.Time
-	// refused is the last refusal, backOff when it may be asked again, and
-	// refusals how many came in a row.
-	refused  time.Time
-	backOff  time.Time
-	refusals int
-	// failures counts the failures since the last answer, failedAt is the time
-	// of the last one that counted, and failedUntil is when the endpoint may be
-	// chosen again after it.
-	failures    int
-	failedAt    time.Time
-	failedUntil time.Time
-	chosen      time.Time
-	// probes counts the probes since the endpoint last answered in usual time.
+	reportedAt time.Time
+	allowance  int
+	capacity   int
+	cold       bool
+	leaving    bool
+	// reportedOut is whether the agent reports the endpoint as out of service,
+	// and configuredOut whether the entry's configuration says so. Either may
+	// lag behind the other; the endpoint is out of service if one of them is
+	// set.
+	reportedOut   bool
+	configuredOut bool
+	// otherStreams and otherTokens are the reported load from other entries.
+	otherStreams float64
+	otherTokens  float64
+
+	// ownStreams and ownTokens are the current load from this entry.
+	ownStreams int
+	ownTokens  int
+	history    loadHistory
+	attempts   attemptList
+
+	// availableSince is when the endpoint last became available.
+	availableSince time.Time
+	// lastRefusal is the time of the last refusal, backoffUntil is when an
+	// attempt may be placed again in spite of it, and consecutiveRefusals
+	// counts the refusals since the agent last accepted an attempt.
+	lastRefusal         time.Time
+	backoffUntil        time.Time
+	consecutiveRefusals int
+	// consecutiveFailures counts the failures since the last response,
+	// lastFailure is the time of the last one that was counted, and
+	// ejectedUntil is when the endpoint may be selected again.
+	consecutiveFailures int
+	lastFailure         time.Time
+	ejectedUntil        time.Time
+	// lastChosen is when the endpoint was last selected.
+	lastChosen time.Time
+	// probes counts the probes since the endpoint last responded in normal
+	// time.
 	probes int
-	// firstPiece is the smoothed time to the first piece in seconds.
-	firstPiece float64
+	// latency is the smoothed time to the first part of a response, in seconds,
+	// or zero if it is unknown.
+	latency float64
 }
 
-func (e *endpoint) restart(incarnation uint64, now time.Time) {
+// reset discards what is known about earlier incarnations of the endpoint.
+func (e *endpoint) reset(incarnation uint64, now time.Time) {
 	e.incarnation = incarnation
-	e.returned = now
-	e.reported = time.Time{}
-	e.refused, e.backOff = time.Time{}, time.Time{}
-	e.refusals = 0
-	e.failures, e.failedAt, e.failedUntil = 0, time.Time{}, time.Time{}
-	e.firstPiece = 0
+	e.availableSince = now
+	e.reportedAt = time.Time{}
+	e.lastRefusal, e.backoffUntil = time.Time{}, time.Time{}
+	e.consecutiveRefusals = 0
+	e.consecutiveFailures, e.lastFailure, e.ejectedUntil = 0, time.Time{}, time.Time{}
+	e.latency = 0
 }
 
-func (e *endpoint) unavailable() bool { return e.leaving || e.out || e.ordered }
+// unavailable reports whether the endpoint is leaving or out of service.
+func (e *endpoint) unavailable() bool { return e.leaving || e.reportedOut || e.configuredOut }
 
-// take copies the report and subtracts the entry's own part as it was when the
-// report was true. Own attempts started since then are counted at once, those
-// of other entries appear with the next report.
-func (e *endpoint) take(r Report, dataCentre string) {
+// applyReport copies the report and subtracts the load that this entry had on
+// the endpoint at the time of the report. Attempts that this entry starts later
+// are added immediately; those of other entries appear in the next report. A
+// report from before the last refusal doesn't lower the load from other
+// entries.
+func (e *endpoint) applyReport(r Report, dataCentre string) {
 	e.dataCentre = r.DataCentre
 	e.local = r.DataCentre == dataCentre
 	e.allowance = max(0, r.Allowance)
 	e.capacity = max(1, r.Capacity, r.Allowance)
-	e.cold, e.leaving, e.out = r.Cold, r.Leaving, r.Out
-	e.reported = r.At
-	own, tokens := e.history.before(r.At)
+	e.cold, e.leaving, e.reportedOut = r.Cold, r.Leaving, r.Out
+	e.reportedAt = r.At
+	own, tokens := e.history.loadAt(r.At)
 	others := math.Max(0, float64(r.Running-own))
-	if !r.At.After(e.refused) {
-		others = math.Max(others, e.others)
+	if !r.At.After(e.lastRefusal) {
+		others = math.Max(others, e.otherStreams)
 	}
-	e.others = others
+	e.otherStreams = others
 	e.otherTokens = math.Max(0, float64(r.CommittedTokens)-float64(tokens))
 }
 
-func (e *endpoint) fresh(now time.Time, stale time.Duration) bool {
-	return !e.reported.IsZero() && now.Sub(e.reported) <= stale
+// hasRecentReport reports whether the last report is at most staleAfter old.
+func (e *endpoint) hasRecentReport(now time.Time, staleAfter time.Duration) bool {
+	return !e.reportedAt.IsZero() && now.Sub(e.reportedAt) <= staleAfter
 }
 
-// streams returns the committed streams: own ones as of now, others as of the
-// last report.
-func (e *endpoint) streams() float64 { return e.others + float64(e.own) }
+// streams returns the number of committed streams: those of this entry as of
+// now, and those of other entries as of the last report.
+func (e *endpoint) streams() float64 { return e.otherStreams + float64(e.ownStreams) }
 
-// state returns eligible, or why the endpoint can't be chosen.
-func (p *Picture) state(e *endpoint, s *routeSet, now time.Time) int {
+// state returns eligible, or the index in rejectionCodes of the reason that the
+// endpoint can't be selected.
+func (p *Picture) state(e *endpoint, s *route, now time.Time) int {
 	switch {
-	case e.out || e.ordered:
+	case e.reportedOut || e.configuredOut:
 		return outOfService
 	case e.leaving:
 		return leaving
-	case now.Before(e.failedUntil):
+	case now.Before(e.ejectedUntil):
 		return busy
-	case !e.fresh(now, p.StaleAfter):
+	case !e.hasRecentReport(now, p.StaleAfter):
 		return p.stateUnknown(e, now)
 	case e.cold:
 		return p.stateCold(e, now)
-	case e.streams() >= e.bears(s, now) && !e.mayAskAgain(now):
+	case e.streams() >= e.streamLimit(s, now) && !e.mayRetry(now):
 		return busy
 	}
 	return eligible
 }
 
-// mayAskAgain reports whether an endpoint that is full by an own refusal, and
-// of which no newer report has come, may be asked again.
-func (e *endpoint) mayAskAgain(now time.Time) bool {
-	return e.refusals > 0 && !e.reported.After(e.refused) && !now.Before(e.backOff)
+// mayRetry reports whether an attempt may be placed on an endpoint that counts
+// as full because of a refusal: its backoff has passed, and no newer report has
+// arrived.
+func (e *endpoint) mayRetry(now time.Time) bool {
+	return e.consecutiveRefusals > 0 && !e.reportedAt.After(e.lastRefusal) && !now.Before(e.backoffUntil)
 }
 
-// stateUnknown lets one own attempt at a time through to an endpoint whose
-// load is unknown. The harm prevented is a crowd on an endpoint that looks
-// idle because its reports have stopped; one attempt finds out, because the
-// agent still answers for what the endpoint can bear.
+// stateUnknown is the state of an endpoint without a recent report. It allows
+// one attempt of this entry at a time, so that an endpoint that looks idle only
+// because its reports have stopped isn't flooded. One attempt is enough to get
+// new information, because the agent still refuses what the endpoint can't run.
 func (p *Picture) stateUnknown(e *endpoint, now time.Time) int {
-	if e.own > 0 || now.Before(e.backOff) {
+	if e.ownStreams > 0 || now.Before(e.backoffUntil) {
 		return busy
 	}
 	return eligible
 }
 
-// stateCold keeps to the entry's part of a cold endpoint's allowance. The load
-// is the moment when an endpoint or data centre returns and all entries see
-// the same free allowance in the same lagging report. The agent would refuse
-// the excess, but each refusal costs the caller a round trip.
+// stateCold is the state of an endpoint in cold start. It limits this entry to
+// an equal share of the free allowance. When an endpoint or a data centre comes
+// back, all entries see the same free allowance in the same outdated report.
+// The agent would refuse the excess, but each refusal costs the client a round
+// trip.
 func (p *Picture) stateCold(e *endpoint, now time.Time) int {
-	free := float64(e.allowance) - e.others
-	part := math.Ceil(free / float64(p.Entries))
-	if now.Before(e.backOff) || float64(e.own) >= part || free <= 0 {
+	free := float64(e.allowance) - e.otherStreams
+	quota := math.Ceil(free / float64(p.Entries))
+	if now.Before(e.backoffUntil) || float64(e.ownStreams) >= quota || free <= 0 {
 		return cold
 	}
 	return eligible
 }
 
-// history remembers the entry's own work at an endpoint over the last changes,
-// so that a lagging report can be compared with its own moment.
-type history struct {
-	events [historySize]event
-	next   int
-	n      int
-	// first is the work before the oldest remembered change.
-	first event
+// loadHistory holds the last changes of this entry's load on an endpoint in a
+// ring buffer, so that a report can be compared with the load at the time of
+// the report.
+type loadHistory struct {
+	samples [historySize]loadSample
+	next    int
+	count   int
+	// evicted is the load before the oldest sample.
+	evicted loadSample
 }
 
 const historySize = 32
 
-// event is the own work from a moment on.
-type event struct {
-	at     time.Time
-	own    int
-	tokens int
+// loadSample is the load of this entry from a point in time on.
+type loadSample struct {
+	at      time.Time
+	streams int
+	tokens  int
 }
 
-// add records the own work from at on.
-func (h *history) add(at time.Time, own, tokens int) {
-	if h.n == historySize {
-		h.first = h.events[h.next]
+// add records the load from the given time on.
+func (h *loadHistory) add(at time.Time, streams, tokens int) {
+	if h.count == historySize {
+		h.evicted = h.samples[h.next]
 	}
-	h.events[h.next] = event{at, own, tokens}
+	h.samples[h.next] = loadSample{at, streams, tokens}
 	h.next = (h.next + 1) % historySize
-	h.n = min(h.n+1, historySize)
+	h.count = min(h.count+1, historySize)
 }
 
-// before returns the own work at the given time; for a time before the oldest
-// remembered change, the work before that change.
-func (h *history) before(at time.Time) (own, tokens int) {
-	for i := 1; i <= h.n; i++ {
-		ev := &h.events[(h.next-i+historySize)%historySize]
-		if !ev.at.After(at) {
-			return ev.own, ev.tokens
+// loadAt returns the load at time t. For a time before the oldest sample it
+// returns the load before that sample.
+func (h *loadHistory) loadAt(t time.Time) (streams, tokens int) {
+	for i := 1; i <= h.count; i++ {
+		sample := &h.samples[(h.next-i+historySize)%historySize]
+		if !sample.at.After(t) {
+			return sample.streams, sample.tokens
 		}
 	}
-	return h.first.own, h.first.tokens
+	return h.evicted.streams, h.evicted.tokens
 }
--- a/internal/endpoint/placement/picture.go
+++ b/internal/endpoint/placement/picture.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Defaults of the Picture's fields.
+// Default values of the fields of Picture.
 const (
 	DefaultStaleAfter  = 5 * time.Second
 	DefaultSlowStart   = 10 * time.Second
@@ -17,39 +17,45 @@
 	DefaultAffineBound = 1.25
 )
 
-// Picture is one entry's view of its endpoints. Its exported fields are set
-// before the first call; zero values mean the defaults.
+// Picture is one entry's view of its endpoints. The exported fields must be set
+// before the first call; zero values select the defaults.
 type Picture struct {
-	// DataCentre is the entry's own.
+	// DataCentre is the data centre of the entry.
 	DataCentre string
-	// Entries is how many entries hear the same endpoints. Each takes only its
-	// part of what a cold endpoint has left.
+	// Entries is the number of entries that send requests to the same
+	// endpoints. Each uses only its share of the free allowance of a cold
+	// endpoint.
 	Entries int
-	// Seed makes the draws repeatable. Entries use different seeds.
+	// Seed makes the random sampling reproducible. Entries must use different
+	// seeds.
 	Seed uint64
-	// StaleAfter is the age from which a report counts as unknown.
+	// StaleAfter is the age beyond which a report is outdated and the load of
+	// its endpoint unknown.
 	StaleAfter time.Duration
-	// SlowStart is the time over which a returning endpoint is given its full
-	// part of the load.
+	// SlowStart is the time over which the load of an endpoint that becomes
+	// available is ramped up.
 	SlowStart time.Duration
-	// ProbeEvery is how often a slow endpoint without work is tried again.
+	// ProbeEvery is the interval between probes of a slow endpoint without
+	// load.
 	ProbeEvery time.Duration
-	// Draws is how many endpoints are compared for a choice.
+	// Draws is the number of random endpoints that are compared for each
+	// choice.
 	Draws int
-	// Spill is how much more pressed the own data centre must be before a
-	// request goes to another, as a part of an endpoint's capacity.
+	// Spill is the penalty on endpoints of other data centres: the difference
+	// in load, as a fraction of the capacity of an endpoint, from which a
+	// request goes to another data centre.
 	Spill float64
-	// AffineBound is how much more than the mean pressure an endpoint may bear
-	// to keep a prefix. Less breaks up the caches, more makes one endpoint hot
-	// for a popular prefix.
+	// AffineBound is the bound on the load score of the endpoint that keeps a
+	// prefix, as a factor of the mean. A lower value disperses the cached
+	// prefixes, a higher one overloads single endpoints with popular prefixes.
 	AffineBound float64
 
-	endpoints map[string]*endpoint
-	routes    map[string]*routeSet
-	out       map[string]bool
-	outDC     map[string]bool
-	rng       uint64
-	tokens    float64
+	endpoints      map[string]*endpoint
+	routes         map[string]*route
+	outEndpoints   map[string]bool
+	outDataCentres map[string]bool
+	rngState       uint64
+	meanTokens     float64
 }
 
 func (p *Picture) init() {
@@ -57,11 +63,11 @@
 		return
 	}
 	p.endpoints = make(map[string]*endpoint)
-	p.routes = make(map[string]*routeSet)
-	p.out = make(map[string]bool)
-	p.outDC = make(map[string]bool)
-	p.rng = mix(p.Seed + 1)
-	p.tokens = firstMeanTokens
+	p.routes = make(map[string]*route)
+	p.outEndpoints = make(map[string]bool)
+	p.outDataCentres = make(map[string]bool)
+	p.rngState = mix64(p.Seed + 1)
+	p.meanTokens = initialMeanTokens
 	if p.Entries <= 0 {
 		p.Entries = 1
 	}
@@ -85,11 +91,12 @@
 	}
 }
 
-// firstMeanTokens is the mean request until some have been seen.
-const firstMeanTokens = 500
+// initialMeanTokens is the assumed mean number of tokens per request until
+// requests have been observed.
+const initialMeanTokens = 500
 
-// Update takes in a report. It returns false when the report is older than
-// what is known and has been ignored.
+// Update applies a report. It returns false if it ignored the report because it
+// names no endpoint or is older than a previous one.
 func (p *Picture) Update(r Report, now time.Time) bool {
 	p.init()
 	if r.Endpoint == "" {
@@ -97,29 +104,29 @@
 	}
 	e := p.endpoints[r.Endpoint]
 	if e == nil {
-		e = &endpoint{name: r.Endpoint, hash: xxhash.Sum64String(r.Endpoint), returned: now}
+		e = &endpoint{name: r.Endpoint, hash: xxhash.Sum64String(r.Endpoint), availableSince: now}
 		p.endpoints[r.Endpoint] = e
 	}
 	if r.Incarnation < e.incarnation {
 		return false
 	}
 	if r.Incarnation > e.incarnation {
-		e.restart(r.Incarnation, now)
-	} else if !r.At.IsZero() && r.At.Before(e.reported) {
+		e.reset(r.Incarnation, now)
+	} else if !r.At.IsZero() && r.At.Before(e.reportedAt) {
 		return false
 	}
-	was := e.unavailable()
-	e.take(r, p.DataCentre)
-	e.ordered = p.out[r.Endpoint] || p.outDC[r.DataCentre]
-	if was && !e.unavailable() {
-		e.returned = now
+	wasUnavailable := e.unavailable()
+	e.applyReport(r, p.DataCentre)
+	e.configuredOut = p.outEndpoints[r.Endpoint] || p.outDataCentres[r.DataCentre]
+	if wasUnavailable && !e.unavailable() {
+		e.availableSince = now
 	}
-	p.join(e, r.Routes)
+	p.setRoutes(e, r.Routes)
 	return true
 }
 
-// Remove forgets an endpoint whose VM has gone. Attempts that are still open
-// may be ended afterwards without harm.
+// Remove removes an endpoint whose VM has gone. Open attempts on it may still
+// be ended afterwards.
 func (p *Picture) Remove(name string) {
 	p.init()
 	e := p.endpoints[name]
@@ -127,25 +134,25 @@
 		return
 	}
 	delete(p.endpoints, name)
-	p.join(e, nil)
+	p.setRoutes(e, nil)
 }
 
-// SetOut puts the operators' orders into force: which endpoints and which data
-// centres are out of service. Both lists are whole.
+// SetOut sets the endpoints and the data centres that operators have taken out
+// of service. The lists replace those of earlier calls.
 func (p *Picture) SetOut(endpoints, dataCentres []string, now time.Time) {
 	p.init()
-	p.out = set(endpoints)
-	p.outDC = set(dataCentres)
+	p.outEndpoints = toSet(endpoints)
+	p.outDataCentres = toSet(dataCentres)
 	for _, e := range p.endpoints {
-		was := e.unavailable()
-		e.ordered = p.out[e.name] || p.outDC[e.dataCentre]
-		if was && !e.unavailable() {
-			e.returned = now
+		wasUnavailable := e.unavailable()
+		e.configuredOut = p.outEndpoints[e.name] || p.outDataCentres[e.dataCentre]
+		if wasUnavailable && !e.unavailable() {
+			e.availableSince = now
 		}
 	}
 }
 
-func set(names []string) map[string]bool {
+func toSet(names []string) map[string]bool {
 	m := make(map[string]bool, len(names))
 	for _, n := range names {
 		m[n] = true
@@ -153,19 +160,19 @@
 	return m
 }
 
-// join makes e a member of exactly the given routes.
-func (p *Picture) join(e *endpoint, routes []string) {
+// setRoutes makes e serve exactly the given routes.
+func (p *Picture) setRoutes(e *endpoint, routes []string) {
 	if equal(e.routes, routes) {
 		return
 	}
 	for _, name := range e.routes {
-		p.routes[name].drop(e)
+		p.routes[name].remove(e)
 	}
 	e.routes = append([]string(nil), routes...)
 	for _, name := range e.routes {
 		s := p.routes[name]
 		if s == nil {
-			s = &routeSet{}
+			s = &route{}
 			p.routes[name] = s
 		}
 		s.add(e)
@@ -184,33 +191,34 @@
 	return true
 }
 
-// Len returns how many endpoints are known.
+// Len returns the number of known endpoints.
 func (p *Picture) Len() int { return len(p.endpoints) }
 
-// Load returns the estimated number of streams at the endpoint and whether the
+// Load returns the estimated number of streams on the endpoint, and whether the
 // endpoint is known and its report is recent.
 func (p *Picture) Load(name string, now time.Time) (float64, bool) {
 	e := p.endpoints[name]
 	if e == nil {
 		return 0, false
 	}
-	return e.streams(), e.fresh(now, p.StaleAfter)
+	return e.streams(), e.hasRecentReport(now, p.StaleAfter)
 }
 
-// next returns a pseudo-random number (splitmix64).
-func (p *Picture) next() uint64 {
-	p.rng += 0x9e3779b97f4a7c15
-	return mix(p.rng)
+// nextRandom returns a pseudo-random number (SplitMix64).
+func (p *Picture) nextRandom() uint64 {
+	p.rngState += 0x9e3779b97f4a7c15
+	return mix64(p.rngState)
 }
 
-func mix(x uint64) uint64 {
+// mix64 is the output function of SplitMix64. It is also used to hash integers.
+func mix64(x uint64) uint64 {
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
 	return x ^ (x >> 31)
 }
 
-// noteTokens follows the mean number of tokens of a request.
-func (p *Picture) noteTokens(n int) {
+// observeTokens updates the moving average of the number of tokens per request.
+func (p *Picture) observeTokens(n int) {
 	const step = 0.01
-	p.tokens += step * (math.Max(1, float64(n)) - p.tokens)
+	p.meanTokens += step * (math.Max(1, float64(n)) - p.meanTokens)
 }
--- a/internal/endpoint/placement/placement_test.go
+++ b/internal/endpoint/placement/placement_test.go
@@ -13,20 +13,20 @@
 
 func name(i int) string { return fmt.Sprintf("endpoint%05d", i) }
 
-// warm reports an idle endpoint that has long been in service.
-func warm(i int, at time.Time) Report {
+// idleReport returns the report of an idle endpoint that isn't in cold start.
+func idleReport(i int, at time.Time) Report {
 	return Report{
 		Endpoint: name(i), Incarnation: 1, DataCentre: fmt.Sprint("dc", i%3), Routes: []string{"model"},
 		Allowance: 8, Capacity: 8, At: at,
 	}
 }
 
-// newPicture returns a picture of n idle endpoints after slow start.
+// newPicture returns a Picture of n idle endpoints whose slow start is over.
 func newPicture(n int, now time.Time) *Picture {
 	p := &Picture{DataCentre: "dc0", Spill: 0.01}
 	for i := range n {
-		p.Update(warm(i, now.Add(-time.Hour)), now.Add(-time.Hour))
-		p.Update(warm(i, now), now)
+		p.Update(idleReport(i, now.Add(-time.Hour)), now.Add(-time.Hour))
+		p.Update(idleReport(i, now), now)
 	}
 	return p
 }
@@ -40,8 +40,8 @@
 	return c
 }
 
-// spreadOf starts n requests and counts them by endpoint.
-func spreadOf(t testing.TB, p *Picture, q Query, n int, now time.Time) map[string]int {
+// startRequests places n requests and returns how many each endpoint got.
+func startRequests(t testing.TB, p *Picture, q Query, n int, now time.Time) map[string]int {
 	t.Helper()
 	got := make(map[string]int)
 	for range n {
@@ -52,10 +52,10 @@
 	return got
 }
 
-func assertNone(t testing.TB, p *Picture, q Query, now time.Time, want result.Code) {
+func assertNoChoice(t testing.TB, p *Picture, q Query, now time.Time, want result.Code) {
 	t.Helper()
 	if c, ok, why := p.Choose(q, now); ok || why != want {
-		t.Errorf("chose %v, %v, %v; want none and %v", c, ok, why, want)
+		t.Errorf("got %v, %v, %v; want no endpoint and %v", c, ok, why, want)
 	}
 }
 
@@ -76,28 +76,28 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := &Picture{DataCentre: "dc0"}
-			r := warm(0, now)
+			r := idleReport(0, now)
 			tc.change(&r)
 			p.Update(r, now)
-			assertNone(t, p, query, now, tc.want)
+			assertNoChoice(t, p, query, now, tc.want)
 		})
 	}
 	p := newPicture(2, now)
-	assertNone(t, p, Query{Route: "model", Tried: []string{name(0), name(1)}}, now, result.NoEndpoint)
+	assertNoChoice(t, p, Query{Route: "model", Tried: []string{name(0), name(1)}}, now, result.NoEndpoint)
 	p.SetOut([]string{name(0)}, []string{"dc1"}, now)
-	assertNone(t, p, query, now, result.OutOfService)
-	p.Update(warm(1, now.Add(time.Second)), now.Add(time.Second))
-	assertNone(t, p, query, now, result.OutOfService)
+	assertNoChoice(t, p, query, now, result.OutOfService)
+	p.Update(idleReport(1, now.Add(time.Second)), now.Add(time.Second))
+	assertNoChoice(t, p, query, now, result.OutOfService)
 }
 
-// naivePicture keeps every change of the own work and finds what it was at the
-// moment of a report by looking through all of them.
-type naivePicture struct {
+// loadReference is a simple model of the load history: it keeps all changes of
+// the own load and searches them for the load at the time of a report.
+type loadReference struct {
 	at  []time.Time
 	own []int
 }
 
-func (n *naivePicture) others(r Report) int {
+func (n *loadReference) otherStreams(r Report) int {
 	own := 0
 	for i, at := range n.at {
 		if !at.After(r.At) {
@@ -107,13 +107,13 @@
 	return max(0, r.Running-own)
 }
 
-// An endpoint would look idle, or full, for as long as reports lag: own work
-// is counted twice, or not at all.
+// If own attempts are counted twice, or not at all, while reports lag, an
+// endpoint looks full or idle when it is not.
 func TestOwnWorkIsJoinedWithLaggingReports(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	p := &Picture{DataCentre: "dc0"}
-	p.Update(warm(0, epoch), epoch)
-	ref := &naivePicture{}
+	p.Update(idleReport(0, epoch), epoch)
+	ref := &loadReference{}
 	var open []*Attempt
 	now, last := epoch, epoch
 	for range 3000 {
@@ -131,10 +131,10 @@
 				at = last
 			}
 			last = at
-			r := warm(0, at)
+			r := idleReport(0, at)
 			r.Running = 20 + rng.IntN(10)
 			p.Update(r, now)
-			want := float64(ref.others(r) + len(open))
+			want := float64(ref.otherStreams(r) + len(open))
 			if got, _ := p.Load(name(0), now); got != want {
 				t.Fatalf("load is %v, want %v", got, want)
 			}
@@ -145,30 +145,30 @@
 	}
 }
 
-// A crowd would go to an endpoint that looks idle because its reports have
-// stopped, or carry no time.
+// An endpoint whose reports have stopped, or carry no time, must not be taken
+// for idle and be flooded with requests.
 func TestUnknownLoadIsNotZero(t *testing.T) {
 	for _, at := range []time.Time{{}, epoch.Add(-time.Minute)} {
 		p := newPicture(12, epoch)
-		r := warm(3, at)
+		r := idleReport(3, at)
 		r.Incarnation = 2
 		p.Update(r, epoch.Add(-time.Minute))
-		got := spreadOf(t, p, query, 60, epoch)
+		got := startRequests(t, p, query, 60, epoch)
 		if got[name(3)] > 1 {
-			t.Errorf("%d of 60 went to an endpoint whose load is unknown", got[name(3)])
+			t.Errorf("%d of 60 requests went to an endpoint whose load is unknown", got[name(3)])
 		}
 	}
 }
 
-// A cold endpoint would fall over: nine entries see its one free place in the
-// same report.
+// Nine entries see the single free slot of a cold endpoint in the same report.
+// If each of them used it, the endpoint would crash.
 func TestColdEndpointGetsItsAllowanceAtMost(t *testing.T) {
 	for _, allowance := range []int{0, 1, 4, 30} {
 		total := 0
 		for entry := range 9 {
 			p := newPicture(3, epoch)
 			p.Entries, p.Seed = 9, uint64(entry)
-			r := warm(0, epoch)
+			r := idleReport(0, epoch)
 			r.Cold, r.Allowance = true, allowance
 			p.Update(r, epoch)
 			for range 40 {
@@ -179,40 +179,40 @@
 			n, _ := p.Load(name(0), epoch)
 			total += int(n)
 			if int(n) > allowance {
-				t.Errorf("one entry gave %v to a cold endpoint that bears %d", n, allowance)
+				t.Errorf("one entry placed %v requests on a cold endpoint with an allowance of %d", n, allowance)
 			}
 		}
-		// Each entry rounds its part up, so the excess is under one an entry;
-		// the agent refuses that.
+		// Each entry rounds its share up, so that the excess is less than one
+		// request per entry. The agent refuses the excess.
 		if total >= allowance+9 {
-			t.Errorf("nine entries gave %d to a cold endpoint that bears %d", total, allowance)
+			t.Errorf("nine entries placed %d requests on a cold endpoint with an allowance of %d", total, allowance)
 		}
 	}
 }
 
-// All entries would send everything to a data centre in the moment it returns,
-// because its endpoints look empty.
+// The endpoints of a data centre that comes back look idle, so that without
+// slow start all entries would send it all requests at once.
 func TestReturningDataCentreIsNotStormed(t *testing.T) {
 	p := newPicture(12, epoch)
 	p.SetOut(nil, []string{"dc1"}, epoch)
-	spreadOf(t, p, query, 30, epoch)
+	startRequests(t, p, query, 30, epoch)
 	p.SetOut(nil, nil, epoch)
-	assertReturned(t, p, 100*time.Millisecond, 0, 4)
-	assertReturned(t, p, 4*time.Second, 6, 20)
+	assertReturnedShare(t, p, 100*time.Millisecond, 0, 4)
+	assertReturnedShare(t, p, 4*time.Second, 6, 20)
 }
 
-// assertReturned starts 24 requests and checks how many go to the endpoints of
-// the data centre that has returned.
-func assertReturned(t *testing.T, p *Picture, after time.Duration, least, most int) {
+// assertReturnedShare places 24 requests and checks how many of them go to the
+// data centre that has come back.
+func assertReturnedShare(t *testing.T, p *Picture, after time.Duration, least, most int) {
 	t.Helper()
 	now := epoch.Add(after)
-	got := spreadOf(t, p, query, 24, now)
-	back := 0
+	got := startRequests(t, p, query, 24, now)
+	returned := 0
 	for i := 1; i < 12; i += 3 {
-		back += got[name(i)]
+		returned += got[name(i)]
 	}
-	if back < least || back > most {
-		t.Errorf("%v after the return %d of 24 went there, want %d to %d", after, back, least, most)
+	if returned < least || returned > most {
+		t.Errorf("%v after the return %d of 24 requests went to the data centre, want %d to %d", after, returned, least, most)
 	}
 }
 
@@ -228,57 +228,57 @@
 			t.Errorf("prefix %d went to %v, want %s", prefix, c, want)
 		}
 	}
-	hot := spreadOf(t, p, Query{Route: "model", Tokens: 500, Prefix: 1}, 24, epoch)
+	hot := startRequests(t, p, Query{Route: "model", Tokens: 500, Prefix: 1}, 24, epoch)
 	if most := hot[home[1]]; most < 2 || most > 6 {
-		t.Errorf("the home of a hot prefix got %d of 24, want 2 to 6", most)
+		t.Errorf("the endpoint of a popular prefix got %d of 24 requests, want 2 to 6", most)
 	}
 }
 
 func TestNearDataCentreUntilPressed(t *testing.T) {
 	p := newPicture(12, epoch)
 	p.Spill = DefaultSpill
-	got := spreadOf(t, p, query, 30, epoch)
+	got := startRequests(t, p, query, 30, epoch)
 	near := got[name(0)] + got[name(3)] + got[name(6)] + got[name(9)]
 	if near < 12 || near > 24 {
-		t.Errorf("%d of 30 went to the near third, want 12 to 24", near)
+		t.Errorf("%d of 30 requests went to the local data centre, want 12 to 24", near)
 	}
 }
 
-// Draws must not do much worse than looking at all endpoints.
+// Sampling must not distribute requests much less evenly than a full scan.
 func TestDrawsAreNearTheFullScan(t *testing.T) {
 	p := newPicture(90, epoch)
-	got := spreadOf(t, p, query, 360, epoch)
-	most := 0
+	got := startRequests(t, p, query, 360, epoch)
+	maxCount := 0
 	for _, n := range got {
-		most = max(most, n)
+		maxCount = max(maxCount, n)
 	}
-	if most > 6 {
-		t.Errorf("the fullest of 90 endpoints got %d of 360, a full scan gives 4", most)
+	if maxCount > 6 {
+		t.Errorf("the most loaded of 90 endpoints got %d of 360 requests, want at most 6; a full scan gives 4", maxCount)
 	}
 }
 
-// An entry would ask a full endpoint over and over, on each lagging report
-// that shows a place.
+// Outdated reports show a free slot on a full endpoint. An entry must not try
+// it again and again.
 func TestRefusalPausesUntilNewerReport(t *testing.T) {
 	p := newPicture(1, epoch)
 	p.Refused(p.Started(mustChoose(t, p, query, epoch), query, epoch), 0, epoch)
-	assertNone(t, p, query, epoch, result.EndpointBusy)
-	p.Update(warm(0, epoch), epoch.Add(5*time.Millisecond))
-	assertNone(t, p, query, epoch.Add(5*time.Millisecond), result.EndpointBusy)
-	mustChoose(t, p, query, epoch.Add(leastBackOff))
+	assertNoChoice(t, p, query, epoch, result.EndpointBusy)
+	p.Update(idleReport(0, epoch), epoch.Add(5*time.Millisecond))
+	assertNoChoice(t, p, query, epoch.Add(5*time.Millisecond), result.EndpointBusy)
+	mustChoose(t, p, query, epoch.Add(minBackoff))
 	later := epoch.Add(10 * time.Millisecond)
-	p.Update(warm(0, later), later)
+	p.Update(idleReport(0, later), later)
 	mustChoose(t, p, query, later)
 }
 
 func TestOlderIncarnationIsIgnored(t *testing.T) {
 	p := newPicture(1, epoch)
-	r := warm(0, epoch)
+	r := idleReport(0, epoch)
 	r.Incarnation = 3
 	p.Update(r, epoch)
 	r.Incarnation, r.Leaving, r.At = 2, true, epoch.Add(time.Hour)
 	if p.Update(r, epoch) {
-		t.Error("a report of an older incarnation was taken in")
+		t.Error("a report of an older incarnation was accepted")
 	}
 	mustChoose(t, p, query, epoch)
 }
@@ -288,30 +288,30 @@
 	for i := range 630 {
 		all = append(all, name(i))
 	}
-	heard := make(map[string]int)
+	subsetsPerEndpoint := make(map[string]int)
 	for entry := range 35 {
-		who := fmt.Sprint("entry", entry)
-		s := Subset(who, all, 90)
+		entryName := fmt.Sprint("entry", entry)
+		s := Subset(entryName, all, 90)
 		for _, n := range s {
-			heard[n]++
+			subsetsPerEndpoint[n]++
 		}
-		same := make(map[string]bool)
-		for _, n := range Subset(who, all[1:], 90) {
-			same[n] = true
+		afterRemoval := make(map[string]bool)
+		for _, n := range Subset(entryName, all[1:], 90) {
+			afterRemoval[n] = true
 		}
 		kept := 0
 		for _, n := range s {
-			if same[n] {
+			if afterRemoval[n] {
 				kept++
 			}
 		}
 		if len(s) != 90 || kept < 89 {
-			t.Fatalf("%s: %d endpoints, %d kept when one leaves", who, len(s), kept)
+			t.Fatalf("%s: got %d endpoints, %d of them kept when one leaves; want 90 and at least 89", entryName, len(s), kept)
 		}
 	}
 	for _, n := range all {
-		if heard[n] > 14 {
-			t.Errorf("%s must report to %d of 35 entries", n, heard[n])
+		if subsetsPerEndpoint[n] > 14 {
+			t.Errorf("%s is in the subsets of %d of 35 entries, want at most 14", n, subsetsPerEndpoint[n])
 		}
 	}
 }
@@ -335,9 +335,9 @@
 	// false endpointBusy
 }
 
-// naiveAllows says by the last report and the operators' lists alone whether
-// an endpoint may be chosen at all.
-func naiveAllows(r Report, out map[string]bool, q Query) bool {
+// referenceAllows reports whether an endpoint may be selected at all, judged
+// only by its last report, the lists of the operators and the earlier attempts.
+func referenceAllows(r Report, out map[string]bool, q Query) bool {
 	for _, tried := range q.Tried {
 		if tried == r.Endpoint {
 			return false
@@ -346,8 +346,8 @@
 	return !r.Out && !r.Leaving && !out[r.Endpoint] && !out[r.DataCentre]
 }
 
-// New work would go to a data centre that operators have taken out, or to an
-// endpoint that is leaving, after some order of reports, orders and attempts.
+// For any order of reports, orders of operators and attempts, no attempt may be
+// placed on an endpoint that is leaving, out of service or already tried.
 func TestEachChoiceIsAllowed(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 1))
 	p := &Picture{DataCentre: "dc0"}
@@ -359,7 +359,7 @@
 		now = now.Add(time.Duration(rng.IntN(40)) * time.Millisecond)
 		switch x := rng.IntN(20); {
 		case x < 6:
-			r := warm(rng.IntN(12), now)
+			r := idleReport(rng.IntN(12), now)
 			r.Incarnation += uint64(rng.IntN(2))
 			r.Cold, r.Leaving, r.Out = rng.IntN(4) == 0, rng.IntN(6) == 0, rng.IntN(6) == 0
 			r.Running, r.Allowance = rng.IntN(9), rng.IntN(9)
@@ -387,7 +387,7 @@
 			if !ok {
 				continue
 			}
-			if !naiveAllows(last[c.Endpoint], out, q) {
+			if !referenceAllows(last[c.Endpoint], out, q) {
 				t.Fatalf("chose %v, last report %+v, out %v, tried %v", c, last[c.Endpoint], out, q.Tried)
 			}
 			open = append(open, p.Started(c, q, now))
--- a/internal/endpoint/placement/report.go
+++ b/internal/endpoint/placement/report.go
@@ -6,58 +6,60 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Report is the state of one endpoint as its agent tells it.
+// Report is the state of one endpoint as reported by its agent.
 type Report struct {
 	Endpoint string
-	// Incarnation grows with each start of the agent; reports of an older one
-	// are ignored.
+	// Incarnation grows with each start of the agent. Reports of an older
+	// incarnation are ignored.
 	Incarnation uint64
 	DataCentre  string
 	// Routes names the models and services that the endpoint serves.
 	Routes []string
-	// Allowance is how many requests the endpoint bears at once now, and
-	// Capacity how many it bears when warm.
+	// Allowance is the number of requests that the endpoint may run
+	// concurrently now, and Capacity the number that it may run when warm.
 	Allowance int
 	Capacity  int
-	// Running and CommittedTokens count the work of all entries.
+	// Running and CommittedTokens are the load from all entries.
 	Running         int
 	CommittedTokens uint64
-	// Cold, Leaving and Out say that the endpoint is in cold start, is leaving,
-	// or has been taken out of service.
+	// Cold, Leaving and Out report that the endpoint is in cold start, is
+	// draining before it leaves, or has been taken out of service.
 	Cold    bool
 	Leaving bool
 	Out     bool
-	// At is when the report was true, by the clock of the entry. Zero means
-	// unknown, and then the load in the report counts as unknown.
+	// At is the time at which the report was valid, by the clock of the entry.
+	// If it is zero, the load of the endpoint counts as unknown.
 	At time.Time
 }
 
-// Query is what a choice needs to know about one attempt.
+// Query describes the attempt for which an endpoint is to be selected.
 type Query struct {
 	Route string
-	// Tokens is prompt plus expected output tokens.
+	// Tokens is the number of prompt tokens plus expected output tokens.
 	Tokens int
-	// Prefix names the prompt's prefix; zero means none is known.
+	// Prefix identifies the prefix of the prompt; zero means that none is known.
 	Prefix uint64
-	// Tried names endpoints that earlier attempts of the request have used.
+	// Tried names the endpoints that earlier attempts of the request used.
 	Tried []string
-	// RunOnce keeps the request off endpoints that are only being probed.
+	// RunOnce means that the request must not run twice. It is never used as a
+	// probe of a slow endpoint.
 	RunOnce bool
 }
 
-// Choice is a chosen endpoint.
+// Choice is a selected endpoint.
 type Choice struct {
 	Endpoint    string
 	Incarnation uint64
 	DataCentre  string
-	// Affine says that the prefix decided; Probe that the endpoint is slow and
-	// was chosen to see whether it still is.
+	// Affine means that the endpoint was selected for the prefix of the prompt,
+	// and Probe that it is slow and was selected to see if it has recovered.
 	Affine bool
 	Probe  bool
 }
 
-// reasons ranks why no endpoint could be chosen; the most hopeful is reported.
-var reasons = [...]result.Code{
+// rejectionCodes are the reasons that no endpoint can be selected, ordered by
+// how likely they are to pass. The last one that applies is reported.
+var rejectionCodes = [...]result.Code{
 	result.NoEndpoint,
 	result.OutOfService,
 	result.EndpointLeaving,
@@ -65,7 +67,7 @@
 	result.EndpointBusy,
 }
 
-// Positions in reasons.
+// States of an endpoint. All but eligible are indexes into rejectionCodes.
 const (
 	noEndpoint = iota
 	outOfService
--- a/internal/endpoint/placement/slow.go
+++ b/internal/endpoint/placement/slow.go
@@ -6,97 +6,100 @@
 )
 
 const (
-	// slowMost bounds how little a slow endpoint is given: a tenth, not
-	// nothing, so that its recovery is seen.
-	slowMost = 10
-	// slowFrom is the slowness from which an endpoint gets no affine requests
-	// and is probed when it has no work.
-	slowFrom = 2
-	// patience is how many typical times to the first piece an attempt may be
-	// silent before the endpoint counts as slower.
-	patience = 3
-	// leastSilence is the least silence, in seconds, that makes an endpoint
-	// count as slower. Healthy streams pause for up to 150 ms between events,
-	// however soon their first one came.
-	leastSilence = 0.25
-	// leastTypical is the typical time, in seconds, below which endpoints are
-	// not told apart: answers that take some milliseconds more because a VM was
-	// busy are not noticed by callers.
-	leastTypical = 0.02
-	// firstPieceStep smooths the time to the first piece while it rises and
-	// recoveryStep while it falls: a slow endpoint gets few requests, so few
-	// must be enough to see that it has recovered.
-	firstPieceStep = 0.2
-	recoveryStep   = 0.5
-	// mostProbeDoublings bounds how far probes of an endpoint that stays slow
-	// are spaced out: to sixteen times ProbeEvery.
-	mostProbeDoublings = 4
-	// typicalStep moves the route's typical time by this part for each sample.
-	typicalStep = 0.02
+	// maxSlowdown bounds the slowdown factor, so that a slow endpoint still
+	// gets a tenth of the requests and its recovery is noticed.
+	maxSlowdown = 10
+	// slowThreshold is the slowdown from which an endpoint is slow: it gets no
+	// requests by prefix affinity, and it is probed when it has no load.
+	slowThreshold = 2
+	// silenceFactor is the number of median latencies for which an attempt may
+	// be silent before its endpoint counts as slower.
+	silenceFactor = 3
+	// minSilence is the minimum silence, in seconds, after which an endpoint
+	// counts as slower. Healthy streams pause for up to 150 ms between events,
+	// however soon the first one arrived.
+	minSilence = 0.25
+	// minMedianLatency is the lower bound, in seconds, of the median with which
+	// latencies are compared: clients don't notice a few milliseconds that a
+	// busy VM adds.
+	minMedianLatency = 0.02
+	// latencySmoothing is the smoothing factor of the latency while it rises,
+	// and recoverySmoothing the one while it falls. The latter is larger
+	// because a slow endpoint gets few requests, which must be enough to notice
+	// its recovery.
+	latencySmoothing  = 0.2
+	recoverySmoothing = 0.5
+	// maxProbeDoublings bounds the interval between probes of an endpoint that
+	// stays slow to 16 times ProbeEvery.
+	maxProbeDoublings = 4
+	// medianStep is the relative change of the median latency of a route with
+	// each sample.
+	medianStep = 0.02
 )
 
-// observe takes in a time to the first piece.
-func (e *endpoint) observe(s float64, a *Attempt) {
-	if a.set != nil {
-		a.set.observe(s)
+// observeLatency records the time, in seconds, to the first part of the
+// response to a.
+func (e *endpoint) observeLatency(seconds float64, a *Attempt) {
+	if a.route != nil {
+		a.route.observeLatency(seconds)
 	}
 	if a.incarnation != e.incarnation {
 		return
 	}
-	if e.firstPiece == 0 {
-		e.firstPiece = s
+	if e.latency == 0 {
+		e.latency = seconds
 		return
 	}
-	step := firstPieceStep
-	if s < e.firstPiece {
-		step = recoveryStep
+	smoothing := latencySmoothing
+	if seconds < e.latency {
+		smoothing = recoverySmoothing
 	}
-	e.firstPiece += step * (s - e.firstPiece)
-	if a.set != nil && s < slowFrom*a.set.typical {
+	e.latency += smoothing * (seconds - e.latency)
+	if a.route != nil && seconds < slowThreshold*a.route.medianLatency {
 		e.probes = 0
 	}
 }
 
-// observe moves the route's median time to the first piece. A median is not
-// moved by the slow endpoint that it has to show.
-func (s *routeSet) observe(seconds float64) {
+// observeLatency updates the running median of the latency. A median is used
+// because the slow endpoint that it has to reveal hardly affects it.
+func (s *route) observeLatency(seconds float64) {
 	switch {
-	case s.typical == 0:
-		s.typical = seconds
-	case seconds > s.typical:
-		s.typical *= 1 + typicalStep
+	case s.medianLatency == 0:
+		s.medianLatency = seconds
+	case seconds > s.medianLatency:
+		s.medianLatency *= 1 + medianStep
 	default:
-		s.typical /= 1 + typicalStep
+		s.medianLatency /= 1 + medianStep
 	}
 }
 
-// slowness returns by what factor the endpoint is slower than is typical for
-// the route, between 1 and slowMost. The load is one endpoint that stalls or
-// slows down while it still accepts work: it has few completions and so looks
-// free. The age of the longest silent attempt shows a stall before any late
-// answer does.
-func (e *endpoint) slowness(s *routeSet, now time.Time) float64 {
-	if s.typical <= 0 {
+// slowdown returns the factor by which the endpoint is slower than the median
+// of the route, between 1 and maxSlowdown. It detects an endpoint that stalls
+// or slows down while it still accepts requests; such an endpoint completes few
+// requests and has low reported load. The silence of the attempt that has been
+// silent for longest reveals a stall before any late response does.
+func (e *endpoint) slowdown(s *route, now time.Time) float64 {
+	if s.medianLatency <= 0 {
 		return 1
 	}
-	f := e.firstPiece / math.Max(s.typical, leastTypical)
+	factor := e.latency / math.Max(s.medianLatency, minMedianLatency)
 	if a := e.attempts.first; a != nil {
-		silent := now.Sub(a.heard).Seconds()
-		f = math.Max(f, silent/math.Max(patience*s.typical, leastSilence))
+		silence := now.Sub(a.lastProgress).Seconds()
+		factor = math.Max(factor, silence/math.Max(silenceFactor*s.medianLatency, minSilence))
 	}
-	return math.Min(math.Max(f, 1), slowMost)
+	return math.Min(math.Max(factor, 1), maxSlowdown)
 }
 
-// bears returns how many streams the endpoint is given at the most. The load
-// is a group that is nearly full: its one slow endpoint has the only free
-// places, and a request that is put there ends later than one that waits for a
-// place elsewhere. So a slow endpoint is full at its part of the allowance, at
-// least one stream.
-func (e *endpoint) bears(s *routeSet, now time.Time) float64 {
+// streamLimit returns how many streams are placed on the endpoint at most. In a
+// group that is nearly full, a slow endpoint has the only free slots, and a
+// request that is placed there ends later than one that waits for a slot
+// elsewhere. So a slow endpoint counts as full at its allowance divided by its
+// slowdown, but at least at one stream.
+func (e *endpoint) streamLimit(s *route, now time.Time) float64 {
 	allowance := float64(e.allowance)
-	slow := e.slowness(s, now)
-	if slow < slowFrom {
+	slowdown := e.slowdown(s, now)
+	if slowdown < slowThreshold {
 		return allowance
 	}
-	return math.Min(allowance, math.Max(1, allowance/slow))
+	return math.Min(allowance, math.Max(1, allowance/slowdown))
 }
--- a/internal/endpoint/placement/speed_test.go
+++ b/internal/endpoint/placement/speed_test.go
@@ -11,7 +11,7 @@
 	q := Query{Route: "model", Tokens: 500, Tried: []string{name(5)}}
 	for _, q.Prefix = range []uint64{0, 7} {
 		if n := testing.AllocsPerRun(100, func() { p.Choose(q, epoch) }); n != 0 {
-			t.Errorf("a choice allocates %v times", n)
+			t.Errorf("Choose made %v allocations, want 0", n)
 		}
 	}
 }
@@ -21,7 +21,7 @@
 		p := newPicture(n, epoch)
 		rng := rand.New(rand.NewPCG(1, 1))
 		for i := range n {
-			r := warm(i, epoch)
+			r := idleReport(i, epoch)
 			r.Running = rng.IntN(8)
 			p.Update(r, epoch)
 		}
@@ -40,7 +40,7 @@
 
 func BenchmarkUpdate(b *testing.B) {
 	p := newPicture(630, epoch)
-	r := warm(5, epoch)
+	r := idleReport(5, epoch)
 	b.ReportAllocs()
 	for b.Loop() {
 		p.Update(r, epoch)
--- a/internal/endpoint/placement/subset.go
+++ b/internal/endpoint/placement/subset.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Subset returns the size endpoints that the entry listens to, by rendezvous
-// hashing: the same for the same names, in no order that matters, and when an
-// endpoint leaves, only its own place changes. A size of zero or less, or of
-// at least all, returns all.
+// Subset returns the size endpoints that the given entry uses, by rendezvous
+// hashing. The result depends only on the names, not on the order of endpoints,
+// and when an endpoint leaves, only that endpoint is replaced. If size is zero
+// or less, or at least the number of endpoints, Subset returns all of them.
 func Subset(entry string, endpoints []string, size int) []string {
 	if size <= 0 || size >= len(endpoints) {
 		return slices.Clone(endpoints)
@@ -18,7 +18,7 @@
 	ranked := make([]scored, len(endpoints))
 	seed := xxhash.Sum64String(entry)
 	for i, name := range endpoints {
-		ranked[i] = scored{mix(seed ^ xxhash.Sum64String(name)), name}
+		ranked[i] = scored{mix64(seed ^ xxhash.Sum64String(name)), name}
 	}
 	slices.SortFunc(ranked, func(a, b scored) int {
 		if c := cmp.Compare(b.score, a.score); c != 0 {
@@ -33,6 +33,7 @@
 	return chosen
 }
 
+// scored is an endpoint with its rendezvous hash.
 type scored struct {
 	score uint64
 	name  string
