--- a/internal/endpoint/allowance/allowance.go
+++ b/internal/endpoint/allowance/allowance.go
@@ -8,25 +8,26 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Errors of Configure.
+// Errors returned by Configure.
 var (
-	ErrColdBound = errors.New("allowance: the cold bound must be at least 1")
-	ErrFullBound = errors.New("allowance: the full bound must not be below the cold bound")
-	ErrRamp      = errors.New("allowance: completions per step must be at least 1")
+	ErrColdBound = errors.New("allowance: cold-start concurrency must be at least 1")
+	ErrFullBound = errors.New("allowance: full concurrency must not be below cold-start concurrency")
+	ErrRamp      = errors.New("allowance: completions per ramp step must be at least 1")
 )
 
-// Limits are what operators say that an endpoint bears.
+// Limits are the configured concurrency limits of an endpoint.
 type Limits struct {
-	// Cold is how many requests it bears at once in cold start. It is at least
-	// 1: without any work the endpoint would never be seen to be warm.
+	// Cold is the limit at the beginning of a cold start. It is at least 1:
+	// without completed requests the limit would never grow.
 	Cold int
-	// Full is how many requests it bears at once when warm.
+	// Full is the limit of a warm endpoint.
 	Full int
-	// RampCompletions is how many whole answers raise the bound by one.
+	// RampCompletions is the number of completed requests that raise the limit
+	// by one.
 	RampCompletions int
 }
 
-func (l Limits) check() error {
+func (l Limits) validate() error {
 	switch {
 	case l.Cold < 1:
 		return ErrColdBound
@@ -39,37 +40,39 @@
 	}
 }
 
-// Ticket stands for one admitted request. It remembers which cold start the
-// request began in, and when it began.
+// Ticket represents an admitted request. It records the time of admission and
+// the number of the cold start (the epoch) in which the request was admitted.
 type Ticket struct {
-	epoch uint64
-	began time.Time
+	epoch      uint64
+	admittedAt time.Time
 }
 
-// Cause says why an endpoint is taken to be cold.
+// Cause is the reason for which an endpoint is considered cold.
 type Cause int
 
-// The causes of coldness.
+// Causes of a cold start.
 const (
-	// Unknown is the cause at the start: nothing has been seen.
+	// Unknown is the initial cause: nothing is known about the endpoint yet.
 	Unknown Cause = iota
-	// Announced means that the endpoint said so or a restart was ordered.
+	// Announced means that the endpoint reported it or that a restart was
+	// ordered.
 	Announced
-	// ConnectionLost means that it refused or reset connections after it had
-	// been up.
+	// ConnectionLost means that the endpoint refused or reset connections after
+	// it had accepted some.
 	ConnectionLost
-	// NewIncarnation means that it names another incarnation than before.
+	// NewIncarnation means that the endpoint reported another incarnation than
+	// before.
 	NewIncarnation
-	// SlowFirstTokens means that first tokens became slow all at once.
+	// SlowFirstTokens means that the time to first token rose suddenly.
 	SlowFirstTokens
 )
 
-// String returns the cause in camel case.
+// String returns the name of the cause in camel case.
 func (c Cause) String() string {
 	return [...]string{"unknown", "announced", "connectionLost", "newIncarnation", "slowFirstTokens"}[c]
 }
 
-// State is a picture of an Allowance.
+// State is a snapshot of an Allowance.
 type State struct {
 	bound   int
 	full    int
@@ -78,28 +81,27 @@
 	median  time.Duration
 }
 
-// Bound returns how many requests may run at once now.
+// Bound returns the current concurrency limit.
 func (s State) Bound() int { return s.bound }
 
-// Full returns how many may run at once when warm.
+// Full returns the concurrency limit of the warm endpoint.
 func (s State) Full() int { return s.full }
 
-// Running returns how many run.
+// Running returns the number of admitted requests that have not ended.
 func (s State) Running() int { return s.running }
 
-// Cold says that the bound has not grown to the full one yet.
+// Cold reports whether the limit is still below the full one.
 func (s State) Cold() bool { return s.bound < s.full }
 
-// Cause returns why the endpoint was last taken to be cold.
+// Cause returns the cause of the latest cold start.
 func (s State) Cause() Cause { return s.cause }
 
-// FirstToken returns the median time to the first token, zero when not known.
+// FirstToken returns the median time to first token, or zero if it is unknown.
 func (s State) FirstToken() time.Duration { return s.median }
 
-// Allowance is one endpoint's bound and what runs under it. Its zero value
-// admits nothing until Configure has been called.
-//
-// Lock order: mu only.
+// Allowance is the concurrency limiter of one endpoint. Its zero value admits
+// nothing until Configure has been called. While it holds mu it takes no other
+// lock.
 type Allowance struct {
 	mu          sync.Mutex
 	limits      Limits
@@ -109,16 +111,17 @@
 	inherited   inherited
 	cause       Cause
 	incarnation string
-	// warmSince is when the bound last reached the full one.
+	// warmSince is when the limit last reached limits.Full.
 	warmSince time.Time
-	tokens    firstTokens
-	pace      pace
+	ttft      ttftDetector
+	retries   retryScheduler
 }
 
-// Configure sets the limits. It changes nothing of what has been learnt, so a
-// preset switch neither warms nor cools an endpoint.
+// Configure sets the limits. It returns ErrColdBound, ErrFullBound or ErrRamp if
+// they are invalid. It keeps the count of completed requests, so a preset switch
+// neither starts nor ends a cold start.
 func (a *Allowance) Configure(l Limits) error {
-	if err := l.check(); err != nil {
+	if err := l.validate(); err != nil {
 		return err
 	}
 	a.mu.Lock()
@@ -127,15 +130,15 @@
 	return nil
 }
 
-// bound returns how many requests may run at once.
+// bound returns the current concurrency limit: limits.Cold, plus one for each
+// limits.RampCompletions requests completed in the present epoch, up to
+// limits.Full. a.mu must be held.
 //
-// Decision, for the load of many entries that all see an endpoint come back and
-// send to it. Harm prevented: a cold endpoint that gets full load falls over,
-// and is cold again when it is back. The bound is the cold bound plus one for
-// each RampCompletions whole answers: a count of answers proves that caches and
-// kernels have warmed, while elapsed time would also pass on an idle endpoint.
-// It grows linearly, by one, because each step can at worst add one request
-// more than the endpoint bears.
+// When an endpoint comes back, all entries see it and send requests to it; with
+// full load a cold endpoint crashes and is cold again after its restart. Completed
+// requests show that caches and kernels have warmed up, whereas elapsed time also
+// passes on an idle endpoint. The limit grows by one at a time, so that a step
+// exceeds the endpoint's capacity by at most one request.
 func (a *Allowance) bound() int {
 	if a.limits.Full == 0 {
 		return 0
@@ -143,74 +146,75 @@
 	return min(a.limits.Full, a.limits.Cold+a.completions/a.limits.RampCompletions)
 }
 
-// Admit takes a place for one request, or returns why there is none:
-// EndpointCold while the bound still grows, else EndpointBusy, each with a time
-// to come back. The place is held until Completed or Failed.
+// Admit reserves a slot for a request. Without a free slot it returns an error
+// with a retry delay: EndpointCold while the limit is below the full one, else
+// EndpointBusy. The slot is held until Completed or Failed is called with the
+// ticket.
 //
-// Decision, for a burst of entries that each hold a lagging picture of the
-// endpoint. Harm prevented: their sum exceeds what it bears. Checking and
-// taking is one step here, and running work that began before the endpoint
-// turned cold counts against the cold bound as well, because it still uses
-// the endpoint.
+// Entries that act on outdated load reports can together send more than the
+// endpoint can run, so the check and the reservation are one atomic step.
+// Requests that started before a cold start count against the cold limit as well,
+// because they still use the endpoint.
 func (a *Allowance) Admit(now time.Time) (Ticket, *result.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	bound := a.bound()
 	if a.running+a.inherited.count(now) < bound {
 		if a.running == 0 {
-			a.pace.busy(now)
+			a.retries.becameBusy(now)
 		}
 		a.running++
-		return Ticket{epoch: a.epoch, began: now}, nil
+		return Ticket{epoch: a.epoch, admittedAt: now}, nil
 	}
 	code := result.EndpointBusy
 	if bound < a.limits.Full || bound == 0 {
 		code = result.EndpointCold
 	}
-	after := a.pace.retryAfter(bound, now)
-	return Ticket{}, result.Newf(code, "%d of %d running", a.running, bound).WithRetryAfter(after)
+	delay := a.retries.retryAfter(bound, now)
+	return Ticket{}, result.Newf(code, "%d of %d running", a.running, bound).WithRetryAfter(delay)
 }
 
-// Renew checks a ticket once more, immediately before its request is sent.
+// Renew checks a ticket again immediately before its request is sent.
 //
-// Decision, for requests that were admitted while the endpoint was warm and
-// wait for their claim or their connection when it turns cold. Harm prevented:
-// they reach the cold endpoint together, more than it bears. A ticket of the
-// present epoch holds; an older one only if all that runs fits under the bound
-// of now. A refused ticket still has to be given back by Failed.
+// Requests that were admitted to a warm endpoint may still wait for a claim or a
+// connection when it restarts; sent together they would exceed what the cold
+// endpoint can run. A ticket of the present epoch stays valid. An older ticket is
+// renewed only if all running requests fit under the current limit, otherwise
+// Renew returns EndpointCold. A rejected ticket must still be released by Failed.
 func (a *Allowance) Renew(t Ticket, now time.Time) (Ticket, *result.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	bound := a.bound()
 	if t.epoch == a.epoch || a.running+a.inherited.count(now) <= bound {
-		return Ticket{epoch: a.epoch, began: t.began}, nil
+		return Ticket{epoch: a.epoch, admittedAt: t.admittedAt}, nil
 	}
-	after := a.pace.retryAfter(bound, now)
-	return Ticket{}, result.New(result.EndpointCold, "it turned cold before the request was sent").WithRetryAfter(after)
+	delay := a.retries.retryAfter(bound, now)
+	return Ticket{}, result.New(result.EndpointCold, "it turned cold before the request was sent").WithRetryAfter(delay)
 }
 
-// FirstToken tells how long a streamed request took to its first token. Whole
-// answers have no first token: their first bytes come after all of their work.
+// FirstToken records the time to first token of a streamed request, and starts a
+// cold start if the times have risen suddenly. It must not be called for responses
+// that aren't streamed: their first byte arrives after all of the work.
 func (a *Allowance) FirstToken(t Ticket, d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if t.epoch != a.epoch || a.bound() < a.limits.Full {
 		return
 	}
-	if a.tokens.slow(d) {
-		a.coldLocked(SlowFirstTokens)
+	if a.ttft.slow(d) {
+		a.resetToColdLocked(SlowFirstTokens)
 	}
 }
 
-// Completed gives the place back after a whole answer.
+// Completed releases the slot of a request whose response is complete.
 //
-// A request that began before the endpoint turned cold proves nothing about
-// its warmth now, so only those of the present epoch let the bound grow.
+// A request that was admitted before the present cold start doesn't show that the
+// endpoint is warm, so only requests of the present epoch raise the limit.
 func (a *Allowance) Completed(t Ticket, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.endLocked()
-	a.pace.ended(t.began, now)
+	a.releaseLocked()
+	a.retries.completed(t.admittedAt, now)
 	if t.epoch == a.epoch && a.bound() < a.limits.Full {
 		a.completions++
 		if a.bound() == a.limits.Full {
@@ -219,42 +223,42 @@
 	}
 }
 
-// Failed gives the place back after anything else than a whole answer.
+// Failed releases the slot of a request that ended without a complete response.
 func (a *Allowance) Failed(_ Ticket, _ time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.endLocked()
+	a.releaseLocked()
 }
 
-func (a *Allowance) endLocked() {
+func (a *Allowance) releaseLocked() {
 	if a.running > 0 {
 		a.running--
 	}
 }
 
-// Restarted drops the bound to the cold bound.
+// Restarted resets the limit to the cold one.
 //
-// Decision, for the moment in which a warm endpoint under full load turns cold
-// without a word. Harm prevented: the load of the warm time fells it. The drop
-// is at once and whole, because a wrong drop costs some places for some dozens
-// of answers, and a missed one costs the endpoint.
+// A warm endpoint that turns cold under full load crashes if the load continues.
+// The reset is therefore immediate and complete: a wrong one costs capacity until
+// some dozens of requests have completed, a missing one costs the endpoint.
 func (a *Allowance) Restarted(cause Cause) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.coldLocked(cause)
+	a.resetToColdLocked(cause)
 }
 
-func (a *Allowance) coldLocked(cause Cause) {
+func (a *Allowance) resetToColdLocked(cause Cause) {
 	a.epoch++
 	a.completions = 0
 	a.cause = cause
-	a.tokens.reset()
+	a.ttft.reset()
 }
 
-// Incarnation tells which incarnation the endpoint has named, in a load report
-// or an answer. An empty id says nothing. A change, in either direction, means
-// that the endpoint was replaced or restarted: reports lag and may arrive out
-// of order, and an older id seen late costs a needless cold start only.
+// Incarnation records the incarnation that the endpoint named in a load report or
+// a response header. An empty id is ignored. Any change means that the endpoint
+// was replaced or restarted and starts a cold start. As reports lag and may arrive
+// out of order, this includes a change back to an older id, which costs at most an
+// unnecessary cold start.
 func (a *Allowance) Incarnation(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -263,27 +267,28 @@
 	}
 	if a.incarnation != "" {
 		a.inherited.n = 0
-		a.coldLocked(NewIncarnation)
+		a.resetToColdLocked(NewIncarnation)
 	}
 	a.incarnation = id
 }
 
-// Reported tells what a load report that was made at made says about coldness.
+// Reported records whether the endpoint was cold according to a load report that
+// was made at the given time.
 //
-// Decision, for an engine that announces its coldness in reports that lag.
-// Harm prevented: a warm engine loses its places again and again to old reports
-// of its own cold start. So a report counts only when it was made after the
-// bound had become the full one; while the bound grows it would add nothing. A
-// report of warmth never counts: it may be older than the coldness.
+// Reports lag, and reports from an engine's cold start must not reset its limit
+// after it has warmed up. So a report of a cold endpoint counts only if it was made
+// after the limit reached the full one; while the limit grows it adds no
+// information. A report of a warm endpoint never counts, as it may be older than
+// the cold start.
 func (a *Allowance) Reported(cold bool, made time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if cold && a.bound() == a.limits.Full && made.After(a.warmSince) {
-		a.coldLocked(Announced)
+		a.resetToColdLocked(Announced)
 	}
 }
 
-// State returns the present picture.
+// State returns a snapshot of the allowance.
 func (a *Allowance) State() State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -292,6 +297,6 @@
 		full:    a.limits.Full,
 		running: a.running,
 		cause:   a.cause,
-		median:  a.tokens.median(),
+		median:  a.ttft.median(),
 	}
 }
--- a/internal/endpoint/allowance/allowance_test.go
+++ b/internal/endpoint/allowance/allowance_test.go
@@ -22,7 +22,7 @@
 
 var start = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
 
-// newAllowance returns an allowance with limits that pass.
+// newAllowance returns an Allowance with the limits l.
 func newAllowance(t interface{ Fatal(...any) }, l Limits) *Allowance {
 	a := &Allowance{}
 	if err := a.Configure(l); err != nil {
@@ -31,17 +31,19 @@
 	return a
 }
 
-// warm completes requests one by one until the full bound holds.
-func warm(t *testing.T, a *Allowance) {
+// warmUp completes requests one by one until the limit is the full one and the
+// median of the first-token times is in use.
+func warmUp(t *testing.T, a *Allowance) {
 	t.Helper()
 	for a.State().Cold() {
 		complete(t, a, 10*time.Millisecond)
 	}
-	for range tokenLeast {
+	for range ttftMinSamples {
 		complete(t, a, 10*time.Millisecond)
 	}
 }
 
+// complete runs one request with the given time to first token.
 func complete(t *testing.T, a *Allowance, firstToken time.Duration) {
 	t.Helper()
 	ticket, err := a.Admit(start)
@@ -55,7 +57,7 @@
 func requireBound(t *testing.T, a *Allowance, bound int, cause Cause) {
 	t.Helper()
 	if s := a.State(); s.Bound() != bound || s.Cause() != cause {
-		t.Fatalf("bound %d after %v, want %d after %v", s.Bound(), s.Cause(), bound, cause)
+		t.Fatalf("limit %d with cause %v, want %d with cause %v", s.Bound(), s.Cause(), bound, cause)
 	}
 }
 
@@ -71,27 +73,27 @@
 	}
 }
 
-// An agent has just started and no preset has come: whatever its endpoint
-// bears is unknown, so nothing goes to it.
+// An agent has started and has no preset yet. The capacity of its endpoint is
+// unknown, so no request may be admitted.
 func TestNothingBeforeConfigure(t *testing.T) {
 	if _, err := (&Allowance{}).Admit(start); result.CodeOf(err) != result.EndpointCold {
 		t.Fatalf("got %v", err)
 	}
 }
 
-// A warm endpoint turns cold without a word; under the load of the warm time it
-// falls over, and callers lose their answers again and again.
+// A warm endpoint turns cold without reporting it and crashes if its load stays
+// the same. Each sign of a cold start must reset the limit.
 func TestColdnessIsNoticed(t *testing.T) {
 	limits := Limits{Cold: 2, Full: 8, RampCompletions: 3}
 	for _, tc := range []struct {
-		cause Cause
-		sign  func(a *Allowance)
+		cause   Cause
+		trigger func(a *Allowance)
 	}{
 		{Announced, func(a *Allowance) { a.Restarted(Announced) }},
 		{ConnectionLost, func(a *Allowance) { a.Restarted(ConnectionLost) }},
 		{NewIncarnation, func(a *Allowance) { a.Incarnation("1"); a.Incarnation("2") }},
 		{SlowFirstTokens, func(a *Allowance) {
-			for range slowRow {
+			for range slowRunLength {
 				ticket, _ := a.Admit(start)
 				a.FirstToken(ticket, time.Second)
 			}
@@ -99,19 +101,19 @@
 	} {
 		t.Run(tc.cause.String(), func(t *testing.T) {
 			a := newAllowance(t, limits)
-			warm(t, a)
+			warmUp(t, a)
 			requireBound(t, a, 8, Unknown)
-			tc.sign(a)
+			tc.trigger(a)
 			requireBound(t, a, 2, tc.cause)
 		})
 	}
 }
 
-// What is ordinary must not cost a cold start: a long prompt, the first
-// incarnation that is named, the same one again, time that passes.
+// Ordinary events must not start a cold start: a long prompt, the first
+// incarnation, the same incarnation again.
 func TestOrdinaryIsNotColdness(t *testing.T) {
 	a := newAllowance(t, Limits{Cold: 2, Full: 8, RampCompletions: 3})
-	warm(t, a)
+	warmUp(t, a)
 	a.Incarnation("1")
 	a.Incarnation("")
 	a.Incarnation("1")
@@ -123,29 +125,29 @@
 	requireBound(t, a, 8, Unknown)
 }
 
-// Prompts become longer for good: that may cost one cold start, not one after
-// another.
+// A lasting change to longer prompts may cause one cold start, not a series of
+// them.
 func TestLastingSlownessCostsOneColdStart(t *testing.T) {
 	a := newAllowance(t, Limits{Cold: 1, Full: 4, RampCompletions: 1})
-	warm(t, a)
-	drops := 0
+	warmUp(t, a)
+	resets := 0
 	for range 200 {
 		before := a.State().Bound()
 		complete(t, a, time.Second)
 		if a.State().Bound() < before {
-			drops++
+			resets++
 		}
 	}
-	if drops != 1 {
-		t.Fatalf("%d drops, want 1", drops)
+	if resets != 1 {
+		t.Fatalf("%d resets, want 1", resets)
 	}
 }
 
-// An engine says in its load reports that it is cold, and its reports lag: one
-// from before it was warm must not cost a cold start, a newer one must.
+// Load reports lag: a report of coldness from before the endpoint became warm must
+// not start a cold start, a newer one must.
 func TestReportsOfColdness(t *testing.T) {
 	a := newAllowance(t, Limits{Cold: 2, Full: 4, RampCompletions: 1})
-	warm(t, a)
+	warmUp(t, a)
 	a.Reported(true, start.Add(-time.Second))
 	a.Reported(false, start.Add(time.Second))
 	requireBound(t, a, 4, Unknown)
@@ -155,48 +157,50 @@
 	requireBound(t, a, 2, Announced)
 }
 
-// Answers of the warm time arrive after the endpoint turned cold. They prove
-// nothing, and the work still running counts against the cold bound.
+// Requests that were admitted while the endpoint was warm complete after it turned
+// cold. They must not raise the limit, and while they run they count against the
+// cold limit.
 func TestOldAnswersProveNothing(t *testing.T) {
 	a := newAllowance(t, Limits{Cold: 2, Full: 8, RampCompletions: 1})
-	warm(t, a)
-	var old []Ticket
+	warmUp(t, a)
+	var tickets []Ticket
 	for range 8 {
 		ticket, err := a.Admit(start)
 		if err != nil {
 			t.Fatal(err)
 		}
-		old = append(old, ticket)
+		tickets = append(tickets, ticket)
 	}
 	a.Restarted(ConnectionLost)
-	for i, ticket := range old {
+	for i, ticket := range tickets {
 		_, err := a.Admit(start)
 		if refused, want := err != nil, i < 7; refused != want {
-			t.Fatalf("with %d old ones running: refused %v", 8-i, refused)
+			t.Fatalf("with %d old requests running: refused %v", 8-i, refused)
 		}
 		a.Completed(ticket, start)
 		requireBound(t, a, 2, ConnectionLost)
 	}
 }
 
-// Orders wait for their claims when their warm desk turns cold. Sent all at
-// once they would fell it: only as many go as it bears, and those prove warmth.
+// Admitted requests wait for their claims when the endpoint turns cold. Sent all at
+// once they would crash it: only as many as fit under the cold limit may be sent,
+// and their completions raise it.
 func TestOldTicketsAreRenewed(t *testing.T) {
 	a := newAllowance(t, Limits{Cold: 2, Full: 8, RampCompletions: 1})
-	warm(t, a)
-	var held []Ticket
+	warmUp(t, a)
+	var tickets []Ticket
 	for range 4 {
 		ticket, _ := a.Admit(start)
-		held = append(held, ticket)
+		tickets = append(tickets, ticket)
 	}
 	a.Restarted(ConnectionLost)
-	for n, ticket := range held[:2] {
+	for n, ticket := range tickets[:2] {
 		if _, err := a.Renew(ticket, start); result.CodeOf(err) != result.EndpointCold || err.RetryAfter() == 0 {
-			t.Fatalf("with %d held: %v", 4-n, err)
+			t.Fatalf("with %d tickets held: %v", 4-n, err)
 		}
 		a.Failed(ticket, start)
 	}
-	for _, ticket := range held[2:] {
+	for _, ticket := range tickets[2:] {
 		renewed, err := a.Renew(ticket, start)
 		if err != nil {
 			t.Fatal(err)
@@ -206,20 +210,21 @@
 	requireBound(t, a, 4, ConnectionLost)
 }
 
-// Many entries with old pictures push at a cold endpoint all at once.
+// Many entries with outdated load reports send requests to a cold endpoint at the
+// same time. The limit must never be exceeded.
 func TestEntriesAtOnceNeverExceed(t *testing.T) {
 	a := newAllowance(t, Limits{Cold: 2, Full: 6, RampCompletions: 4})
 	var (
-		mu            sync.Mutex
-		running, over int
-		wg            sync.WaitGroup
+		mu                sync.Mutex
+		running, exceeded int
+		wg                sync.WaitGroup
 	)
-	enter := func(delta int) {
+	addRunning := func(delta int) {
 		mu.Lock()
 		defer mu.Unlock()
 		running += delta
 		if running > a.State().Bound() {
-			over++
+			exceeded++
 		}
 	}
 	for range 32 {
@@ -231,74 +236,75 @@
 				if err != nil {
 					continue
 				}
-				enter(1)
-				enter(-1)
+				addRunning(1)
+				addRunning(-1)
 				a.Completed(ticket, start)
 			}
 		}()
 	}
 	wg.Wait()
-	if s := a.State(); over != 0 || s.Running() != 0 {
-		t.Fatalf("%d times over the bound, %d left running", over, s.Running())
+	if s := a.State(); exceeded != 0 || s.Running() != 0 {
+		t.Fatalf("the limit was exceeded %d times; %d requests left running", exceeded, s.Running())
 	}
 }
 
-// naive keeps all that happened and works everything out from it.
-type naive struct {
-	limits  Limits
-	coldAt  int
-	ends    []naiveEnd
-	events  int
-	running int
-	lastID  string
-	times   []time.Duration
-	slowRow int
+// reference is a simple model of Allowance that keeps all events and recomputes the
+// state from them.
+type reference struct {
+	limits      Limits
+	coldSince   int
+	completions []completion
+	events      int
+	running     int
+	lastID      string
+	samples     []time.Duration
+	slowRun     int
 }
 
-type naiveEnd struct {
+type completion struct {
 	admittedAt, at int
 }
 
-func (n *naive) bound() int {
-	seen := 0
-	for _, e := range n.ends {
-		if e.admittedAt >= n.coldAt && e.at >= n.coldAt {
-			seen++
+func (ref *reference) bound() int {
+	completed := 0
+	for _, e := range ref.completions {
+		if e.admittedAt >= ref.coldSince && e.at >= ref.coldSince {
+			completed++
 		}
 	}
-	// A bound that has reached the full one stays there until coldness.
-	return min(n.limits.Full, n.limits.Cold+seen/n.limits.RampCompletions)
+	// Once the limit has reached the full one, it stays there until the next
+	// cold start.
+	return min(ref.limits.Full, ref.limits.Cold+completed/ref.limits.RampCompletions)
 }
 
-func (n *naive) cold() {
-	n.events++
-	n.coldAt = n.events
-	n.times, n.slowRow = nil, 0
+func (ref *reference) startCold() {
+	ref.events++
+	ref.coldSince = ref.events
+	ref.samples, ref.slowRun = nil, 0
 }
 
-func (n *naive) firstToken(admittedAt int, d time.Duration) {
-	if admittedAt < n.coldAt || n.bound() < n.limits.Full {
+func (ref *reference) firstToken(admittedAt int, d time.Duration) {
+	if admittedAt < ref.coldSince || ref.bound() < ref.limits.Full {
 		return
 	}
-	recent := n.times[max(0, len(n.times)-tokenWindow):]
+	recent := ref.samples[max(0, len(ref.samples)-ttftWindow):]
 	sorted := slices.Sorted(slices.Values(recent))
-	if len(sorted) >= tokenLeast && d > slowFloor && d > slowFactor*sorted[len(sorted)/2] {
-		if n.slowRow++; n.slowRow == slowRow {
-			n.cold()
+	if len(sorted) >= ttftMinSamples && d > slowFloor && d > slowFactor*sorted[len(sorted)/2] {
+		if ref.slowRun++; ref.slowRun == slowRunLength {
+			ref.startCold()
 		}
 		return
 	}
-	n.slowRow = 0
-	n.times = append(n.times, d)
+	ref.slowRun = 0
+	ref.samples = append(ref.samples, d)
 }
 
-type open struct {
+type admittedRequest struct {
 	ticket     Ticket
 	admittedAt int
 }
 
-// The allowance gives the same answers as one that works everything out anew
-// from all that happened, whatever the order of events.
+// For any order of events, Allowance and the reference model give the same results.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
@@ -307,41 +313,41 @@
 		}
 		limits.Full = limits.Cold + rapid.IntRange(0, 4).Draw(t, "more")
 		a := newAllowance(t, limits)
-		n := &naive{limits: limits}
+		ref := &reference{limits: limits}
 		now := start
-		var running []open
+		var running []admittedRequest
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond)
-			running = step(t, a, n, running, now)
+			running = applyEvent(t, a, ref, running, now)
 			s := a.State()
-			if s.Bound() != n.bound() || s.Running() != n.running {
-				t.Fatalf("bound %d of %d running, naive %d of %d", s.Bound(), s.Running(), n.bound(), n.running)
+			if s.Bound() != ref.bound() || s.Running() != ref.running {
+				t.Fatalf("limit %d with %d running, reference %d with %d", s.Bound(), s.Running(), ref.bound(), ref.running)
 			}
 		}
 	})
 }
 
-// step makes one drawn event happen to both.
-func step(t *rapid.T, a *Allowance, n *naive, running []open, now time.Time) []open {
-	n.events++
+// applyEvent applies one random event to both the allowance and the reference.
+func applyEvent(t *rapid.T, a *Allowance, ref *reference, running []admittedRequest, now time.Time) []admittedRequest {
+	ref.events++
 	kind := rapid.SampledFrom([]string{"admit", "admit", "admit", "complete", "complete", "complete", "token", "fail", "restart", "incarnation"}).Draw(t, "kind")
 	switch kind {
 	case "admit":
-		return admitBoth(t, a, n, running, now)
+		return admitBoth(t, a, ref, running, now)
 	case "restart":
 		if rapid.IntRange(0, 9).Draw(t, "rare") == 0 {
 			a.Restarted(ConnectionLost)
-			n.cold()
+			ref.startCold()
 		}
 		return running
 	case "incarnation":
 		id := rapid.SampledFrom([]string{"", "1", "1", "1", "2"}).Draw(t, "id")
 		a.Incarnation(id)
-		if id != "" && n.lastID != "" && id != n.lastID {
-			n.cold()
+		if id != "" && ref.lastID != "" && id != ref.lastID {
+			ref.startCold()
 		}
 		if id != "" {
-			n.lastID = id
+			ref.lastID = id
 		}
 		return running
 	}
@@ -349,42 +355,43 @@
 		return running
 	}
 	i := rapid.IntRange(0, len(running)-1).Draw(t, "which")
-	o := running[i]
+	req := running[i]
 	if kind == "token" {
 		d := time.Duration(rapid.SampledFrom([]int{5, 6, 7, 8, 500}).Draw(t, "token")) * time.Millisecond
-		a.FirstToken(o.ticket, d)
-		n.firstToken(o.admittedAt, d)
+		a.FirstToken(req.ticket, d)
+		ref.firstToken(req.admittedAt, d)
 		return running
 	}
-	n.running--
+	ref.running--
 	if kind == "fail" {
-		a.Failed(o.ticket, now)
+		a.Failed(req.ticket, now)
 	} else {
-		a.Completed(o.ticket, now)
-		n.ends = append(n.ends, naiveEnd{o.admittedAt, n.events})
+		a.Completed(req.ticket, now)
+		ref.completions = append(ref.completions, completion{req.admittedAt, ref.events})
 	}
 	return slices.Delete(running, i, i+1)
 }
 
-func admitBoth(t *rapid.T, a *Allowance, n *naive, running []open, now time.Time) []open {
+// admitBoth admits a request to both and compares the results.
+func admitBoth(t *rapid.T, a *Allowance, ref *reference, running []admittedRequest, now time.Time) []admittedRequest {
 	want := result.OK
 	switch {
-	case n.running < n.bound():
-	case n.bound() < n.limits.Full:
+	case ref.running < ref.bound():
+	case ref.bound() < ref.limits.Full:
 		want = result.EndpointCold
 	default:
 		want = result.EndpointBusy
 	}
 	ticket, err := a.Admit(now)
 	if err == nil && want == result.OK {
-		n.running++
-		return append(running, open{ticket, n.events})
+		ref.running++
+		return append(running, admittedRequest{ticket, ref.events})
 	}
 	if err == nil || err.Code() != want {
-		t.Fatalf("admit: %v, naive %v", err, want)
+		t.Fatalf("admit: got %v, reference %v", err, want)
 	}
-	if after := err.RetryAfter(); after < retryLeast || after > retryMost {
-		t.Fatalf("retry after %v", after)
+	if delay := err.RetryAfter(); delay < minRetryAfter || delay > maxRetryAfter {
+		t.Fatalf("retry after %v", delay)
 	}
 	return running
 }
--- a/internal/endpoint/allowance/burst_test.go
+++ b/internal/endpoint/allowance/burst_test.go
@@ -8,107 +8,111 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// moment is when something happens in the simulated burst.
-type moment struct {
-	at   time.Duration
-	ends bool
-	held Ticket
+// simEvent is an event of the simulated burst: the arrival of a request, or its
+// completion if ends is set.
+type simEvent struct {
+	at     time.Duration
+	ends   bool
+	ticket Ticket
 }
 
-type moments []moment
+// eventQueue is a heap of events ordered by time.
+type eventQueue []simEvent
 
-func (m moments) Len() int           { return len(m) }
-func (m moments) Less(i, j int) bool { return m[i].at < m[j].at }
-func (m moments) Swap(i, j int)      { m[i], m[j] = m[j], m[i] }
-func (m *moments) Push(x any)        { *m = append(*m, x.(moment)) }
-func (m *moments) Pop() any {
-	last := (*m)[len(*m)-1]
-	*m = (*m)[:len(*m)-1]
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)        { *q = append(*q, x.(simEvent)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// outcome is what a burst came to.
+// outcome is the result of a simulated burst.
 type outcome struct {
-	refusals int
-	most     int
-	last     time.Duration
+	refusals   int
+	maxRunning int
+	duration   time.Duration
 }
 
-// burst lets callers arrive at once; each comes back as told when refused.
-func burst(a *Allowance, callers int, work time.Duration, wait func(*result.Error) time.Duration) outcome {
+// simulateBurst simulates requests that all arrive at the same time and take
+// serviceTime each. A refused request is retried after the delay that wait
+// returns.
+func simulateBurst(a *Allowance, requests int, serviceTime time.Duration, wait func(*result.Error) time.Duration) outcome {
 	var (
-		out outcome
-		m   moments
+		out   outcome
+		queue eventQueue
 	)
-	for range callers {
-		heap.Push(&m, moment{})
+	for range requests {
+		heap.Push(&queue, simEvent{})
 	}
-	for m.Len() > 0 {
-		e := heap.Pop(&m).(moment)
+	for queue.Len() > 0 {
+		e := heap.Pop(&queue).(simEvent)
 		now := start.Add(e.at)
-		out.last = e.at
+		out.duration = e.at
 		if e.ends {
-			a.Completed(e.held, now)
+			a.Completed(e.ticket, now)
 			continue
 		}
 		ticket, err := a.Admit(now)
 		if err != nil {
 			out.refusals++
-			heap.Push(&m, moment{at: e.at + wait(err)})
+			heap.Push(&queue, simEvent{at: e.at + wait(err)})
 			continue
 		}
-		out.most = max(out.most, a.State().Running())
-		heap.Push(&m, moment{at: e.at + work, ends: true, held: ticket})
+		out.maxRunning = max(out.maxRunning, a.State().Running())
+		heap.Push(&queue, simEvent{at: e.at + serviceTime, ends: true, ticket: ticket})
 	}
 	return out
 }
 
-// A show's deadline brings hundreds of drafts at once to one endpoint. Callers
-// who are all told the same time come back in one wave, are refused again, and
-// the endpoint runs empty between the waves.
+// Hundreds of requests arrive at one endpoint at once. If all refused clients get
+// the same retry delay, they retry at the same time, are refused again, and the
+// endpoint is idle in between.
 func TestRetryAfterSpreadsBurst(t *testing.T) {
-	const callers, work = 400, 100 * time.Millisecond
+	const requests, serviceTime = 400, 100 * time.Millisecond
 	limits := Limits{Cold: 2, Full: 8, RampCompletions: 2}
-	told := func(e *result.Error) time.Duration { return e.RetryAfter() }
-	second := func(*result.Error) time.Duration { return time.Second }
-	ours := burst(newAllowance(t, limits), callers, work, told)
-	fixed := burst(newAllowance(t, limits), callers, work, second)
-	ideal := time.Duration(callers/limits.Full) * work
-	t.Logf("computed: %+v; one second for all: %+v; ideal %v", ours, fixed, ideal)
-	if ours.most > limits.Full || fixed.most > limits.Full {
-		t.Fatal("the bound was exceeded")
+	computedDelay := func(e *result.Error) time.Duration { return e.RetryAfter() }
+	fixedDelay := func(*result.Error) time.Duration { return time.Second }
+	computed := simulateBurst(newAllowance(t, limits), requests, serviceTime, computedDelay)
+	fixed := simulateBurst(newAllowance(t, limits), requests, serviceTime, fixedDelay)
+	ideal := time.Duration(requests/limits.Full) * serviceTime
+	t.Logf("computed delay: %+v; fixed delay of 1 s: %+v; ideal %v", computed, fixed, ideal)
+	if computed.maxRunning > limits.Full || fixed.maxRunning > limits.Full {
+		t.Fatal("the limit was exceeded")
 	}
-	if ours.refusals*2 > fixed.refusals || ours.last*2 > fixed.last {
-		t.Fatal("the computed time is no better than one second for all")
+	if computed.refusals*2 > fixed.refusals || computed.duration*2 > fixed.duration {
+		t.Fatal("the computed delay is no better than a fixed one")
 	}
 }
 
-// An endpoint without work for an hour is not stalled: the first ones refused
-// after that must not be sent away for long.
+// An endpoint that was idle for an hour is not stalled: the first requests refused
+// after that must not get a long retry delay.
 func TestIdleTimeIsNoStall(t *testing.T) {
 	a := newAllowance(t, Limits{Cold: 1, Full: 1, RampCompletions: 1})
-	out := burst(a, 3, 100*time.Millisecond, func(e *result.Error) time.Duration { return e.RetryAfter() })
-	later := start.Add(out.last + time.Hour)
+	out := simulateBurst(a, 3, 100*time.Millisecond, func(e *result.Error) time.Duration { return e.RetryAfter() })
+	later := start.Add(out.duration + time.Hour)
 	if _, err := a.Admit(later); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := a.Admit(later); err.RetryAfter() > time.Second {
-		t.Fatalf("told to stay away for %v", err.RetryAfter())
+		t.Fatalf("retry delay after idle time is %v, want at most 1 s", err.RetryAfter())
 	}
 	stalled := later.Add(3 * time.Second)
 	if _, err := a.Admit(stalled); err.RetryAfter() < time.Second {
-		t.Fatalf("told to come back to a stalled endpoint after %v", err.RetryAfter())
+		t.Fatalf("retry delay of a stalled endpoint is %v, want at least 1 s", err.RetryAfter())
 	}
 }
 
-// A burst meets a cold endpoint: it never bears more than its bound, which
-// grows only with whole answers.
+// A burst of requests reaches a cold endpoint. The full limit must not be exceeded
+// while the current one grows.
 func TestBurstOnColdEndpoint(t *testing.T) {
 	a := newAllowance(t, Limits{Cold: 1, Full: 16, RampCompletions: 4})
-	out := burst(a, 200, 50*time.Millisecond, func(e *result.Error) time.Duration { return e.RetryAfter() })
+	out := simulateBurst(a, 200, 50*time.Millisecond, func(e *result.Error) time.Duration { return e.RetryAfter() })
 	t.Logf("%+v", out)
-	if out.most > 16 || a.State().Running() != 0 {
-		t.Fatalf("%+v, %d left running", out, a.State().Running())
+	if out.maxRunning > 16 || a.State().Running() != 0 {
+		t.Fatalf("%+v, %d requests left running", out, a.State().Running())
 	}
 }
 
--- a/internal/endpoint/allowance/doc.go
+++ b/internal/endpoint/allowance/doc.go
@@ -1,13 +1,13 @@
-// Package allowance decides how much work one endpoint may run at once.
+// Package allowance limits how many requests one endpoint runs concurrently.
 //
-// An endpoint in cold start bears only a little work and falls over under
-// more. The agent is the only way to its endpoint, so its Allowance is the
-// single truth: what Admit lets in never exceeds the bound, whatever entries
-// believe. The bound starts at the cold bound, because an endpoint of which
-// nothing is known counts as cold, and grows with completions that the agent
-// has seen since; time alone proves nothing about warmth. Any sign of coldness
-// drops the bound at once.
+// An endpoint in cold start can run only few requests and crashes under more. All
+// requests to an endpoint pass through its agent, so the agent's Allowance is
+// authoritative: Admit never exceeds the limit, whatever load the entries assume.
+// The limit starts at Limits.Cold, because an endpoint of which nothing is known
+// counts as cold, and grows with the requests that the agent has seen complete
+// since then. Elapsed time alone doesn't raise it, as an idle endpoint doesn't warm
+// up. Any sign of a cold start resets the limit at once.
 //
-// The package reads no clock and starts no goroutine. An Allowance is safe for
+// The package reads no clock and starts no goroutines. An Allowance is safe for
 // concurrent use.
 package allowance
--- a/internal/endpoint/allowance/example_test.go
+++ b/internal/endpoint/allowance/example_test.go
@@ -7,7 +7,8 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/endpoint/allowance"
 )
 
-// A cold endpoint bears one request; two whole answers let it bear two.
+// A cold endpoint may run one request; two completed requests raise the limit to
+// two.
 func Example() {
 	now := time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
 	a := &allowance.Allowance{}
--- a/internal/endpoint/allowance/firsttoken.go
+++ b/internal/endpoint/allowance/firsttoken.go
@@ -6,68 +6,71 @@
 )
 
 const (
-	// tokenWindow is how many first-token times the median is taken over: odd,
-	// so that it is one of them, and large enough that a handful of long
-	// prompts doesn't move it.
-	tokenWindow = 31
-	// tokenLeast is how many times must be known before any counts as slow.
-	tokenLeast = 15
-	// slowFactor is how many medians count as slow. Prompts differ by a few
-	// times in length; cold engines answer tens of times later.
+	// ttftWindow is the number of samples in the running median: odd, so that
+	// the median is one of them, and large enough that a few long prompts don't
+	// move it.
+	ttftWindow = 31
+	// ttftMinSamples is the number of samples from which the median is used.
+	ttftMinSamples = 15
+	// slowFactor is the multiple of the median above which a sample is slow.
+	// Prompt lengths differ by a small factor, whereas the first tokens of cold
+	// engines take tens of times as long.
 	slowFactor = 4
-	// slowFloor keeps engines with first tokens of a few milliseconds from
-	// being called cold for a pause of the scheduler.
+	// slowFloor is the time up to which no sample is slow. Without it, scheduling
+	// delays would make engines with medians of a few milliseconds look cold.
 	slowFloor = 50 * time.Millisecond
-	// slowRow is how many slow ones in a row mean cold: one long prompt is
-	// ordinary, three in a row without a quick one between them are not.
-	slowRow = 3
+	// slowRunLength is the number of consecutive slow samples that indicate a
+	// cold engine. Single long prompts are common, three in a row are not.
+	slowRunLength = 3
 )
 
-// firstTokens detects that first tokens became slow all at once, against the
-// running median of a warm endpoint.
+// ttftDetector detects a sudden rise of the time to first token (TTFT) of a
+// warm endpoint over its running median.
 //
-// Decision, for an endpoint that turned cold without announcing it and still
-// accepts connections. Harm prevented: full load on it. Times of a cold start
-// don't enter the median, and a detection forgets it, so that a lasting change
-// of prompts costs one cold start and not one after another.
-type firstTokens struct {
-	times []time.Duration
-	next  int
-	row   int
+// It protects an endpoint that turned cold without reporting it, and that still
+// accepts connections, from full load. Samples of a cold start don't enter the
+// median, and a detection discards it, so that a lasting change to longer
+// prompts causes one cold start and not a series of them.
+type ttftDetector struct {
+	// samples is a ring buffer, and next the index of its oldest sample once it
+	// is full. slowRun is the length of the current run of slow samples.
+	samples []time.Duration
+	next    int
+	slowRun int
 }
 
-// slow adds d and says whether it makes the endpoint cold.
-func (f *firstTokens) slow(d time.Duration) bool {
-	if len(f.times) >= tokenLeast && d > max(slowFloor, slowFactor*f.median()) {
-		f.row++
-		return f.row >= slowRow
+// slow adds the sample d and reports whether it completes a run of slow samples.
+func (t *ttftDetector) slow(d time.Duration) bool {
+	if len(t.samples) >= ttftMinSamples && d > max(slowFloor, slowFactor*t.median()) {
+		t.slowRun++
+		return t.slowRun >= slowRunLength
 	}
-	f.row = 0
-	f.add(d)
+	t.slowRun = 0
+	t.add(d)
 	return false
 }
 
-func (f *firstTokens) add(d time.Duration) {
-	if len(f.times) < tokenWindow {
-		f.times = append(f.times, d)
+func (t *ttftDetector) add(d time.Duration) {
+	if len(t.samples) < ttftWindow {
+		t.samples = append(t.samples, d)
 		return
 	}
-	f.times[f.next] = d
-	f.next = (f.next + 1) % tokenWindow
+	t.samples[t.next] = d
+	t.next = (t.next + 1) % ttftWindow
 }
 
-// median returns the middle of the known times, zero when there are none.
-func (f *firstTokens) median() time.Duration {
-	if len(f.times) == 0 {
+// median returns the median of the samples, or zero if there are none.
+func (t *ttftDetector) median() time.Duration {
+	if len(t.samples) == 0 {
 		return 0
 	}
-	sorted := slices.Clone(f.times)
+	sorted := slices.Clone(t.samples)
 	slices.Sort(sorted)
 	return sorted[len(sorted)/2]
 }
 
-func (f *firstTokens) reset() {
-	f.times = f.times[:0]
-	f.next = 0
-	f.row = 0
+func (t *ttftDetector) reset() {
+	t.samples = t.samples[:0]
+	t.next = 0
+	t.slowRun = 0
 }
--- a/internal/endpoint/allowance/inherited.go
+++ b/internal/endpoint/allowance/inherited.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// inheritedFor bounds how long work of an earlier agent is counted: longer
-// than most answers take, and short enough that a report which never falls
-// does not keep the endpoint out of use.
-const inheritedFor = time.Minute
+// inheritedTTL bounds how long the requests of an earlier agent are counted. It is
+// longer than most requests take, and short enough that an endpoint whose reported
+// count never falls doesn't stay unused.
+const inheritedTTL = time.Minute
 
-// inherited is work that runs at the endpoint and that an earlier agent
+// inherited counts the requests running on the endpoint that an earlier agent
 // admitted.
 type inherited struct {
-	n     int
-	known bool
-	until time.Time
+	n        int
+	reported bool
+	expires  time.Time
 }
 
+// count returns the number of inherited requests that are assumed to run.
 func (i *inherited) count(now time.Time) int {
-	if now.Before(i.until) {
+	if now.Before(i.expires) {
 		return i.n
 	}
 	return 0
 }
 
-// ReportedRunning tells how many requests the endpoint's own report counts, at a
-// moment in which this agent had own ones running there.
+// ReportedRunning records that the endpoint reported n running requests while own
+// requests of this agent were running there.
 //
-// Decision, for an agent whose VM is replaced while its endpoint works. Harm
-// prevented: the endpoint goes on with what the earlier agent had admitted,
-// and the new one, which knows of none of it, adds a cold bound of its own; a
-// cold endpoint then gets up to twice what it bears. The first report says how
-// much there is, later ones can only lower it, because this agent is the only
-// way to the endpoint from then on. A report lags, so work that began a moment
-// before the earlier agent died may be missed.
+// When the VM of an agent is replaced, the endpoint keeps running the requests that
+// the earlier agent admitted. If the new agent didn't count them, it would admit up
+// to the cold limit on top of them, and a cold endpoint would get up to twice what
+// it can run. The first report sets the count. Later reports can only lower it,
+// because from then on all requests pass through this agent. As reports lag,
+// requests that started just before the earlier agent died may be missed.
 func (a *Allowance) ReportedRunning(n, own int, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n = max(0, n-own)
-	if !a.inherited.known {
-		a.inherited = inherited{n: n, known: true, until: now.Add(inheritedFor)}
+	if !a.inherited.reported {
+		a.inherited = inherited{n: n, reported: true, expires: now.Add(inheritedTTL)}
 		return
 	}
 	a.inherited.n = min(a.inherited.n, n)
--- a/internal/endpoint/allowance/pace.go
+++ b/internal/endpoint/allowance/pace.go
@@ -3,72 +3,80 @@
 import "time"
 
 const (
-	// workUnknown is the time that one request is taken to need before any has
-	// ended, and the longest time to come back until then.
-	workUnknown = time.Second
-	// retryLeast keeps a fast endpoint from being asked in a busy loop.
-	retryLeast = 20 * time.Millisecond
-	// retryMost keeps callers from staying away long after a stall has ended.
-	retryMost = 5 * time.Second
-	// paceWeight is the share, one in so many, of the newest time in the mean.
-	paceWeight = 8
-	// promisesPerPlace is to how many of the refused each place that becomes
-	// free is promised. Some don't come back, and a refusal costs one message,
-	// while an empty place costs the work of an endpoint.
-	promisesPerPlace = 2
+	// defaultServiceTime is the assumed service time of a request, and the
+	// upper bound of the retry delay, until the first request has completed.
+	defaultServiceTime = time.Second
+	// minRetryAfter keeps clients from polling a fast endpoint in a busy loop.
+	minRetryAfter = 20 * time.Millisecond
+	// maxRetryAfter keeps clients from staying away long after a stall has
+	// ended.
+	maxRetryAfter = 5 * time.Second
+	// serviceTimeWeight is the inverse of the weight of a new sample in the
+	// moving average of the service time.
+	serviceTimeWeight = 8
+	// retriesPerSlot is the number of retries scheduled for each slot that is
+	// expected to become free. Some clients don't come back, and a refusal costs
+	// one message, whereas an unused slot costs capacity of the endpoint.
+	retriesPerSlot = 2
 )
 
-// pace follows how long requests take, and so how often places become free.
-type pace struct {
-	work time.Duration
-	// last is when a request last ended, or when the first one began after
-	// none ran.
-	last     time.Time
-	promised time.Time
+// retryScheduler estimates how often slots become free and spreads the retries of
+// refused requests accordingly.
+type retryScheduler struct {
+	// serviceTime is the moving average of the service time, or zero if no
+	// request has completed.
+	serviceTime time.Duration
+	// lastProgress is when a request last completed or the endpoint last became
+	// busy, whichever is later.
+	lastProgress time.Time
+	// nextRetry is when the request that was refused last is due to retry.
+	nextRetry time.Time
 }
 
-// busy notes that the first request begins after none ran: an idle time is no
-// stall.
-func (p *pace) busy(now time.Time) { p.last = now }
+// becameBusy records that the first request after an idle period starts, so that
+// the idle period isn't taken for a stall.
+func (s *retryScheduler) becameBusy(now time.Time) { s.lastProgress = now }
 
-// ended notes the whole answer of a request that began at began. Failures tell
-// nothing about how long requests take.
-func (p *pace) ended(began, now time.Time) {
-	p.last = now
-	took := max(now.Sub(began), time.Nanosecond)
-	if p.work == 0 {
-		p.work = took
+// completed records the completion of a request that was admitted at admittedAt. It
+// isn't called for failed requests, whose duration says nothing about the service
+// time.
+func (s *retryScheduler) completed(admittedAt, now time.Time) {
+	s.lastProgress = now
+	elapsed := max(now.Sub(admittedAt), time.Nanosecond)
+	if s.serviceTime == 0 {
+		s.serviceTime = elapsed
 		return
 	}
-	p.work += (took - p.work) / paceWeight
+	s.serviceTime += (elapsed - s.serviceTime) / serviceTimeWeight
 }
 
-// retryAfter returns when the one refused now should come back; bound is how
-// many requests may run.
+// retryAfter returns the retry delay for a request that is refused now; bound is
+// the current concurrency limit.
 //
-// Decision, for a burst far above the bound. Harm prevented: all refused come
-// back at the same moment, are refused again, and the endpoint runs empty
-// between. Places become free once in the mean time of a request divided by the
-// bound (Little's law), so the refused are called back one after another at
-// that pace. The gaps between endings can't stand for it: when few come back
-// the gaps grow, and fewer still would be called. Work that has ended nothing
-// for longer than the mean slows the pace down. Beyond the longest time the
-// promises start again in its second half, spread as before.
-func (p *pace) retryAfter(bound int, now time.Time) time.Duration {
-	work, most := p.work, retryMost
-	if work == 0 {
-		work, most = workUnknown, workUnknown
+// If all requests refused in a burst retried at the same time, they would be
+// refused again and the endpoint would run empty in between. Slots become free at
+// intervals of the mean service time divided by the limit (Little's law), and
+// retries are scheduled one after another at that rate. The observed intervals
+// between completions can't replace the estimate: when few clients retry, the
+// intervals grow, and still fewer retries would be scheduled. If nothing has
+// completed for longer than the mean service time, that period is used in its
+// place. Delays beyond the upper bound wrap around into its second half, so that
+// they stay spread.
+func (s *retryScheduler) retryAfter(bound int, now time.Time) time.Duration {
+	serviceTime, maxDelay := s.serviceTime, maxRetryAfter
+	if serviceTime == 0 {
+		serviceTime, maxDelay = defaultServiceTime, defaultServiceTime
 	} else {
-		work = max(work, now.Sub(p.last))
+		serviceTime = max(serviceTime, now.Sub(s.lastProgress))
 	}
-	gap := work / time.Duration(max(bound, 1)*promisesPerPlace)
-	if p.promised.Before(now) {
-		p.promised = now
+	interval := serviceTime / time.Duration(max(bound, 1)*retriesPerSlot)
+	if s.nextRetry.Before(now) {
+		s.nextRetry = now
 	}
-	wait := p.promised.Sub(now) + gap
-	if wait > most {
-		wait = most/2 + wait%(most/2)
+	delay := s.nextRetry.Sub(now) + interval
+	if delay > maxDelay {
+		delay = maxDelay/2 + delay%(maxDelay/2)
 	}
-	p.promised = now.Add(wait)
-	return max(wait, retryLeast)
+	s.nextRetry = now.Add(delay)
+	return max(delay, minRetryAfter)
 }
