--- a/internal/endpoint/placement/choose.go
+++ b/internal/endpoint/placement/choose.go
@@ -94,11 +94,11 @@
 	if e != nil {
 		return p.recordChoice(e, false, probe, now), true, result.OK
 	}
-	e, best := p.scan(s, &q, now)
+	e, reason := p.scan(s, &q, now)
 	if e != nil {
 		return p.recordChoice(e, false, false, now), true, result.OK
 	}
-	return Choice{}, false, rejectionCodes[best]
+	return Choice{}, false, rejectionCodes[reason]
 }
 
 // recordChoice records that e was selected and returns the Choice.
@@ -151,7 +151,7 @@
 // when sample finds none. If no endpoint can be selected, it returns the index
 // in rejectionCodes of the reason that is most likely to pass.
 func (p *Picture) scan(s *route, q *Query, now time.Time) (lowest *endpoint, why int) {
-	least := math.Inf(1)
+	lowestScore := math.Inf(1)
 	for _, e := range s.endpoints {
 		if alreadyTried(q, e) {
 			continue
@@ -161,8 +161,8 @@
 			why = max(why, st)
 			continue
 		}
-		if x := p.loadScore(e, s, q, now); x < least {
-			lowest, least = e, x
+		if score := p.loadScore(e, s, q, now); score < lowestScore {
+			lowest, lowestScore = e, score
 		}
 	}
 	return lowest, why
--- a/internal/endpoint/placement/placement_test.go
+++ b/internal/endpoint/placement/placement_test.go
@@ -97,11 +97,11 @@
 	own []int
 }
 
-func (n *loadReference) otherStreams(r Report) int {
+func (ref *loadReference) otherStreams(r Report) int {
 	own := 0
-	for i, at := range n.at {
+	for i, at := range ref.at {
 		if !at.After(r.At) {
-			own = n.own[i]
+			own = ref.own[i]
 		}
 	}
 	return max(0, r.Running-own)
@@ -218,18 +218,18 @@
 
 func TestPrefixKeepsItsEndpointWithinBound(t *testing.T) {
 	p := newPicture(12, epoch)
-	home := make(map[uint64]string)
+	chosen := make(map[uint64]string)
 	for prefix := uint64(1); prefix <= 20; prefix++ {
 		c := mustChoose(t, p, Query{Route: "model", Prefix: prefix}, epoch)
-		home[prefix] = c.Endpoint
+		chosen[prefix] = c.Endpoint
 	}
-	for prefix, want := range home {
+	for prefix, want := range chosen {
 		if c := mustChoose(t, p, Query{Route: "model", Prefix: prefix}, epoch); c.Endpoint != want || !c.Affine {
 			t.Errorf("prefix %d went to %v, want %s", prefix, c, want)
 		}
 	}
-	hot := startRequests(t, p, Query{Route: "model", Tokens: 500, Prefix: 1}, 24, epoch)
-	if most := hot[home[1]]; most < 2 || most > 6 {
+	counts := startRequests(t, p, Query{Route: "model", Tokens: 500, Prefix: 1}, 24, epoch)
+	if most := counts[chosen[1]]; most < 2 || most > 6 {
 		t.Errorf("the endpoint of a popular prefix got %d of 24 requests, want 2 to 6", most)
 	}
 }
@@ -238,9 +238,9 @@
 	p := newPicture(12, epoch)
 	p.Spill = DefaultSpill
 	got := startRequests(t, p, query, 30, epoch)
-	near := got[name(0)] + got[name(3)] + got[name(6)] + got[name(9)]
-	if near < 12 || near > 24 {
-		t.Errorf("%d of 30 requests went to the local data centre, want 12 to 24", near)
+	local := got[name(0)] + got[name(3)] + got[name(6)] + got[name(9)]
+	if local < 12 || local > 24 {
+		t.Errorf("%d of 30 requests went to the local data centre, want 12 to 24", local)
 	}
 }
 
