--- a/internal/rank/expertmap/balance.go
+++ b/internal/rank/expertmap/balance.go
@@ -3,105 +3,116 @@
 import "math"
 
 const (
-	// maxSweeps bounds the work of one balance. Load travels one rank a
-	// sweep; groups of 128 ranks with two replicas an expert on average are
-	// level to a thousandth well before.
+	// maxSweeps is the maximum number of sweeps of one balance call. Load moves
+	// by one rank per sweep. Groups of 128 ranks with an average of two
+	// replicas per expert are balanced to a thousandth in far fewer sweeps.
 	maxSweeps = 200
-	// levelError is the change of load in a sweep, as part of the mean load
-	// of a rank, below which the ranks count as level.
-	levelError = 1e-5
-	// trialError is levelError for the comparison of moves.
-	trialError = 1e-3
+	// balanceTolerance is the largest change of a replica's load in one sweep,
+	// relative to the mean rank load, at which the ranks count as balanced.
+	balanceTolerance = 1e-5
+	// trialTolerance replaces balanceTolerance while candidate moves are
+	// compared.
+	trialTolerance = 1e-3
 )
 
-// placement is a layer under construction: which slot holds which expert, and
-// the load that each replica takes.
+// placement is a mutable layer that is being optimized: the expert in each slot
+// and the load that each replica takes.
 type placement struct {
 	shape Shape
-	// at is the expert in each slot, or none.
-	at []int
-	// part is the load that the replica in each slot takes.
-	part []float64
+	// expertAt is the expert in each slot, or none.
+	expertAt []int
+	// slotLoad is the load of the replica in each slot.
+	slotLoad []float64
 	// replicas lists the slots of each expert.
 	replicas [][]int
-	// ranks is the load of each rank, variance its variance and risk what is
-	// added to the load for it; see Risk.
-	ranks, variance, risk []float64
-	load                  []float64
-	// relative is the variance of each expert's load over the load's square.
-	relative   []float64
-	deviations float64
-	mean       float64
+	// rankLoad is the load of each rank, rankVariance the variance of that
+	// load, and riskMargin the amount added to the load for the variance; see
+	// Risk.
+	rankLoad, rankVariance, riskMargin []float64
+	// expertLoad is the load of each expert.
+	expertLoad []float64
+	// relVariance is the variance of each expert's load divided by the square
+	// of the load.
+	relVariance []float64
+	// maxZScore is the number of standard deviations in riskMargin.
+	maxZScore    float64
+	meanRankLoad float64
 }
 
+// newPlacement returns a placement with empty slots.
 func newPlacement(shape Shape, load []float64, risk Risk) *placement {
 	p := &placement{
-		shape:    shape,
-		at:       make([]int, shape.Ranks*shape.Slots),
-		part:     make([]float64, shape.Ranks*shape.Slots),
-		replicas: make([][]int, shape.Experts),
-		ranks:    make([]float64, shape.Ranks),
-		variance: make([]float64, shape.Ranks),
-		risk:     make([]float64, shape.Ranks),
-		load:     load,
-		relative: make([]float64, shape.Experts),
-
-		deviations: deviations(shape.Ranks),
+		shape:        shape,
+		expertAt:     make([]int, shape.Ranks*shape.Slots),
+		slotLoad:     make([]float64, shape.Ranks*shape.Slots),
+		replicas:     make([][]int, shape.Experts),
+		rankLoad:     make([]float64, shape.Ranks),
+		rankVariance: make([]float64, shape.Ranks),
+		riskMargin:   make([]float64, shape.Ranks),
+		expertLoad:   load,
+		relVariance:  make([]float64, shape.Experts),
+
+		maxZScore: maxZScore(shape.Ranks),
 	}
 	for e, v := range load {
-		p.relative[e] = risk.relative(v)
+		p.relVariance[e] = risk.relativeVariance(v)
 	}
-	for i := range p.at {
-		p.at[i] = none
+	for i := range p.expertAt {
+		p.expertAt[i] = none
 	}
 	for _, v := range load {
-		p.mean += v / float64(shape.Ranks)
+		p.meanRankLoad += v / float64(shape.Ranks)
 	}
 	return p
 }
 
+// placementOf returns the placement of l with the given expert loads, split by
+// the shares of l.
 func placementOf(l *Layer, load []float64, risk Risk) *placement {
 	p := newPlacement(l.shape, load, risk)
 	for i, s := range l.slots {
 		if s.Expert != none {
-			p.put(i, s.Expert)
-			p.setPart(i, load[s.Expert]*float64(s.Share)/ShareUnits)
+			p.addReplica(i, s.Expert)
+			p.setSlotLoad(i, load[s.Expert]*float64(s.Share)/ShareUnits)
 		}
 	}
 	return p
 }
 
+// copyFrom copies the state of q, which must have the same shape, loads and
+// risk as p.
 func (p *placement) copyFrom(q *placement) {
-	copy(p.at, q.at)
-	copy(p.part, q.part)
-	copy(p.ranks, q.ranks)
-	copy(p.variance, q.variance)
-	copy(p.risk, q.risk)
+	copy(p.expertAt, q.expertAt)
+	copy(p.slotLoad, q.slotLoad)
+	copy(p.rankLoad, q.rankLoad)
+	copy(p.rankVariance, q.rankVariance)
+	copy(p.riskMargin, q.riskMargin)
 	for e := range q.replicas {
 		p.replicas[e] = append(p.replicas[e][:0], q.replicas[e]...)
 	}
 }
 
 func (p *placement) clone() *placement {
-	q := newPlacement(p.shape, p.load, Risk{})
-	copy(q.relative, p.relative)
+	q := newPlacement(p.shape, p.expertLoad, Risk{})
+	copy(q.relVariance, p.relVariance)
 	q.copyFrom(p)
 	return q
 }
 
 func (p *placement) rankOf(slot int) int { return slot / p.shape.Slots }
 
-func (p *placement) put(slot, e int) {
-	p.at[slot] = e
+// addReplica puts a replica of e without load into an empty slot.
+func (p *placement) addReplica(slot, e int) {
+	p.expertAt[slot] = e
 	p.replicas[e] = append(p.replicas[e], slot)
 }
 
-// drop empties a slot and gives its load to the expert's first other replica, if
-// there is one.
-func (p *placement) drop(slot int) {
-	e, left := p.at[slot], p.part[slot]
-	p.setPart(slot, 0)
-	p.at[slot] = none
+// removeReplica empties a slot and transfers its load to the first remaining
+// replica of the expert, if any.
+func (p *placement) removeReplica(slot int) {
+	e, load := p.expertAt[slot], p.slotLoad[slot]
+	p.setSlotLoad(slot, 0)
+	p.expertAt[slot] = none
 	kept := p.replicas[e][:0]
 	for _, s := range p.replicas[e] {
 		if s != slot {
@@ -110,23 +121,25 @@
 	}
 	p.replicas[e] = kept
 	if len(kept) > 0 {
-		p.setPart(kept[0], p.part[kept[0]]+left)
+		p.setSlotLoad(kept[0], p.slotLoad[kept[0]]+load)
 	}
 }
 
-func (p *placement) setPart(slot int, v float64) {
-	r, old := p.rankOf(slot), p.part[slot]
+// setSlotLoad sets the load of the replica in a slot and updates the load,
+// variance and risk margin of its rank.
+func (p *placement) setSlotLoad(slot int, v float64) {
+	r, old := p.rankOf(slot), p.slotLoad[slot]
 	if v == old {
 		return
 	}
-	p.ranks[r] += v - old
-	p.part[slot] = v
-	p.variance[r] += (v*v - old*old) * p.relative[p.at[slot]]
-	p.risk[r] = p.deviations * math.Sqrt(max(0, p.variance[r]))
+	p.rankLoad[r] += v - old
+	p.slotLoad[slot] = v
+	p.rankVariance[r] += (v*v - old*old) * p.relVariance[p.expertAt[slot]]
+	p.riskMargin[r] = p.maxZScore * math.Sqrt(max(0, p.rankVariance[r]))
 }
 
-// counted returns the load of a rank with its risk.
-func (p *placement) counted(r int) float64 { return p.ranks[r] + p.risk[r] }
+// adjustedLoad returns the load of a rank plus its risk margin.
+func (p *placement) adjustedLoad(r int) float64 { return p.rankLoad[r] + p.riskMargin[r] }
 
 func (p *placement) holds(r, e int) bool {
 	for _, s := range p.replicas[e] {
@@ -137,100 +150,108 @@
 	return false
 }
 
-// balance sets the parts so that the sum of squares of the ranks' loads is
-// least for this placement, by exact minimisation over one expert after the
-// other. Rank loads under a fixed placement form the base of a polymatroid, on
-// which the vector with the least sum of squares also has the least maximum
-// (Fujishige 1980), so the slowest rank is as fast as shares can make it. The
-// sum of squares is convex and smooth, so the rounds converge to it.
-func (p *placement) balance(sweeps int, levelError float64) {
+// balance sets the replica loads so that the sum of squares of the rank loads
+// is minimal for this placement, by exact coordinate descent over one expert
+// after the other. The rank loads that a fixed placement allows form the base
+// of a polymatroid, on which the vector with the least sum of squares also has
+// the least maximum (Fujishige 1980), so no other shares give a lower maximum
+// rank load. The sum of squares is convex and smooth, so the sweeps converge to
+// the minimum. balance stops after the given number of sweeps or when the
+// largest change in a sweep is below tolerance times the mean rank load.
+func (p *placement) balance(sweeps int, tolerance float64) {
 	for range sweeps {
-		change := 0.0
+		maxChange := 0.0
 		for e := range p.replicas {
 			if len(p.replicas[e]) > 1 {
-				change = max(change, p.level(e))
+				maxChange = max(maxChange, p.waterFill(e))
 			}
 		}
-		if change < levelError*p.mean {
+		if maxChange < tolerance*p.meanRankLoad {
 			return
 		}
 	}
 }
 
-// level splits one expert's load over its replicas so that their ranks are as
-// level as they get, and returns the largest change of a part.
-func (p *placement) level(e int) float64 {
+// waterFill splits the load of expert e over its replicas so that the adjusted
+// loads of their ranks are as equal as possible (water-filling). It returns the
+// largest change of a replica's load.
+func (p *placement) waterFill(e int) float64 {
 	slots := p.replicas[e]
 	if len(slots) == 2 {
-		return p.levelTwo(e, slots[0], slots[1])
+		return p.waterFillPair(e, slots[0], slots[1])
 	}
-	p.sortByOthers(slots)
-	height := p.height(e, slots)
+	p.sortByOtherLoad(slots)
+	level := p.waterLevel(e, slots)
 	change := 0.0
 	for _, s := range slots {
-		v := max(0, height-p.others(s))
-		change = max(change, math.Abs(v-p.part[s]))
-		p.setPart(s, v)
+		v := max(0, level-p.otherLoad(s))
+		change = max(change, math.Abs(v-p.slotLoad[s]))
+		p.setSlotLoad(s, v)
 	}
 	return change
 }
 
-// sortByOthers sorts the few slots of an expert by insertion; it is called for
-// each expert in each sweep, and they are nearly in order.
-func (p *placement) sortByOthers(slots []int) {
+// sortByOtherLoad sorts the slots of an expert by otherLoad. It uses insertion
+// sort because it is called for each expert in each sweep, and the slots are
+// few and nearly in order.
+func (p *placement) sortByOtherLoad(slots []int) {
 	for i := 1; i < len(slots); i++ {
-		for j := i; j > 0 && p.others(slots[j]) < p.others(slots[j-1]); j-- {
+		for j := i; j > 0 && p.otherLoad(slots[j]) < p.otherLoad(slots[j-1]); j-- {
 			slots[j], slots[j-1] = slots[j-1], slots[j]
 		}
 	}
 }
 
-func (p *placement) levelTwo(e, a, b int) float64 {
-	v := (p.load[e] + p.others(b) - p.others(a)) / 2
-	v = min(max(v, 0), p.load[e])
-	change := math.Abs(v - p.part[a])
-	p.setPart(a, v)
-	p.setPart(b, p.load[e]-v)
+// waterFillPair is waterFill for an expert with exactly two replicas, in slots
+// a and b.
+func (p *placement) waterFillPair(e, a, b int) float64 {
+	v := (p.expertLoad[e] + p.otherLoad(b) - p.otherLoad(a)) / 2
+	v = min(max(v, 0), p.expertLoad[e])
+	change := math.Abs(v - p.slotLoad[a])
+	p.setSlotLoad(a, v)
+	p.setSlotLoad(b, p.expertLoad[e]-v)
 	return change
 }
 
-// others returns the counted load of a slot's rank without the slot's own part.
-// The part of the risk that is the slot's own stays in; it changes little from
-// one sweep to the next, so the sweeps settle.
-func (p *placement) others(slot int) float64 {
-	return p.counted(p.rankOf(slot)) - p.part[slot]
+// otherLoad returns the adjusted load of the slot's rank without the load of
+// the slot itself. The slot's contribution to the risk margin is not
+// subtracted; it changes little from one sweep to the next, so the sweeps still
+// converge.
+func (p *placement) otherLoad(slot int) float64 {
+	return p.adjustedLoad(p.rankOf(slot)) - p.slotLoad[slot]
 }
 
-// height returns the level to which the expert's load fills the ranks of its
-// slots, which are in ascending order of their other load.
-func (p *placement) height(e int, slots []int) float64 {
-	sum := p.load[e]
+// waterLevel returns the adjusted load up to which the load of expert e fills
+// the ranks of slots. The slots must be sorted by otherLoad in ascending order.
+func (p *placement) waterLevel(e int, slots []int) float64 {
+	sum := p.expertLoad[e]
 	for i, s := range slots {
-		sum += p.others(s)
-		h := sum / float64(i+1)
-		if i+1 == len(slots) || h <= p.others(slots[i+1]) {
-			return h
+		sum += p.otherLoad(s)
+		level := sum / float64(i+1)
+		if i+1 == len(slots) || level <= p.otherLoad(slots[i+1]) {
+			return level
 		}
 	}
 	return 0
 }
 
-// layer rounds the parts to whole shares.
-func (p *placement) layer() *Layer {
+// buildLayer returns the placement as a layer, with replica loads rounded to
+// integer shares that add up to ShareUnits for each expert.
+func (p *placement) buildLayer() *Layer {
 	slots := emptySlots(p.shape)
-	for e, reps := range p.replicas {
-		left, part := ShareUnits, p.load[e]
-		for i, s := range reps {
-			share := left
-			if i+1 < len(reps) && part > 0 {
-				share = int(math.Round(float64(left) * p.part[s] / part))
-				share = min(max(share, 0), left)
-			} else if i+1 < len(reps) {
-				share = left / (len(reps) - i)
+	for e, replicas := range p.replicas {
+		unitsLeft, loadLeft := ShareUnits, p.expertLoad[e]
+		for i, s := range replicas {
+			share := unitsLeft
+			if i+1 < len(replicas) && loadLeft > 0 {
+				share = int(math.Round(float64(unitsLeft) * p.slotLoad[s] / loadLeft))
+				share = min(max(share, 0), unitsLeft)
+			} else if i+1 < len(replicas) {
+				share = unitsLeft / (len(replicas) - i)
 			}
 			slots[s] = Slot{Expert: e, Share: share}
-			left -= share
-			part -= p.part[s]
+			unitsLeft -= share
+			loadLeft -= p.slotLoad[s]
 		}
 	}
 	return &Layer{shape: p.shape, slots: slots}
--- a/internal/rank/expertmap/bound.go
+++ b/internal/rank/expertmap/bound.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// boundRounds is the number of halvings in LowerBound: 40 leave an error of
-// one in 10^12.
-const boundRounds = 40
+// boundIterations is the number of bisection steps in LowerBound. 40 steps
+// leave a relative error of 1e-12.
+const boundIterations = 40
 
-// RankLoads returns the load of each rank when the experts have the given
-// loads. The length of load must be the layer's number of experts.
+// RankLoads returns the load of each rank for the given expert loads. The
+// length of load must be the number of experts in the layer.
 func RankLoads(l *Layer, load []float64) []float64 {
 	out := make([]float64, l.shape.Ranks)
 	for i, s := range l.slots {
@@ -18,45 +18,48 @@
 	return out
 }
 
-// Skew returns the load of the slowest rank over the mean load of all ranks,
-// or 1 when there is no load.
+// Skew returns the maximum rank load divided by the mean rank load, or 1 if the
+// total load is zero. The length of load must be the number of experts in the
+// layer.
 func Skew(l *Layer, load []float64) float64 {
 	return skewOf(RankLoads(l, load))
 }
 
-func skewOf(ranks []float64) float64 {
-	sum, most := 0.0, 0.0
-	for _, v := range ranks {
+func skewOf(rankLoads []float64) float64 {
+	sum, maxLoad := 0.0, 0.0
+	for _, v := range rankLoads {
 		sum += v
-		most = max(most, v)
+		maxLoad = max(maxLoad, v)
 	}
 	if sum == 0 {
 		return 1
 	}
-	return most * float64(len(ranks)) / sum
+	return maxLoad * float64(len(rankLoads)) / sum
 }
 
-// LowerBound returns a skew that no layer of this shape can go below for the
-// given loads, however its shares are set.
+// LowerBound returns a lower bound on the skew of all layers of this shape for
+// the given expert loads, whatever their shares. It returns 1 if the total load
+// is zero.
 //
-// Two things bound the slowest rank's load L from below. It is at least the
-// mean. And a replica can't take more than L, so an expert of load p needs at
-// least p/L replicas, rounded up; all of them together must fit the slots.
+// Two conditions bound the maximum rank load L from below. L is at least the
+// mean rank load. And since a replica can take at most L, an expert with load x
+// needs at least x/L replicas, rounded up, and the replicas of all experts must
+// fit into the slots.
 func LowerBound(load []float64, shape Shape) float64 {
-	sum, most := 0.0, 0.0
-	for _, p := range load {
-		sum += p
-		most = max(most, p)
+	sum, maxLoad := 0.0, 0.0
+	for _, v := range load {
+		sum += v
+		maxLoad = max(maxLoad, v)
 	}
 	if sum == 0 {
 		return 1
 	}
 	mean := sum / float64(shape.Ranks)
-	low, high := mean, max(mean, most)
+	low, high := mean, max(mean, maxLoad)
 	if replicasNeeded(load, low) <= shape.Ranks*shape.Slots {
 		return 1
 	}
-	for range boundRounds {
+	for range boundIterations {
 		mid := (low + high) / 2
 		if replicasNeeded(load, mid) <= shape.Ranks*shape.Slots {
 			high = mid
@@ -67,10 +70,12 @@
 	return low / mean
 }
 
-func replicasNeeded(load []float64, most float64) int {
+// replicasNeeded returns the number of replicas that all experts need together
+// if each replica takes at most limit.
+func replicasNeeded(load []float64, limit float64) int {
 	n := 0
-	for _, p := range load {
-		n += max(1, int(math.Ceil(p/most-1e-9)))
+	for _, v := range load {
+		n += max(1, int(math.Ceil(v/limit-1e-9)))
 	}
 	return n
 }
--- a/internal/rank/expertmap/exact_test.go
+++ b/internal/rank/expertmap/exact_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// exactSkew is the least skew of a placement over all shares, by Hall's
-// condition: the experts of a set share the ranks that hold one of them, so the
-// slowest rank has at least their load over the number of those ranks, and some
-// set makes this tight.
+// exactSkew returns the minimum skew of a placement over all shares. By Hall's
+// theorem, the maximum rank load is at least the load of any set of experts
+// divided by the number of ranks that hold one of them, and equality holds for
+// some set. The bits of set select the experts.
 func exactSkew(holds [][]bool, load []float64) float64 {
-	most := 0.0
+	maxLoad := 0.0
 	for set := 1; set < 1<<len(load); set++ {
 		sum, ranks := 0.0, 0
 		for e, v := range load {
@@ -20,16 +20,17 @@
 			}
 		}
 		for _, held := range holds {
-			if meets(held, set) {
+			if intersects(held, set) {
 				ranks++
 			}
 		}
-		most = max(most, sum/float64(ranks))
+		maxLoad = max(maxLoad, sum/float64(ranks))
 	}
-	return most * float64(len(holds)) / total(load)
+	return maxLoad * float64(len(holds)) / totalLoad(load)
 }
 
-func meets(held []bool, set int) bool {
+// intersects reports whether a rank holds an expert of the set.
+func intersects(held []bool, set int) bool {
 	for e, h := range held {
 		if h && set>>e&1 == 1 {
 			return true
@@ -38,20 +39,21 @@
 	return false
 }
 
-// bestSkew is the least skew over all placements, by trying them all.
-func bestSkew(shape Shape, load []float64) float64 {
+// optimalSkew returns the minimum skew over all placements, by exhaustive
+// search.
+func optimalSkew(shape Shape, load []float64) float64 {
 	holds := make([][]bool, shape.Ranks)
 	best := math.Inf(1)
 	var try func(r int)
 	try = func(r int) {
 		if r == shape.Ranks {
-			if covered(holds, shape.Experts) {
+			if coversAll(holds, shape.Experts) {
 				best = min(best, exactSkew(holds, load))
 			}
 			return
 		}
 		for set := range 1 << shape.Experts {
-			if held := members(set, shape.Experts); count(held) == shape.Slots {
+			if held := membership(set, shape.Experts); count(held) == shape.Slots {
 				holds[r] = held
 				try(r + 1)
 			}
@@ -61,7 +63,8 @@
 	return best
 }
 
-func members(set, n int) []bool {
+// membership returns which of n experts are in the set.
+func membership(set, n int) []bool {
 	held := make([]bool, n)
 	for e := range held {
 		held[e] = set>>e&1 == 1
@@ -79,7 +82,8 @@
 	return n
 }
 
-func covered(holds [][]bool, experts int) bool {
+// coversAll reports whether each expert is held by at least one rank.
+func coversAll(holds [][]bool, experts int) bool {
 	for e := range experts {
 		found := false
 		for _, held := range holds {
@@ -92,7 +96,8 @@
 	return true
 }
 
-func holdsOf(l *Layer) [][]bool {
+// placementMatrix returns, for each rank, which experts it holds.
+func placementMatrix(l *Layer) [][]bool {
 	holds := make([][]bool, l.shape.Ranks)
 	for r := range holds {
 		holds[r] = make([]bool, l.shape.Experts)
@@ -103,59 +108,61 @@
 	return holds
 }
 
-// TestSharesAreOptimal compares the shares with Hall's condition on placements
-// of the solver.
+// TestSharesAreOptimal checks that Improve without moves reaches the optimum of
+// exactSkew on placements made by Solve for other loads.
 func TestSharesAreOptimal(t *testing.T) {
 	for _, shape := range []Shape{{2, 2, 3}, {3, 2, 4}, {4, 3, 8}, {5, 2, 7}} {
 		t.Run(shape.name(), func(t *testing.T) {
 			rng := rand.New(rand.NewSource(1))
 			for range 50 {
-				l := solved(t, shape, randomLoad(rng, shape.Experts))
+				l := mustSolve(t, shape, randomLoad(rng, shape.Experts))
 				load := randomLoad(rng, shape.Experts)
-				kept, err := Improve(l, load, Risk{}, 0, 0, 0)
+				rebalanced, err := Improve(l, load, Risk{}, 0, 0, 0)
 				if err != nil {
 					t.Fatal(err)
 				}
-				assertNear(t, Skew(kept.Layer(), load), exactSkew(holdsOf(l), load), 0.002)
+				assertNear(t, Skew(rebalanced.Layer(), load), exactSkew(placementMatrix(l), load), 0.002)
 			}
 		})
 	}
 }
 
-// TestPlacementNearOptimum compares what Solve and Improve reach with the best
-// of all placements, and the lower bound with both.
+// TestPlacementNearOptimum compares the skew after Solve and Improve with the
+// minimum over all placements, and checks that LowerBound exceeds neither.
 func TestPlacementNearOptimum(t *testing.T) {
 	for _, shape := range []Shape{{2, 2, 3}, {3, 2, 4}, {3, 2, 5}, {4, 2, 5}} {
 		t.Run(shape.name(), func(t *testing.T) {
 			rng := rand.New(rand.NewSource(2))
-			worst, sum := 0.0, 0.0
+			maxRatio, sumRatio := 0.0, 0.0
 			const rounds = 20
 			for range rounds {
 				load := randomLoad(rng, shape.Experts)
-				best := bestSkew(shape, load)
-				imp, err := Improve(solved(t, shape, load), load, Risk{}, 8, 0, 0)
+				optimum := optimalSkew(shape, load)
+				imp, err := Improve(mustSolve(t, shape, load), load, Risk{}, 8, 0, 0)
 				if err != nil {
 					t.Fatal(err)
 				}
-				assertAtMost(t, LowerBound(load, shape), best+1e-9)
-				assertAtMost(t, best, Skew(imp.Layer(), load)+0.002)
-				worst = max(worst, Skew(imp.Layer(), load)/best)
-				sum += Skew(imp.Layer(), load) / best
+				assertAtMost(t, LowerBound(load, shape), optimum+1e-9)
+				assertAtMost(t, optimum, Skew(imp.Layer(), load)+0.002)
+				maxRatio = max(maxRatio, Skew(imp.Layer(), load)/optimum)
+				sumRatio += Skew(imp.Layer(), load) / optimum
 			}
-			t.Logf("over the optimum: worst %.3f, mean %.3f", worst, sum/rounds)
-			assertAtMost(t, worst, 1.10)
+			t.Logf("ratio to optimal skew: max %.3f, mean %.3f", maxRatio, sumRatio/rounds)
+			assertAtMost(t, maxRatio, 1.10)
 		})
 	}
 }
 
-func solved(t *testing.T, shape Shape, load []float64) *Layer {
+// mustSolve returns the result of Solve without risk and checks that it is a
+// valid layer.
+func mustSolve(t *testing.T, shape Shape, load []float64) *Layer {
 	t.Helper()
 	l, err := Solve(shape, load, Risk{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := NewLayer(shape, l.slots); err != nil {
-		t.Fatalf("not a layer: %v", err)
+		t.Fatalf("invalid layer: %v", err)
 	}
 	return l
 }
@@ -167,9 +174,9 @@
 	}
 }
 
-func assertAtMost(t *testing.T, got, most float64) {
+func assertAtMost(t *testing.T, got, limit float64) {
 	t.Helper()
-	if got > most {
-		t.Errorf("got %v, want at most %v", got, most)
+	if got > limit {
+		t.Errorf("got %v, want at most %v", got, limit)
 	}
 }
--- a/internal/rank/expertmap/example_test.go
+++ b/internal/rank/expertmap/example_test.go
@@ -6,9 +6,9 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/rank/expertmap"
 )
 
-// Skew is the load of the slowest rank over the mean load. Here one expert takes
-// half of all tokens; without a second replica its rank is twice as slow as the
-// mean, and every rank waits for it in each step.
+// One expert receives half of all tokens. With a single replica its rank has
+// twice the mean load, and all ranks wait for it in each step. Replicas on
+// other ranks level the load.
 func Example() {
 	shape := expertmap.Shape{Ranks: 4, Slots: 2, Experts: 4}
 	load := []float64{600, 200, 200, 200}
--- a/internal/rank/expertmap/expertmap_test.go
+++ b/internal/rank/expertmap/expertmap_test.go
@@ -47,6 +47,7 @@
 	}
 }
 
+// name returns a name for subtests and sub-benchmarks.
 func (s Shape) name() string {
 	l := Layer{shape: s}
 	return l.String()
@@ -60,8 +61,9 @@
 	}
 }
 
-// benchmarkPlan plans for 128 ranks and experts after popularity has moved on
-// for some minutes.
+// benchmarkPlan measures NewPlan for 128 ranks and 128 experts in each of n
+// layers, after the popularity has drifted by about 10%, as it does within some
+// minutes.
 func benchmarkPlan(b *testing.B, n int) {
 	rng := rand.New(rand.NewSource(1))
 	shape := Shape{128, 2, 128}
--- a/internal/rank/expertmap/improve.go
+++ b/internal/rank/expertmap/improve.go
@@ -3,32 +3,34 @@
 import "github.com/rotisserie/eris"
 
 const (
-	// The number of experts of each kind that are tried for a move, and of slots
-	// of each kind: four times their product bounds the time of a move.
-	triedExperts = 3
-	triedSlots   = 6
-	// trialSweeps is enough to compare moves; the one taken is balanced fully.
+	// Experts and slots are each selected by two rules. candidateExperts and
+	// candidateSlots limit how many each rule selects, so a move evaluates at
+	// most four times their product.
+	candidateExperts = 3
+	candidateSlots   = 6
+	// trialSweeps is enough to compare moves; the chosen one is balanced with
+	// maxSweeps.
 	trialSweeps = 12
-	// patience is how many moves in a row may fail to pay before no more are
-	// tried.
+	// patience is the number of consecutive moves without improvement after
+	// which the search stops.
 	patience = 3
 )
 
-// Move is one replica that a rank has to load.
+// Move is a replica that a rank has to load.
 type Move struct {
 	layer, expert, rank int
 }
 
-// Layer returns the number of the layer.
+// Layer returns the index of the layer.
 func (m Move) Layer() int { return m.layer }
 
-// Expert returns the number of the expert.
+// Expert returns the index of the expert.
 func (m Move) Expert() int { return m.expert }
 
-// Rank returns the number of the rank that loads the expert.
+// Rank returns the index of the rank that loads the replica.
 func (m Move) Rank() int { return m.rank }
 
-// Improvement is a layer that was reached from another by a few moves.
+// Improvement is the result of Improve.
 type Improvement struct {
 	layer        *Layer
 	moves        int
@@ -39,52 +41,55 @@
 // Layer returns the improved layer.
 func (i *Improvement) Layer() *Layer { return i.layer }
 
-// Moves returns the number of replicas that ranks must load.
+// Moves returns the number of replicas that ranks have to load.
 func (i *Improvement) Moves() int { return i.moves }
 
-// Before returns the expected skew of the layer as it was.
+// Before returns the expected skew of the original layer.
 func (i *Improvement) Before() float64 { return i.before }
 
-// Kept returns the expected skew with new shares and no move.
+// Kept returns the expected skew with the original placement and new shares.
 func (i *Improvement) Kept() float64 { return i.kept }
 
 // After returns the expected skew of the improved layer.
 func (i *Improvement) After() float64 { return i.after }
 
+// checkLoads returns ErrObservation if load does not have one finite,
+// non-negative value for each expert.
 func checkLoads(shape Shape, load []float64) error {
 	if len(load) != shape.Experts {
 		return eris.Wrapf(ErrObservation, "%d loads for %d experts", len(load), shape.Experts)
 	}
-	return checkLoad(load)
+	return checkValues(load)
 }
 
-// Improve sets the shares of l for the given loads and risk and then moves
-// replicas, at most maxMoves, for as long as a move pays: cost is what the
-// expected skew must fall by for each move. Moves are tried one after the other,
-// and the number of moves with the best gain less cost is taken, so that a move
-// that pays only together with the next ones is not missed. Once the skew is
-// within goal of the lower bound no further move is tried. It returns
-// ErrObservation for loads that don't fit the layer.
+// Improve optimizes the shares of l for the given loads and risk and then moves
+// replicas, at most maxMoves, as long as it pays: cost is the reduction of the
+// expected skew that each move has to bring. Moves are applied one after the
+// other, and Improve returns the layer after the number of moves with the
+// lowest sum of expected skew and cost, so a move that pays only together with
+// later ones is not missed. The search ends early when the expected skew is at
+// most goal above the lower bound. Improve returns ErrObservation if load does
+// not match the layer or has a value that is negative or not finite.
 func Improve(l *Layer, load []float64, risk Risk, maxMoves int, cost, goal float64) (*Improvement, error) {
 	if err := checkLoads(l.shape, load); err != nil {
 		return nil, err
 	}
 	p := placementOf(l, load, risk)
-	out := &Improvement{before: p.skew()}
-	p.balance(maxSweeps, levelError)
-	out.layer, out.kept, out.after = p.layer(), p.skew(), p.skew()
+	imp := &Improvement{before: p.expectedSkew()}
+	p.balance(maxSweeps, balanceTolerance)
+	imp.layer, imp.kept, imp.after = p.buildLayer(), p.expectedSkew(), p.expectedSkew()
 	target := LowerBound(load, l.shape) + goal
-	best, idle := p.skew(), 0
-	for n := 1; n <= maxMoves && idle < patience && p.skew() > target; n++ {
-		if !p.move() {
+	best, nonImproving := p.expectedSkew(), 0
+	for n := 1; n <= maxMoves && nonImproving < patience && p.expectedSkew() > target; n++ {
+		if !p.applyBestMove() {
 			break
 		}
-		idle++
-		if worth := p.skew() + cost*float64(n); worth < best {
-			best, idle = worth, 0
-			out.layer, out.after = p.layer(), p.skew()
+		nonImproving++
+		if objective := p.expectedSkew() + cost*float64(n); objective < best {
+			best, nonImproving = objective, 0
+			imp.layer, imp.after = p.buildLayer(), p.expectedSkew()
 		}
 	}
-	out.moves = out.layer.Moves(l)
-	return out, nil
+	imp.moves = imp.layer.Moves(l)
+	return imp, nil
 }
--- a/internal/rank/expertmap/input_test.go
+++ b/internal/rank/expertmap/input_test.go
@@ -14,9 +14,9 @@
 	}
 }
 
-func TestNewLayerRefuses(t *testing.T) {
+func TestNewLayerRejectsInvalidInput(t *testing.T) {
 	shape := Shape{Ranks: 2, Slots: 2, Experts: 2}
-	whole := Slot{Expert: 0, Share: ShareUnits}
+	full := Slot{Expert: 0, Share: ShareUnits}
 	empty := Slot{Expert: none}
 	for _, c := range []struct {
 		name  string
@@ -26,11 +26,11 @@
 	}{
 		{"more experts than slots", Shape{1, 1, 2}, nil, ErrShape},
 		{"no ranks", Shape{0, 1, 1}, nil, ErrShape},
-		{"too few slots", shape, []Slot{whole}, ErrLayer},
-		{"an expert without replica", shape, []Slot{whole, empty, empty, empty}, ErrLayer},
-		{"an expert twice on a rank", shape, []Slot{{0, 1}, {0, ShareUnits - 1}, {1, ShareUnits}, empty}, ErrLayer},
-		{"shares that don't add up", shape, []Slot{{0, 1}, {1, ShareUnits}, empty, empty}, ErrLayer},
-		{"an unknown expert", shape, []Slot{whole, {2, ShareUnits}, {1, ShareUnits}, empty}, ErrLayer},
+		{"too few slots", shape, []Slot{full}, ErrLayer},
+		{"expert without replica", shape, []Slot{full, empty, empty, empty}, ErrLayer},
+		{"two replicas of an expert on a rank", shape, []Slot{{0, 1}, {0, ShareUnits - 1}, {1, ShareUnits}, empty}, ErrLayer},
+		{"shares do not add up", shape, []Slot{{0, 1}, {1, ShareUnits}, empty, empty}, ErrLayer},
+		{"expert out of range", shape, []Slot{full, {2, ShareUnits}, {1, ShareUnits}, empty}, ErrLayer},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := NewLayer(c.shape, c.slots)
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestLoadsAreChecked(t *testing.T) {
+func TestInvalidLoadsAreRejected(t *testing.T) {
 	shape := Shape{Ranks: 2, Slots: 2, Experts: 2}
 	for _, load := range [][]float64{{1}, {1, -1}, {1, math.NaN()}, {1, math.Inf(1)}} {
 		_, err := Solve(shape, load, Risk{})
@@ -49,19 +49,19 @@
 	}
 }
 
-func TestNothingToCarry(t *testing.T) {
+func TestImproveWithZeroLoad(t *testing.T) {
 	shape := Shape{Ranks: 2, Slots: 2, Experts: 3}
-	imp, err := Improve(solved(t, shape, make([]float64, 3)), make([]float64, 3), Risk{Draw: true}, 4, 0, 0)
+	imp, err := Improve(mustSolve(t, shape, make([]float64, 3)), make([]float64, 3), Risk{Draw: true}, 4, 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	assertNear(t, imp.After(), 1, 0)
 	if imp.Moves() != 0 {
-		t.Errorf("%d moves without load", imp.Moves())
+		t.Errorf("%d moves for zero load", imp.Moves())
 	}
 }
 
-func TestPopularityForgets(t *testing.T) {
+func TestPopularityDecay(t *testing.T) {
 	p := NewPopularity(1, 1, time.Minute)
 	at := time.Unix(100, 0)
 	for _, c := range []struct {
@@ -82,31 +82,32 @@
 	}
 }
 
-// TestPlanSparesMoves: a group that moved weights for each passing wave would
-// spend its store's rate on nothing. Moves that cost more than they bring, or
-// that the store can't give, are not planned, and a small gain changes nothing.
-func TestPlanSparesMoves(t *testing.T) {
+// TestPlanRespectsLimits guards against moving replicas for short-lived changes
+// of popularity, which would waste the bandwidth of the weight store. Moves
+// that cost more than they gain, or that the store cannot deliver in time, are
+// not planned, and a plan with too small a gain leaves the map unchanged.
+func TestPlanRespectsLimits(t *testing.T) {
 	shape := Shape{Ranks: 4, Slots: 3, Experts: 8}
 	cheap := Limits{ExpertBytes: 1, StoreRate: 100, StageTime: time.Second, Life: time.Hour, Slowdown: 0.1}
-	dear := cheap
-	dear.ExpertBytes, dear.StageTime, dear.Life = 100, 100*time.Second, 10*time.Millisecond
-	starved := cheap
-	starved.StageTime = 0
-	content := cheap
-	content.MinGain = 10
+	costly := cheap
+	costly.ExpertBytes, costly.StageTime, costly.Life = 100, 100*time.Second, 10*time.Millisecond
+	noStageTime := cheap
+	noStageTime.StageTime = 0
+	highMinGain := cheap
+	highMinGain.MinGain = 10
 	for _, c := range []struct {
 		name    string
 		limits  Limits
 		moves   bool
 		changed bool
 	}{
-		{"moves pay", cheap, true, true},
-		{"moves cost too much", dear, false, true},
-		{"the store gives none", starved, false, true},
-		{"the gain is too small", content, false, false},
+		{"moves are worth their cost", cheap, true, true},
+		{"moves cost too much", costly, false, true},
+		{"no time to load weights", noStageTime, false, true},
+		{"gain below minimum", highMinGain, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			plan := planned(t, shape, c.limits)
+			plan := mustPlan(t, shape, c.limits)
 			if got := len(plan.Moves()) > 0; got != c.moves {
 				t.Errorf("%d moves", len(plan.Moves()))
 			}
@@ -118,14 +119,15 @@
 	}
 }
 
-// planned plans from a map for even load when one expert has become popular.
-func planned(t *testing.T, shape Shape, limits Limits) *Plan {
+// mustPlan plans from a map made for even loads after one expert has become 20
+// times as popular as the others.
+func mustPlan(t *testing.T, shape Shape, limits Limits) *Plan {
 	t.Helper()
 	load := make([]float64, shape.Experts)
 	for e := range load {
 		load[e] = 1
 	}
-	current, err := NewMap(1, []*Layer{solved(t, shape, load)})
+	current, err := NewMap(1, []*Layer{mustSolve(t, shape, load)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,7 +144,7 @@
 }
 
 func TestPlanNeedsObservations(t *testing.T) {
-	current, err := NewMap(1, []*Layer{solved(t, Shape{2, 1, 2}, []float64{1, 1})})
+	current, err := NewMap(1, []*Layer{mustSolve(t, Shape{2, 1, 2}, []float64{1, 1})})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rank/expertmap/layer.go
+++ b/internal/rank/expertmap/layer.go
@@ -8,26 +8,29 @@
 	"github.com/rotisserie/eris"
 )
 
-// ShareUnits is the number of units that the shares of an expert's replicas
-// add up to. Whole units make a map's digest the same on every processor, and
-// 1<<14 of them are two bytes on the wire, and fine enough to split the most
-// popular expert to a ten-thousandth.
+// ShareUnits is the sum of the shares of an expert's replicas. Integer shares
+// make the digest of a map the same on every processor. A share below
+// ShareUnits takes at most two bytes on the wire, and the units are fine enough
+// to split the most popular expert to within a ten-thousandth of its load.
 const ShareUnits = 1 << 14
 
-// none marks a slot that holds no expert.
+// none is the index that stands for no expert, no slot or no rank. An empty
+// slot holds the expert none.
 const none = -1
 
-// ErrShape is returned for sizes that no layer can have.
-var ErrShape = eris.New("expertmap: the experts don't fit the ranks and slots")
+// ErrShape is returned for impossible layer sizes and for numbers of layers or
+// ranks that do not match.
+var ErrShape = eris.New("expertmap: invalid or mismatched shape")
 
-// ErrLayer is returned for slots that don't form a layer.
-var ErrLayer = eris.New("expertmap: the slots don't form a layer")
+// ErrLayer is returned for slots that do not make a valid layer; see NewLayer.
+var ErrLayer = eris.New("expertmap: invalid layer slots")
 
-// Shape holds the sizes of a layer.
+// Shape holds the dimensions of a layer.
 type Shape struct {
 	// Ranks is the number of ranks in the group.
 	Ranks int
-	// Slots is the number of experts whose weights fit one rank's memory.
+	// Slots is the number of experts whose weights fit into the memory of one
+	// rank.
 	Slots int
 	// Experts is the number of experts in the layer.
 	Experts int
@@ -35,29 +38,32 @@
 
 func (s Shape) check() error {
 	if s.Ranks < 1 || s.Slots < 1 || s.Experts < 1 || s.Experts > s.Ranks*s.Slots {
-		return eris.Wrapf(ErrShape, "%d ranks of %d slots, %d experts", s.Ranks, s.Slots, s.Experts)
+		return eris.Wrapf(ErrShape, "%d ranks with %d slots each for %d experts", s.Ranks, s.Slots, s.Experts)
 	}
 	return nil
 }
 
-// Slot is what one slot of a rank holds.
+// Slot is the content of one slot of a rank.
 type Slot struct {
-	// Expert is the number of the expert, or -1 when the slot is empty.
+	// Expert is the index of the expert, or -1 if the slot is empty.
 	Expert int
-	// Share is the part of the expert's tokens in units of 1/ShareUnits.
+	// Share is the fraction of the expert's tokens that this replica processes,
+	// in units of 1/ShareUnits.
 	Share int
 }
 
-// Layer is the placement of one layer's experts. It does not change.
+// Layer is the immutable placement of the experts of one model layer.
 type Layer struct {
 	shape Shape
 	slots []Slot
 }
 
-// NewLayer returns the layer whose slots are given rank after rank. It returns
-// ErrShape for impossible sizes, and ErrLayer unless each expert has a replica,
-// no rank holds an expert twice and the shares of each expert add up to
-// ShareUnits.
+// NewLayer returns the layer with the given slots, in rank-major order. It
+// copies slots. It returns ErrShape if the dimensions are impossible. It
+// returns ErrLayer if the number of slots is wrong, an expert index is out of
+// range, a share is negative, a rank holds two replicas of an expert, or the
+// shares of an expert do not add up to ShareUnits, which includes an expert
+// without a replica.
 func NewLayer(shape Shape, slots []Slot) (*Layer, error) {
 	if err := shape.check(); err != nil {
 		return nil, err
@@ -72,8 +78,9 @@
 	return l, nil
 }
 
-// Contiguous returns the layer that gives each rank the next experts in order,
-// with no second replica. It returns ErrShape for impossible sizes.
+// Contiguous returns the layer that assigns contiguous ranges of experts to the
+// ranks, with one replica for each expert. It returns ErrShape if the
+// dimensions are impossible.
 func Contiguous(shape Shape) (*Layer, error) {
 	if err := shape.check(); err != nil {
 		return nil, err
@@ -113,7 +120,7 @@
 	}
 	for e, sum := range sums {
 		if sum != ShareUnits {
-			return eris.Wrapf(ErrLayer, "the shares of expert %d add up to %d", e, sum)
+			return eris.Wrapf(ErrLayer, "shares of expert %d add up to %d", e, sum)
 		}
 	}
 	return nil
@@ -124,14 +131,14 @@
 	for i, s := range slots {
 		for _, other := range slots[:i] {
 			if s.Expert != none && s.Expert == other.Expert {
-				return eris.Wrapf(ErrLayer, "rank %d holds expert %d twice", r, s.Expert)
+				return eris.Wrapf(ErrLayer, "rank %d holds two replicas of expert %d", r, s.Expert)
 			}
 		}
 	}
 	return nil
 }
 
-// Shape returns the layer's sizes.
+// Shape returns the dimensions of the layer.
 func (l *Layer) Shape() Shape { return l.shape }
 
 // Rank returns the slots of rank r. The caller must not change them.
@@ -139,7 +146,7 @@
 	return l.slots[r*l.shape.Slots : (r+1)*l.shape.Slots]
 }
 
-// Slots returns all slots, rank after rank. The caller must not change them.
+// Slots returns all slots in rank-major order. The caller must not change them.
 func (l *Layer) Slots() []Slot { return l.slots }
 
 // Holds reports whether rank r holds a replica of expert e.
@@ -163,8 +170,8 @@
 	return n
 }
 
-// SamePlacement reports whether both layers hold the same experts in the same
-// slots, whatever their shares.
+// SamePlacement reports whether both layers have the same shape and hold the
+// same experts in the same slots, regardless of shares.
 func (l *Layer) SamePlacement(o *Layer) bool {
 	if l.shape != o.shape {
 		return false
@@ -177,8 +184,9 @@
 	return true
 }
 
-// Moves returns the number of replicas that l has and from has not: what ranks
-// must load from the weight store to go from one layer to the other.
+// Moves returns the number of replicas in l whose rank does not hold the expert
+// in from. These are the replicas that ranks have to load from the weight store
+// to change from one layer to the other.
 func (l *Layer) Moves(from *Layer) int {
 	n := 0
 	for i, s := range l.slots {
@@ -189,6 +197,7 @@
 	return n
 }
 
+// hash writes the shape and the slots to h.
 func (l *Layer) hash(h *xxhash.Digest) {
 	b := binary.AppendUvarint(nil, uint64(l.shape.Ranks))
 	b = binary.AppendUvarint(b, uint64(l.shape.Slots))
@@ -200,7 +209,7 @@
 	_, _ = h.Write(b)
 }
 
-// String describes the layer's sizes.
+// String returns the dimensions of the layer.
 func (l *Layer) String() string {
 	return fmt.Sprintf("%d ranks x %d slots, %d experts", l.shape.Ranks, l.shape.Slots, l.shape.Experts)
 }
--- a/internal/rank/expertmap/map.go
+++ b/internal/rank/expertmap/map.go
@@ -5,19 +5,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrNoLayers is returned for a map without layers.
-var ErrNoLayers = eris.New("expertmap: a map needs at least one layer")
+// ErrNoLayers is returned by NewMap if there are no layers.
+var ErrNoLayers = eris.New("expertmap: map has no layers")
 
-// Map is the expert map of a whole model: a layer for each of its layers. It
-// does not change; a change makes a Map with a higher version.
+// Map is the immutable expert map of a model, with one Layer for each layer of
+// the model. An updated map is a new Map with a higher version.
 type Map struct {
 	version uint64
 	layers  []*Layer
 	digest  uint64
 }
 
-// NewMap returns the map with the given version and layers. It returns
-// ErrNoLayers without any, and ErrShape when layers differ in their ranks.
+// NewMap returns a map with the given version and a copy of the slice layers.
+// It returns ErrNoLayers if layers is empty and ErrShape if the layers differ
+// in their number of ranks.
 func NewMap(version uint64, layers []*Layer) (*Map, error) {
 	if len(layers) == 0 {
 		return nil, ErrNoLayers
@@ -25,30 +26,31 @@
 	h := xxhash.New()
 	for _, l := range layers {
 		if l.shape.Ranks != layers[0].shape.Ranks {
-			return nil, eris.Wrapf(ErrShape, "layers of %d and %d ranks", l.shape.Ranks, layers[0].shape.Ranks)
+			return nil, eris.Wrapf(ErrShape, "layers have %d and %d ranks", l.shape.Ranks, layers[0].shape.Ranks)
 		}
 		l.hash(h)
 	}
 	return &Map{version: version, layers: append([]*Layer(nil), layers...), digest: h.Sum64()}, nil
 }
 
-// Version returns the number that names the map within its group.
+// Version returns the version of the map, which identifies it within its group.
 func (m *Map) Version() uint64 { return m.version }
 
-// Digest returns a hash of the layers. Two maps with one version and different
-// digests come from two leaders and must never be mixed.
+// Digest returns a hash of the layers. The version is not hashed. Two maps with
+// the same version and different digests were made by two different leaders and
+// must never be used together.
 func (m *Map) Digest() uint64 { return m.digest }
 
 // Layers returns the number of layers.
 func (m *Map) Layers() int { return len(m.layers) }
 
-// Layer returns layer i.
+// Layer returns layer i. It panics if i is out of range.
 func (m *Map) Layer(i int) *Layer { return m.layers[i] }
 
 // Ranks returns the number of ranks in the group.
 func (m *Map) Ranks() int { return m.layers[0].shape.Ranks }
 
-// WithVersion returns the same layers under another version.
+// WithVersion returns a map with the same layers and the given version.
 func (m *Map) WithVersion(version uint64) *Map {
 	c := *m
 	c.version = version
--- a/internal/rank/expertmap/plan.go
+++ b/internal/rank/expertmap/plan.go
@@ -7,33 +7,37 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrNotObserved is returned while a layer's popularity is unknown.
-var ErrNotObserved = eris.New("expertmap: not every layer has been observed")
+// ErrNotObserved is returned by NewPlan if a layer has not been observed yet.
+var ErrNotObserved = eris.New("expertmap: popularity of a layer has not been observed")
 
-// Limits bounds what a plan may cost.
+// Limits holds the cost model of a plan and its limits.
 type Limits struct {
-	// ExpertBytes is the size of one expert's weights in one layer.
+	// ExpertBytes is the size of the weights of one expert in one layer, in
+	// bytes.
 	ExpertBytes int64
-	// StoreRate is what the weight store gives the group, in bytes a second.
+	// StoreRate is the bandwidth of the weight store that is available to the
+	// group, in bytes per second.
 	StoreRate int64
-	// StageTime bounds how long the staging of one plan may take.
+	// StageTime is the maximum time for staging a plan, which is the time for
+	// loading its weights.
 	StageTime time.Duration
-	// Life is how long the planned map is expected to stay in force.
+	// Life is the expected time that the planned map is in use.
 	Life time.Duration
-	// Slowdown is the part by which steps last longer while weights load.
+	// Slowdown is the relative increase of step time while weights are loaded.
 	Slowdown float64
-	// MinGain is the fall of the skew below which no new map is worth the
-	// messages and the write that bring it into force.
+	// MinGain is the minimum reduction of skew that justifies the messages and
+	// the write that activating a new map takes.
 	MinGain float64
-	// Goal is the distance from the lower bound, in skew, at which a layer
-	// counts as good enough to move nothing.
+	// Goal is the distance from the lower bound on the skew within which a
+	// layer needs no moves.
 	Goal float64
-	// Tokens says that loads are counted in tokens a step, so that the chance
-	// in their draw is allowed for.
+	// Tokens says that loads are in tokens per step, so their sampling variance
+	// is taken into account; see Risk.
 	Tokens bool
 }
 
-// MaxMoves returns how many replicas the store gives within StageTime.
+// MaxMoves returns the number of replicas that the weight store can deliver
+// within StageTime, or zero if ExpertBytes or StoreRate is not positive.
 func (l Limits) MaxMoves() int {
 	if l.ExpertBytes <= 0 || l.StoreRate <= 0 {
 		return 0
@@ -41,8 +45,8 @@
 	return int(l.StageTime.Seconds() * float64(l.StoreRate) / float64(l.ExpertBytes))
 }
 
-// moveCost returns by how much one move lengthens steps, as the fall of skew
-// over the map's life that would make up for it.
+// moveCost returns the reduction of skew over Life that compensates for the
+// slower steps while the weights of one move are loaded.
 func (l Limits) moveCost() float64 {
 	if l.Life <= 0 || l.StoreRate <= 0 {
 		return 0
@@ -51,51 +55,55 @@
 	return l.Slowdown * load / l.Life.Seconds()
 }
 
-// Plan says what to change in a map and why.
+// Plan is a proposed change of a map.
 type Plan struct {
-	next   *Map
-	moves  []Move
-	before float64
-	after  float64
-	at     time.Time
+	next      *Map
+	moves     []Move
+	before    float64
+	after     float64
+	plannedAt time.Time
 }
 
-// Next returns the planned map. It is the current one when nothing is worth a
-// change.
+// Next returns the planned map. It is the current map if no change is worth its
+// cost.
 func (p *Plan) Next() *Map { return p.next }
 
-// Moves returns the replicas that ranks must load.
+// Moves returns the replicas that ranks have to load.
 func (p *Plan) Moves() []Move { return p.moves }
 
-// Before and After return the skew without and with the plan, over all layers.
+// Before returns the expected skew of the current map, averaged over all layers
+// by load.
 func (p *Plan) Before() float64 { return p.before }
 
-// After returns the skew with the plan, over all layers.
+// After returns the expected skew of the planned map, averaged over all layers
+// by load.
 func (p *Plan) After() float64 { return p.after }
 
-// At returns the time that the plan was made for.
-func (p *Plan) At() time.Time { return p.at }
+// At returns the time for which the plan was made.
+func (p *Plan) At() time.Time { return p.plannedAt }
 
-// NewPlan plans the next map for the estimated popularity. It returns
-// ErrNotObserved before each layer has been observed and ErrShape when map and
-// estimator differ in layers.
+// NewPlan plans the successor of current for the estimated popularity. Both
+// must have the same number of experts in each layer. It returns ErrNotObserved
+// if a layer has not been observed yet and ErrShape if current and pop differ
+// in their number of layers.
 //
-// Load: steady traffic whose expert popularity drifts through the day. Harm
-// prevented: each step lasts as long as its slowest rank, and each moved
-// replica takes the weight store's rate from the group, so both idling beside
-// a hot rank and moving for a passing wave cost the callers time. Limits: a
-// move must pay for itself within Life; the moves of all layers together fit
-// StageTime at the store's rate; the layers with the most skew choose first;
-// and a plan that gains less than MinGain is not made.
+// It is made for steady traffic whose expert popularity drifts over the day.
+// Each step takes as long as its slowest rank, and each replica move uses
+// bandwidth of the weight store. So clients lose time if a rank stays
+// overloaded, and also if replicas are moved for a short-lived change of
+// popularity. Therefore a move has to pay off within Life, the moves of all
+// layers together have to be loaded within StageTime, layers with a higher skew
+// are planned first, and a plan that reduces the skew by less than MinGain is
+// discarded.
 func NewPlan(current *Map, pop *Popularity, limits Limits, now time.Time) (*Plan, error) {
 	if pop.Layers() != current.Layers() {
-		return nil, eris.Wrapf(ErrShape, "%d layers, %d observed", current.Layers(), pop.Layers())
+		return nil, eris.Wrapf(ErrShape, "map has %d layers, estimator has %d", current.Layers(), pop.Layers())
 	}
 	if !pop.Known() {
 		return nil, ErrNotObserved
 	}
-	plan := &Plan{next: current, at: now}
-	layers, err := plan.improve(current, pop, limits)
+	plan := &Plan{next: current, plannedAt: now}
+	layers, err := plan.improveLayers(current, pop, limits)
 	if err != nil {
 		return nil, err
 	}
@@ -107,12 +115,13 @@
 	return plan, err
 }
 
-// improve returns the improved layers and sums up skews and moves.
-func (p *Plan) improve(current *Map, pop *Popularity, limits Limits) ([]*Layer, error) {
+// improveLayers returns the improved layers. It records the moves and the
+// skews, averaged by load, in p.
+func (p *Plan) improveLayers(current *Map, pop *Popularity, limits Limits) ([]*Layer, error) {
 	layers := make([]*Layer, current.Layers())
 	budget := limits.MaxMoves()
-	weight := 0.0
-	for _, i := range bySkew(current, pop) {
+	totalWeight := 0.0
+	for _, i := range layersBySkew(current, pop) {
 		load := pop.Load(i)
 		risk := Risk{Drift: pop.Drift(i), Draw: limits.Tokens}
 		imp, err := Improve(current.layers[i], load, risk, budget, limits.moveCost(), limits.Goal)
@@ -121,23 +130,23 @@
 		}
 		layers[i] = imp.layer
 		budget -= imp.moves
-		p.moves = append(p.moves, movesOf(i, current.layers[i], imp.layer)...)
-		w := total(load)
-		weight += w
+		p.moves = append(p.moves, movesBetween(i, current.layers[i], imp.layer)...)
+		w := totalLoad(load)
+		totalWeight += w
 		p.before += w * imp.before
 		p.after += w * imp.after
 	}
-	if weight == 0 {
+	if totalWeight == 0 {
 		p.before, p.after = 1, 1
 		return layers, nil
 	}
-	p.before /= weight
-	p.after /= weight
+	p.before /= totalWeight
+	p.after /= totalWeight
 	return layers, nil
 }
 
-// bySkew returns the layers in descending order of skew.
-func bySkew(m *Map, pop *Popularity) []int {
+// layersBySkew returns the indexes of the layers in descending order of skew.
+func layersBySkew(m *Map, pop *Popularity) []int {
 	order := make([]int, m.Layers())
 	skews := make([]float64, m.Layers())
 	for i := range order {
@@ -148,7 +157,9 @@
 	return order
 }
 
-func movesOf(layer int, from, to *Layer) []Move {
+// movesBetween returns the moves that change the given layer of a map from one
+// Layer to another.
+func movesBetween(layer int, from, to *Layer) []Move {
 	var moves []Move
 	for i, s := range to.slots {
 		r := i / to.shape.Slots
@@ -159,7 +170,7 @@
 	return moves
 }
 
-func total(load []float64) float64 {
+func totalLoad(load []float64) float64 {
 	sum := 0.0
 	for _, v := range load {
 		sum += v
--- a/internal/rank/expertmap/popularity.go
+++ b/internal/rank/expertmap/popularity.go
@@ -7,29 +7,35 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrObservation is returned for counts that don't fit the estimator.
-var ErrObservation = eris.New("expertmap: the counts don't fit the layer")
+// ErrObservation is returned for expert loads that do not match the layer, are
+// negative or are not finite.
+var ErrObservation = eris.New("expertmap: invalid expert loads")
 
-// Popularity estimates the load of each expert by an exponentially weighted
-// mean of the observed counts. It is not safe for concurrent use.
+// Popularity estimates the load of each expert as an exponentially weighted
+// moving average of the observed counts. It is not safe for concurrent use.
 type Popularity struct {
+	// tau is the time constant of the moving average.
 	tau    time.Duration
 	layers []estimate
 }
 
+// estimate is the state of the estimator for one layer.
 type estimate struct {
+	// load is the estimated load of each expert.
 	load []float64
-	last time.Time
-	// change is the mean square of the relative change of an expert's load
-	// from one observation to the next, weighted by load.
-	change float64
-	// seen is the newest observation.
-	seen []float64
+	// observedAt is the time of the latest observation, zero before the first.
+	observedAt time.Time
+	// meanSqChange is the mean square of the relative change of an expert's
+	// load between consecutive observations, weighted by load.
+	meanSqChange float64
+	// lastCounts holds the counts of the latest observation.
+	lastCounts []float64
 }
 
 // NewPopularity returns an estimator for the given numbers of layers and
-// experts. An observation's weight falls to 1/e after tau; a tau of zero keeps
-// the newest observation alone.
+// experts per layer. The weight of an observation decays to 1/e after the time
+// constant tau. If tau is zero or negative, the estimate is the latest
+// observation.
 func NewPopularity(layers, experts int, tau time.Duration) *Popularity {
 	p := &Popularity{tau: tau, layers: make([]estimate, layers)}
 	for i := range p.layers {
@@ -38,68 +44,74 @@
 	return p
 }
 
-// Observe adds the mean counts a step that were seen in a layer up to now. The
-// first observation is taken as it is. It returns ErrObservation for a layer
-// that is not there, a wrong number of counts or a count that is negative or
-// not finite. An observation older than the newest one is taken as being of
-// the newest one's time.
+// Observe updates the estimate of a layer with the mean counts per step
+// measured up to now. The first observation replaces the initial estimate. An
+// observation older than the latest one is treated as having the time of the
+// latest one. Observe returns ErrObservation if the layer does not exist, the
+// number of counts is wrong, or a count is negative or not finite.
 func (p *Popularity) Observe(layer int, counts []float64, now time.Time) error {
 	if layer < 0 || layer >= len(p.layers) || len(counts) != len(p.layers[layer].load) {
-		return eris.Wrapf(ErrObservation, "layer %d, %d counts", layer, len(counts))
+		return eris.Wrapf(ErrObservation, "layer %d has %d counts", layer, len(counts))
 	}
-	if err := checkLoad(counts); err != nil {
+	if err := checkValues(counts); err != nil {
 		return err
 	}
 	e := &p.layers[layer]
-	e.note(counts)
-	a := p.gain(e.last, now)
+	e.updateChange(counts)
+	weight := p.observationWeight(e.observedAt, now)
 	for i, c := range counts {
-		e.load[i] += a * (c - e.load[i])
+		e.load[i] += weight * (c - e.load[i])
 	}
-	if now.After(e.last) {
-		e.last = now
+	if now.After(e.observedAt) {
+		e.observedAt = now
 	}
 	return nil
 }
 
-// changeGain is the weight of the newest observation in the estimate of drift.
-const changeGain = 0.1
+// changeWeight is the weight of the latest observation in the moving average
+// meanSqChange.
+const changeWeight = 0.1
 
-func (e *estimate) note(counts []float64) {
-	if e.seen == nil {
-		e.seen = append([]float64(nil), counts...)
+// updateChange updates meanSqChange with the change from the previous counts.
+func (e *estimate) updateChange(counts []float64) {
+	if e.lastCounts == nil {
+		e.lastCounts = append([]float64(nil), counts...)
 		return
 	}
 	sum, weight := 0.0, 0.0
 	for i, c := range counts {
-		if mid := (c + e.seen[i]) / 2; mid > 0 {
-			d := (c - e.seen[i]) / mid
-			sum += mid * d * d
-			weight += mid
+		if mean := (c + e.lastCounts[i]) / 2; mean > 0 {
+			d := (c - e.lastCounts[i]) / mean
+			sum += mean * d * d
+			weight += mean
 		}
 	}
-	if weight > 0 && e.change == 0 {
-		e.change = sum / weight
+	if weight > 0 && e.meanSqChange == 0 {
+		e.meanSqChange = sum / weight
 	} else if weight > 0 {
-		e.change += changeGain * (sum/weight - e.change)
+		e.meanSqChange += changeWeight * (sum/weight - e.meanSqChange)
 	}
-	copy(e.seen, counts)
+	copy(e.lastCounts, counts)
 }
 
-// Drift returns the standard deviation, as a part of an expert's load, by which
-// the load differs from the newest observation while a map planned from it is in
-// force, or zero before the second observation.
+// Drift returns the standard deviation, relative to an expert's load, of the
+// difference between the latest observation and the load while a map planned
+// from it is in use. It returns zero before the second observation.
 //
-// If loads wander like Brownian motion, two counts over the last quarter of an
-// interval of length T, an interval apart, differ by T - T/12 in variance. A map
-// planned at the end takes force about T/4 later and stays for T, so the load
-// differs by T/12 + T/4 + T/2 on average.
+// The load is modeled as Brownian motion with unit variance per unit time.
+// Counts are averages over the last quarter of an interval of length T. The
+// difference between the counts of two consecutive intervals therefore has the
+// variance T - T/12. A map planned at the end of an interval takes effect about
+// T/4 later and is used for T, so the difference between the load and the
+// counts has an average variance of T/12 + T/4 + T/2.
 func (p *Popularity) Drift(layer int) float64 {
-	const lag = (1.0/12 + 1.0/4 + 1.0/2) / (1 - 1.0/12)
-	return math.Sqrt(lag * p.layers[layer].change)
+	const varianceRatio = (1.0/12 + 1.0/4 + 1.0/2) / (1 - 1.0/12)
+	return math.Sqrt(varianceRatio * p.layers[layer].meanSqChange)
 }
 
-func (p *Popularity) gain(last, now time.Time) float64 {
+// observationWeight returns the weight in the moving average of an observation
+// made at now, when the previous one was made at last.
+func (p *Popularity) observationWeight(last, now time.Time) float64 {
 	if last.IsZero() || p.tau <= 0 {
 		return 1
 	}
@@ -107,10 +119,10 @@
 	return 1 - math.Exp(-dt.Seconds()/p.tau.Seconds())
 }
 
-// Known reports whether every layer has been observed.
+// Known reports whether every layer has been observed at least once.
 func (p *Popularity) Known() bool {
 	for _, e := range p.layers {
-		if e.last.IsZero() {
+		if e.observedAt.IsZero() {
 			return false
 		}
 	}
@@ -120,12 +132,13 @@
 // Layers returns the number of layers.
 func (p *Popularity) Layers() int { return len(p.layers) }
 
-// Load returns the estimated load of each expert of a layer.
+// Load returns a copy of the estimated load of each expert of a layer.
 func (p *Popularity) Load(layer int) []float64 {
 	return append([]float64(nil), p.layers[layer].load...)
 }
 
-func checkLoad(load []float64) error {
+// checkValues returns ErrObservation if a load is negative or not finite.
+func checkValues(load []float64) error {
 	for e, v := range load {
 		if v < 0 || math.IsNaN(v) || math.IsInf(v, 0) {
 			return eris.Wrapf(ErrObservation, "expert %d has load %v", e, v)
--- a/internal/rank/expertmap/risk.go
+++ b/internal/rank/expertmap/risk.go
@@ -2,34 +2,36 @@
 
 import "math"
 
-// Risk says how far the loads of the steps to come may differ from the loads
-// that a layer is made for.
+// Risk describes how the expert loads of future steps vary around the loads
+// that a layer is optimized for.
 //
-// A step lasts as long as its slowest rank, so what counts is the mean of the
-// largest load, and not the largest mean: of two ranks with one mean, the one
-// whose load varies more makes more steps slow. A rank's load is therefore
-// counted with as many standard deviations as the largest of all ranks' loads
-// is above the mean on average. A replica's load varies with its share, so the
-// standard deviation of a rank with a few large replicas is larger than that of
-// one with many small ones, and a popular expert that is split over two ranks
-// varies half as much on each.
+// A step takes as long as its slowest rank, so the expected maximum of the rank
+// loads matters, not the maximum of the expected loads: of two ranks with the
+// same mean load, the one with the higher variance causes more slow steps. Each
+// rank's load is therefore increased by a risk margin of as many standard
+// deviations as the expected maximum over all ranks lies above the mean. The
+// standard deviation of a replica's load is proportional to its share. A rank
+// with a few large replicas therefore has a higher standard deviation than one
+// with many small ones, and splitting a popular expert over two ranks halves
+// its standard deviation on each.
 type Risk struct {
-	// Drift is the standard deviation of an expert's load around the load
-	// planned for, as a part of it, because popularity moves on.
+	// Drift is the standard deviation of an expert's load, relative to the
+	// planned load, caused by changes in popularity after planning.
 	Drift float64
-	// Draw says that loads are tokens, whose number in a step varies like a
-	// Poisson variable.
+	// Draw says that loads are token counts, whose number in a step has Poisson
+	// variance.
 	Draw bool
 }
 
-// deviations returns how many standard deviations the largest of n normal
-// variables is above the mean: the n/(n+1) quantile.
-func deviations(n int) float64 {
+// maxZScore approximates the expected maximum of n independent standard normal
+// variables by their n/(n+1) quantile.
+func maxZScore(n int) float64 {
 	return math.Sqrt2 * math.Erfinv(1-2/float64(n+1))
 }
 
-// relative returns the variance of an expert's load over the load's square.
-func (r Risk) relative(load float64) float64 {
+// relativeVariance returns the variance of an expert's load divided by the
+// square of the load.
+func (r Risk) relativeVariance(load float64) float64 {
 	v := r.Drift * r.Drift
 	if r.Draw && load > 0 {
 		v += 1 / load
@@ -38,46 +40,50 @@
 }
 
 const (
-	// tailSum is the sum over all ranks of the chance to be above the mean of
-	// the largest: exp(-0.5772), which holds for the largest of many alike.
-	tailSum = 0.5615
-	// skewRounds is the number of halvings in the search for that mean; 20
-	// leave an error below one in 10^5.
-	skewRounds = 20
+	// exceedancesAtMeanMax is the expected number of ranks whose load is above
+	// the expected maximum of all ranks. It is exp(-γ) = exp(-0.5772), which
+	// holds asymptotically for the maximum of many identically distributed
+	// loads.
+	exceedancesAtMeanMax = 0.5615
+	// skewIterations is the number of bisection steps in expectedSkew. 20 steps
+	// leave a relative error below 1e-5.
+	skewIterations = 20
 )
 
-// skew returns the expected skew: the mean of the largest load of a step over
-// the mean load, when the ranks' loads are normal and independent. Unlike the
-// largest counted load it falls with each slow rank that is relieved, so it
-// tells what a move is worth also when several ranks are equally slow.
-func (p *placement) skew() float64 {
-	if p.mean == 0 {
+// expectedSkew returns the expected maximum rank load of a step divided by the
+// mean rank load, or 1 if there is no load, assuming independent, normally
+// distributed rank loads. Unlike the maximum adjusted load, it decreases with
+// each overloaded rank that is relieved, so it shows the value of a move even
+// if several ranks are equally slow.
+func (p *placement) expectedSkew() float64 {
+	if p.meanRankLoad == 0 {
 		return 1
 	}
 	low, high := 0.0, 0.0
-	for r := range p.ranks {
-		low = max(low, p.ranks[r])
-		high = max(high, p.counted(r)+p.risk[r])
+	for r := range p.rankLoad {
+		low = max(low, p.rankLoad[r])
+		high = max(high, p.adjustedLoad(r)+p.riskMargin[r])
 	}
-	if p.tails(low) < tailSum {
-		return low / p.mean
+	if p.expectedExceedances(low) < exceedancesAtMeanMax {
+		return low / p.meanRankLoad
 	}
-	for range skewRounds {
+	for range skewIterations {
 		mid := (low + high) / 2
-		if p.tails(mid) > tailSum {
+		if p.expectedExceedances(mid) > exceedancesAtMeanMax {
 			low = mid
 		} else {
 			high = mid
 		}
 	}
-	return high / p.mean
+	return high / p.meanRankLoad
 }
 
-// tails returns the sum over the ranks of the chance to be above a load.
-func (p *placement) tails(load float64) float64 {
+// expectedExceedances returns the expected number of ranks with a load above
+// the given one.
+func (p *placement) expectedExceedances(load float64) float64 {
 	sum := 0.0
-	for r, v := range p.ranks {
-		switch sd := p.risk[r] / p.deviations; {
+	for r, v := range p.rankLoad {
+		switch sd := p.riskMargin[r] / p.maxZScore; {
 		case sd > 0:
 			sum += math.Erfc((load-v)/(sd*math.Sqrt2)) / 2
 		case v > load:
--- a/internal/rank/expertmap/solve.go
+++ b/internal/rank/expertmap/solve.go
@@ -2,14 +2,16 @@
 
 import "sort"
 
-// Solve returns a layer for the given loads that is built from nothing, with
-// shares that allow for the given risk. The length of load must be shape.Experts; it returns ErrShape for impossible
-// sizes and ErrObservation for loads that are negative or not finite.
+// Solve computes a layer for the given loads from scratch, with shares
+// optimized for the given risk. The length of load must be shape.Experts. Solve
+// returns ErrShape if the dimensions are impossible, and ErrObservation if the
+// length of load is wrong or a load is negative or not finite.
 //
-// Redundant slots go one after the other to the expert whose replicas are
-// loaded most. Replicas are then placed heaviest first on the rank that is
-// loaded least and has a slot (longest processing time first, Graham 1969),
-// and shares are balanced.
+// Each redundant slot goes to the expert with the highest load per replica at
+// that point. Replicas are then placed in descending order of load, each on the
+// rank with the lowest load that has a free slot and does not hold the expert
+// (longest processing time first, Graham 1969). Finally the shares are
+// balanced.
 func Solve(shape Shape, load []float64, risk Risk) (*Layer, error) {
 	if err := shape.check(); err != nil {
 		return nil, err
@@ -18,81 +20,83 @@
 		return nil, err
 	}
 	p := newPlacement(shape, load, risk)
-	p.fill(replicate(shape, load))
-	p.balance(maxSweeps, levelError)
-	return p.layer(), nil
+	p.placeReplicas(replicaCounts(shape, load))
+	p.balance(maxSweeps, balanceTolerance)
+	return p.buildLayer(), nil
 }
 
-// replicate returns the number of replicas of each expert.
-func replicate(shape Shape, load []float64) []int {
-	n := make([]int, shape.Experts)
-	for e := range n {
-		n[e] = 1
+// replicaCounts returns the number of replicas for each expert.
+func replicaCounts(shape Shape, load []float64) []int {
+	counts := make([]int, shape.Experts)
+	for e := range counts {
+		counts[e] = 1
 	}
-	for spare := shape.Ranks*shape.Slots - shape.Experts; spare > 0; spare-- {
+	for redundant := shape.Ranks*shape.Slots - shape.Experts; redundant > 0; redundant-- {
 		best := none
-		for e := range n {
-			if n[e] < shape.Ranks && (best == none || load[e]*float64(n[best]) > load[best]*float64(n[e])) {
+		for e := range counts {
+			if counts[e] < shape.Ranks && (best == none || load[e]*float64(counts[best]) > load[best]*float64(counts[e])) {
 				best = e
 			}
 		}
 		if best == none {
 			break
 		}
-		n[best]++
+		counts[best]++
 	}
-	return n
+	return counts
 }
 
-// fill places the replicas. A replica for which no rank is left that doesn't
-// hold its expert yet is left out, unless it is the expert's only one.
-func (p *placement) fill(n []int) {
+// placeReplicas places the given number of replicas of each expert. Every
+// expert gets its first replica. Another replica is left out if all ranks with
+// a free slot already hold the expert, or if the free slots are needed for the
+// first replicas of other experts.
+func (p *placement) placeReplicas(counts []int) {
 	order := make([]int, p.shape.Experts)
 	for e := range order {
 		order[e] = e
 	}
-	each := func(e int) float64 { return p.load[e] / float64(n[e]) }
-	sort.SliceStable(order, func(i, j int) bool { return each(order[i]) > each(order[j]) })
-	first := append([]int(nil), order...)
+	loadPerReplica := func(e int) float64 { return p.expertLoad[e] / float64(counts[e]) }
+	sort.SliceStable(order, func(i, j int) bool { return loadPerReplica(order[i]) > loadPerReplica(order[j]) })
+	byLoad := append([]int(nil), order...)
 	used := make([]int, p.shape.Ranks)
 	reserved := p.shape.Experts
 	free := p.shape.Ranks * p.shape.Slots
-	for _, e := range first {
+	for _, e := range byLoad {
 		reserved--
-		for i := range n[e] {
+		for i := range counts[e] {
 			if i > 0 && free <= reserved {
 				break
 			}
-			if r := p.emptiest(e, used); r != none {
+			if r := p.leastLoadedRank(e, used); r != none {
 				slot := r*p.shape.Slots + used[r]
 				used[r]++
 				free--
-				p.put(slot, e)
-				p.setPart(slot, each(e))
+				p.addReplica(slot, e)
+				p.setSlotLoad(slot, loadPerReplica(e))
 			}
 		}
 	}
-	for e := range n {
-		p.spread(e)
+	for e := range counts {
+		p.splitEvenly(e)
 	}
 }
 
-// spread gives the replicas of an expert equal parts of its load.
-func (p *placement) spread(e int) {
+// splitEvenly divides the load of an expert equally among its replicas.
+func (p *placement) splitEvenly(e int) {
 	for _, s := range p.replicas[e] {
-		p.setPart(s, p.load[e]/float64(len(p.replicas[e])))
+		p.setSlotLoad(s, p.expertLoad[e]/float64(len(p.replicas[e])))
 	}
 }
 
-// emptiest returns the rank with the least load that has a slot and does not
-// hold e, or none.
-func (p *placement) emptiest(e int, used []int) int {
+// leastLoadedRank returns the rank with the lowest load that has a free slot
+// and does not hold e, or none if there is no such rank.
+func (p *placement) leastLoadedRank(e int, used []int) int {
 	best := none
-	for r, v := range p.ranks {
+	for r, v := range p.rankLoad {
 		if used[r] == p.shape.Slots || p.holds(r, e) {
 			continue
 		}
-		if best == none || v < p.ranks[best] {
+		if best == none || v < p.rankLoad[best] {
 			best = r
 		}
 	}
