--- a/internal/rank/expertmap/skewtable/doc.go
+++ b/internal/rank/expertmap/skewtable/doc.go
@@ -1,22 +1,25 @@
-// Package skewtable measures what expert maps do to the step time of a group
-// whose expert popularity drifts, without engines: a seeded model gives the
-// tokens of each expert in each step, and each way of keeping a map is charged
-// with the same steps.
+// Package skewtable simulates the step-time skew of expert maps for a group
+// whose expert popularity drifts. It needs no engines: a seeded model generates
+// the tokens of each expert in each step, and all strategies are evaluated on
+// the same steps.
 //
-// The model: the logarithm of each expert's popularity is a stationary
-// Ornstein-Uhlenbeck process, so popularity wanders around its mean and
-// forgets where it was within the correlation time. A step draws its tokens
-// from the popularity of its moment, with the noise of a multinomial draw. An
-// interval's last quarter is counted. A map planned from the counts takes
-// force after a quarter of an interval, in which messages go round, and after
-// the weights have been loaded at the weight store's rate. The full solution is
-// let off: it is in force an interval later, although its moves would take much
-// longer to load.
+// In the model, the logarithm of each expert's popularity is a stationary
+// Ornstein-Uhlenbeck process, so the popularity fluctuates around its mean and
+// its autocorrelation decays to 1/e within the correlation time. The tokens of
+// a step are sampled from the current popularity, with the noise of a
+// multinomial distribution. The counts given to the planner are those of the
+// last quarter of an interval. A map planned from them takes effect after a
+// quarter of an interval, which stands for the messages, plus the time to load
+// its weights at the rate of the weight store. The full solution gets an
+// advantage: it takes effect after one interval, although its moves would take
+// much longer to load.
 //
-// The compared ways are a contiguous map that never changes, a full new
-// solution each interval, and the package expertmap's plan each interval. The
-// bound is expertmap.LowerBound for each step's own tokens, which no map that is
-// chosen before the step can know. The column known is a layer made for the very
-// popularity that a step is drawn from, with nothing to save: what a plan has
-// above it is lag and thrift, what it has above the bound is the draw.
+// The strategies are a contiguous map that never changes (static), a new
+// solution from scratch in each interval (full), and a plan of package
+// expertmap in each interval (planned). The bound is expertmap.LowerBound for
+// the sampled tokens of each step, which are not known when the map is chosen.
+// The column known is a layer optimized for the exact popularity that a step is
+// sampled from, without move costs. The difference between planned and known is
+// due to the age of the counts and to the avoided moves; the difference between
+// known and bound is due to sampling noise.
 package skewtable
--- a/internal/rank/expertmap/skewtable/run.go
+++ b/internal/rank/expertmap/skewtable/run.go
@@ -7,184 +7,192 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/rank/expertmap"
 )
 
-// run is one case while it is measured.
-type run struct {
-	of      Case
-	drift   *drift
+// simulation is the state of one case while it runs.
+type simulation struct {
+	params Case
+	drift  *drift
+	// tokens is the number of token assignments of all ranks in a step.
 	tokens  float64
-	planned keeper
-	full    keeper
+	planned rollout
+	full    rollout
 	static  *expertmap.Layer
-	skews   struct{ static, full, planned, known, bound []float64 }
+	// skews holds the skew of each measured step.
+	skews struct{ static, full, planned, known, bound []float64 }
 }
 
-// keeper is one way of keeping a map: what is in force and what is on its way.
-type keeper struct {
-	now     *expertmap.Layer
-	pending []staged
+// rollout tracks the layers of one strategy: the active one, and those that are
+// planned but not yet active.
+type rollout struct {
+	active  *expertmap.Layer
+	pending []pendingLayer
 	moves   int
 }
 
-// staged is a layer that is in force after some more measured steps.
-type staged struct {
-	layer *expertmap.Layer
-	wait  int
+// pendingLayer is a layer that becomes active after stepsLeft more measured
+// steps.
+type pendingLayer struct {
+	layer     *expertmap.Layer
+	stepsLeft int
 }
 
-// newest returns the layer planned last.
-func (k *keeper) newest() *expertmap.Layer {
-	if n := len(k.pending); n > 0 {
-		return k.pending[n-1].layer
+// latest returns the layer that was planned last.
+func (r *rollout) latest() *expertmap.Layer {
+	if n := len(r.pending); n > 0 {
+		return r.pending[n-1].layer
 	}
-	return k.now
+	return r.active
 }
 
-// take plans l. It takes force after wait measured steps, and not before the
-// layers that are on their way.
-func (k *keeper) take(l *expertmap.Layer, wait int) {
-	k.moves += l.Moves(k.newest())
-	k.pending = append(k.pending, staged{layer: l, wait: wait})
+// schedule plans l, which becomes active after the given number of measured
+// steps, but not before the layers that are already pending.
+func (r *rollout) schedule(l *expertmap.Layer, steps int) {
+	r.moves += l.Moves(r.latest())
+	r.pending = append(r.pending, pendingLayer{layer: l, stepsLeft: steps})
 }
 
-// step brings the layers into force whose time has come.
-func (k *keeper) step() {
-	for i := range k.pending {
-		k.pending[i].wait--
+// advance counts down one measured step and activates the layers that are due.
+func (r *rollout) advance() {
+	for i := range r.pending {
+		r.pending[i].stepsLeft--
 	}
-	for len(k.pending) > 0 && k.pending[0].wait < 0 {
-		k.now = k.pending[0].layer
-		k.pending = k.pending[1:]
+	for len(r.pending) > 0 && r.pending[0].stepsLeft < 0 {
+		r.active = r.pending[0].layer
+		r.pending = r.pending[1:]
 	}
 }
 
-// staging returns how many measured steps pass until a map with that many moves
-// is in force: one for the messages, and the time in which the weights load.
-func (c Case) staging(moves int) int {
+// activationSteps returns the number of measured steps until a map with the
+// given number of moves is active: one for the messages, and the time for
+// loading the weights.
+func (c Case) activationSteps(moves int) int {
 	l := c.Limits()
 	load := float64(moves) * float64(l.ExpertBytes) / float64(l.StoreRate)
 	return 1 + int(math.Ceil(load/(c.Interval.Seconds()/stepsMeasured)))
 }
 
-// Run measures one case.
+// Run simulates one case.
 func Run(c Case) (Row, error) {
-	r := &run{
-		of:     c,
+	sim := &simulation{
+		params: c,
 		drift:  newDrift(c.Shape.Experts, c.Correlation, c.Seed),
 		tokens: float64(c.Shape.Ranks * tokensPerRank * expertsPerToken),
 	}
-	if err := r.start(); err != nil {
+	if err := sim.initMaps(); err != nil {
 		return Row{}, err
 	}
-	pop := expertmap.NewPopularity(1, c.Shape.Experts, c.Interval/memory)
+	pop := expertmap.NewPopularity(1, c.Shape.Experts, c.Interval/tauDivisor)
 	now := time.Unix(0, 0)
 	for i := range c.Intervals {
-		if i%knownEvery == 0 {
-			if err := r.know(); err != nil {
+		if i%knownPeriod == 0 {
+			if err := sim.measureKnown(); err != nil {
 				return Row{}, err
 			}
 		}
 		now = now.Add(c.Interval)
-		counts := r.interval()
+		counts := sim.measureInterval()
 		if err := pop.Observe(0, counts, now); err != nil {
 			return Row{}, err
 		}
-		if err := r.plan(counts, pop, now); err != nil {
+		if err := sim.replan(counts, pop, now); err != nil {
 			return Row{}, err
 		}
 	}
-	return r.row(), nil
+	return sim.row(), nil
 }
 
-// memory is the interval over how far back the estimate of popularity reaches. An interval has
-// hundreds of steps, so its own counts are exact enough to need no older ones.
-const memory = 10
+// tauDivisor is the interval divided by the time constant of the popularity
+// estimate. An interval has at least 100 steps, so its own counts are accurate
+// enough to need no older ones.
+const tauDivisor = 10
 
-// start lets all ways begin with the full solution for the first popularity,
-// but for the static one.
-func (r *run) start() error {
+// initMaps starts the static strategy with the contiguous layer and all others
+// with the full solution for the initial popularity.
+func (sim *simulation) initMaps() error {
 	var err error
-	if r.static, err = expertmap.Contiguous(r.of.Shape); err != nil {
+	if sim.static, err = expertmap.Contiguous(sim.params.Shape); err != nil {
 		return err
 	}
-	first, err := expertmap.Solve(r.of.Shape, r.drift.expected(r.tokens), expertmap.Risk{})
+	first, err := expertmap.Solve(sim.params.Shape, sim.drift.expected(sim.tokens), expertmap.Risk{})
 	if err != nil {
 		return err
 	}
-	r.planned = keeper{now: first}
-	r.full = keeper{now: first}
+	sim.planned = rollout{active: first}
+	sim.full = rollout{active: first}
 	return nil
 }
 
-// interval measures some steps of one interval and returns the mean counts of
-// its last part.
-func (r *run) interval() []float64 {
+// measureInterval measures stepsMeasured steps at equal distances in one
+// interval and returns the mean counts of its last part.
+func (sim *simulation) measureInterval() []float64 {
 	var counts []float64
-	steps := float64(r.of.Interval/stepTime) / stepsMeasured
+	steps := float64(sim.params.Interval/stepTime) / stepsMeasured
 	for range stepsMeasured {
-		r.drift.advance(r.of.Interval / stepsMeasured)
-		expected := r.drift.expected(r.tokens)
-		r.step(r.drift.draw(expected, 1))
-		counts = r.drift.draw(expected, steps)
+		sim.drift.advance(sim.params.Interval / stepsMeasured)
+		expected := sim.drift.expected(sim.tokens)
+		sim.recordStep(sim.drift.sampleMeans(expected, 1))
+		counts = sim.drift.sampleMeans(expected, steps)
 	}
 	return counts
 }
 
-func (r *run) step(drawn []float64) {
-	s := &r.skews
-	r.full.step()
-	r.planned.step()
-	s.static = append(s.static, expertmap.Skew(r.static, drawn))
-	s.full = append(s.full, expertmap.Skew(r.full.now, drawn))
-	s.planned = append(s.planned, expertmap.Skew(r.planned.now, drawn))
-	s.bound = append(s.bound, expertmap.LowerBound(drawn, r.of.Shape))
+// recordStep records the skew of each strategy for the counts of one step.
+func (sim *simulation) recordStep(counts []float64) {
+	s := &sim.skews
+	sim.full.advance()
+	sim.planned.advance()
+	s.static = append(s.static, expertmap.Skew(sim.static, counts))
+	s.full = append(s.full, expertmap.Skew(sim.full.active, counts))
+	s.planned = append(s.planned, expertmap.Skew(sim.planned.active, counts))
+	s.bound = append(s.bound, expertmap.LowerBound(counts, sim.params.Shape))
 }
 
-// know measures a layer that is made for the very popularity its steps are
-// drawn from.
-func (r *run) know() error {
-	const moves, draws = 32, 16
-	expected := r.drift.expected(r.tokens)
+// measureKnown records the skew of a layer optimized for the exact popularity
+// that its steps are sampled from.
+func (sim *simulation) measureKnown() error {
+	const maxMoves, samples = 32, 16
+	expected := sim.drift.expected(sim.tokens)
 	risk := expertmap.Risk{Draw: true}
-	first, err := expertmap.Solve(r.of.Shape, expected, risk)
+	first, err := expertmap.Solve(sim.params.Shape, expected, risk)
 	if err != nil {
 		return err
 	}
-	known, err := expertmap.Improve(first, expected, risk, moves, 0, 0)
+	known, err := expertmap.Improve(first, expected, risk, maxMoves, 0, 0)
 	if err != nil {
 		return err
 	}
-	for range draws {
-		drawn := r.drift.draw(expected, 1)
-		r.skews.known = append(r.skews.known, expertmap.Skew(known.Layer(), drawn))
+	for range samples {
+		counts := sim.drift.sampleMeans(expected, 1)
+		sim.skews.known = append(sim.skews.known, expertmap.Skew(known.Layer(), counts))
 	}
 	return nil
 }
 
-func (r *run) plan(counts []float64, pop *expertmap.Popularity, now time.Time) error {
-	full, err := expertmap.Solve(r.of.Shape, counts, expertmap.Risk{})
+// replan schedules the next layers of the strategies full and planned.
+func (sim *simulation) replan(counts []float64, pop *expertmap.Popularity, now time.Time) error {
+	full, err := expertmap.Solve(sim.params.Shape, counts, expertmap.Risk{})
 	if err != nil {
 		return err
 	}
-	r.full.take(full, stepsMeasured)
-	current, err := expertmap.NewMap(1, []*expertmap.Layer{r.planned.newest()})
+	sim.full.schedule(full, stepsMeasured)
+	current, err := expertmap.NewMap(1, []*expertmap.Layer{sim.planned.latest()})
 	if err != nil {
 		return err
 	}
-	plan, err := expertmap.NewPlan(current, pop, r.of.Limits(), now)
+	plan, err := expertmap.NewPlan(current, pop, sim.params.Limits(), now)
 	if err != nil {
 		return err
 	}
-	r.planned.take(plan.Next().Layer(0), r.of.staging(len(plan.Moves())))
+	sim.planned.schedule(plan.Next().Layer(0), sim.params.activationSteps(len(plan.Moves())))
 	return nil
 }
 
-func (r *run) row() Row {
+func (sim *simulation) row() Row {
 	return Row{
-		of:      r.of,
-		static:  summary(r.skews.static, 0),
-		full:    summary(r.skews.full, r.full.moves),
-		planned: summary(r.skews.planned, r.planned.moves),
-		known:   summary(r.skews.known, 0),
-		bound:   summary(r.skews.bound, 0),
+		params:  sim.params,
+		static:  summarize(sim.skews.static, 0),
+		full:    summarize(sim.skews.full, sim.full.moves),
+		planned: summarize(sim.skews.planned, sim.planned.moves),
+		known:   summarize(sim.skews.known, 0),
+		bound:   summarize(sim.skews.bound, 0),
 	}
 }
--- a/internal/rank/expertmap/skewtable/table_test.go
+++ b/internal/rank/expertmap/skewtable/table_test.go
@@ -8,19 +8,20 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/rank/expertmap/skewtable"
 )
 
-// few is the number of intervals for cases that take long.
-const few = 20
+// shortRunIntervals is the number of intervals for cases whose full run takes
+// long.
+const shortRunIntervals = 20
 
-// TestPlansKeepTheSkewLow holds what docs/design/expertmaps.md promises: for all
-// cases few moves and less skew than a static map, over a few intervals where a
-// whole run takes long, and for up to 32 ranks whose popularity drifts over hours
-// the skew itself.
+// TestPlansKeepTheSkewLow checks the results in docs/design/expertmaps.md:
+// plans need few moves and have less skew than a static map in all cases, and
+// with up to 32 ranks and slow drift the skew itself is low. The other cases
+// run for a few intervals only, because a full run takes long.
 func TestPlansKeepTheSkewLow(t *testing.T) {
 	var rows []skewtable.Row
 	for _, c := range skewtable.Cases() {
 		steady := c.Shape.Ranks <= 32 && c.Correlation >= time.Hour
 		if !steady {
-			c.Intervals = few
+			c.Intervals = shortRunIntervals
 		}
 		r, err := skewtable.Run(c)
 		if err != nil {
@@ -37,8 +38,8 @@
 	}
 }
 
-// assertMoves holds that plans move under a quarter of what a full solution does
-// and beat a static map.
+// assertMoves checks that plans take less than a quarter of the moves of a full
+// solution and have less skew than a static map.
 func assertMoves(t *testing.T, r skewtable.Row) {
 	t.Helper()
 	if got, full := r.Planned().Moves(), r.Full().Moves(); got*4 >= full {
@@ -49,15 +50,15 @@
 	}
 }
 
-// assertSkew holds that plans are no worse than a full solution, and with 8 ranks
-// within 5 in 100 of the bound.
+// assertSkew checks that plans have at most the skew of a full solution, and
+// with 8 ranks are within 5% of the lower bound.
 func assertSkew(t *testing.T, r skewtable.Row) {
 	t.Helper()
 	got := r.Planned().Mean()
 	if full := r.Full().Mean(); got > full {
 		t.Errorf("%v: mean skew %.3f, want at most that of a full solution, %.3f", r.Case(), got, full)
 	}
-	if most := 1.05 * r.Bound().Mean(); r.Case().Shape.Ranks == 8 && got > most {
-		t.Errorf("%v: mean skew %.3f, want at most %.3f", r.Case(), got, most)
+	if limit := 1.05 * r.Bound().Mean(); r.Case().Shape.Ranks == 8 && got > limit {
+		t.Errorf("%v: mean skew %.3f, want at most %.3f", r.Case(), got, limit)
 	}
 }
