--- a/internal/rank/naming/decide.go
+++ b/internal/rank/naming/decide.go
@@ -2,113 +2,118 @@
 
 import "time"
 
-// decide returns the orders for the name at hand, or for the next one. All
-// states were said under this leader's token.
+// decide returns the orders for the activation in progress, or else starts the
+// next one. All states must have been reported under this leader's token.
 func (l *Leader) decide(now time.Time) []Action {
-	l.settle()
-	n := l.active()
+	l.clearFinished()
+	a := l.inProgress()
 	switch {
-	case n == Name{}:
-		return l.next(now)
-	case l.anyInForce(n):
-		return l.finish(n, now)
-	case n == l.given:
-		return l.abandon(n, now)
-	case n == l.record.Name && l.passed(n):
-		return l.abandon(n, now)
-	case n == l.record.Name:
-		return l.finish(n, now)
-	case n == l.name:
-		return l.commit(n, now)
+	case a == Name{}:
+		return l.startNext(now)
+	case l.anyActive(a):
+		return l.finish(a, now)
+	case a == l.abandoned:
+		return l.abandon(a, now)
+	case a == l.record.Name && l.stepPassed(a):
+		return l.abandon(a, now)
+	case a == l.record.Name:
+		return l.finish(a, now)
+	case a == l.current:
+		return l.commit(a, now)
 	default:
-		return l.abandon(n, now)
+		return l.abandon(a, now)
 	}
 }
 
-// settle ends the naming whose name is in force everywhere.
-func (l *Leader) settle() {
-	if l.name != (Name{}) && l.all(func(s State) bool { return s.inForce(l.name) }) {
-		l.name, l.tries = Name{}, 0
+// clearFinished clears the current activation once it has taken effect on all
+// members, and the proposed map once all of them use it.
+func (l *Leader) clearFinished() {
+	if l.current != (Name{}) && l.allMembers(func(s State) bool { return s.isActive(l.current) }) {
+		l.current, l.failedAttempts = Name{}, 0
 	}
-	if l.goal == nil {
+	if l.proposed == nil {
 		return
 	}
-	goal := RefOf(l.goal)
-	if l.all(func(s State) bool { return s.Joined && latest(s.Schedule).Map == goal }) {
-		l.goal = nil
+	proposed := RefOf(l.proposed)
+	if l.allMembers(func(s State) bool { return s.Joined && latestEntry(s.Schedule).Map == proposed }) {
+		l.proposed = nil
 	}
 }
 
-// active returns the name that some member holds for, or else this leader's.
-func (l *Leader) active() Name {
+// inProgress returns another leader's activation that some member holds, or
+// else this leader's own.
+func (l *Leader) inProgress() Name {
 	for i := range l.Members {
-		if n := l.states[i].Pending; n != (Name{}) && n != l.name {
-			return n
+		if a := l.states[i].Pending; a != (Name{}) && a != l.current {
+			return a
 		}
 	}
-	return l.name
+	return l.current
 }
 
-func (l *Leader) all(f func(State) bool) bool {
+func (l *Leader) allMembers(match func(State) bool) bool {
 	for i := range l.Members {
-		if !f(l.states[i]) {
+		if !match(l.states[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-func (l *Leader) anyInForce(n Name) bool {
-	return !l.all(func(s State) bool { return !s.inForce(n) })
+func (l *Leader) anyActive(a Name) bool {
+	return !l.allMembers(func(s State) bool { return !s.isActive(a) })
 }
 
-// passed reports whether a member may run the name's step without the name, so
-// that it can't be finished. No member can have been released then: a release
-// needs all to hold, and one that restarts takes the hold over from its peers.
-// Members that all have lost their maps begin anew at a later step.
-func (l *Leader) passed(n Name) bool {
-	lost := l.all(func(s State) bool { return !s.Joined })
-	return !l.all(func(s State) bool {
-		without := s.Pending != n && !s.inForce(n) && s.passed(n)
-		return !without || !s.Joined && !lost
+// stepPassed reports whether a member may run the activation's step without the
+// activation, so that it cannot be finished. No member can have been released
+// in this case: a release requires that all members hold, and a restarted
+// member takes the hold over from its peers. Members that have not joined count
+// only if all of them have lost their maps; such a group starts again at a
+// later step.
+func (l *Leader) stepPassed(a Name) bool {
+	allLost := l.allMembers(func(s State) bool { return !s.Joined })
+	return !l.allMembers(func(s State) bool {
+		missed := s.Pending != a && !s.isActive(a) && s.mayBegin(a)
+		return !missed || !s.Joined && !allLost
 	})
 }
 
-// finish releases the members once all of them hold for the name.
-func (l *Leader) finish(n Name, now time.Time) []Action {
-	if l.all(func(s State) bool { return s.Pending == n || s.inForce(n) }) {
-		return l.release(n, now)
+// finish releases the members once all of them hold the activation, and until
+// then makes them hold it.
+func (l *Leader) finish(a Name, now time.Time) []Action {
+	if l.allMembers(func(s State) bool { return s.Pending == a || s.isActive(a) }) {
+		return l.release(a, now)
 	}
-	return l.holdAll(n, now)
+	return l.holdAll(a, now)
 }
 
-func (l *Leader) release(n Name, now time.Time) []Action {
+func (l *Leader) release(a Name, now time.Time) []Action {
 	var actions []Action
 	for i := range l.Members {
-		if l.states[i].Pending == n {
-			actions = append(actions, l.send(i, Release{Head: l.head(i), Name: n, View: l.view()}, now)...)
+		if l.states[i].Pending == a {
+			actions = append(actions, l.send(i, Release{Head: l.head(i), Name: a, View: l.view()}, now)...)
 		}
 	}
 	return actions
 }
 
-func (l *Leader) holdAll(n Name, now time.Time) []Action {
+func (l *Leader) holdAll(a Name, now time.Time) []Action {
 	var actions []Action
 	for i := range l.Members {
 		s := l.states[i]
 		switch {
-		case s.Pending == n || s.inForce(n):
-		case !s.staged(n.Map):
-			actions = append(actions, l.stage(i, n.Map, now)...)
+		case s.Pending == a || s.isActive(a):
+		case !s.hasStaged(a.Map):
+			actions = append(actions, l.stage(i, a.Map, now)...)
 		default:
-			actions = append(actions, l.send(i, Hold{Head: l.head(i), Name: n, View: l.view()}, now)...)
+			actions = append(actions, l.send(i, Hold{Head: l.head(i), Name: a, View: l.view()}, now)...)
 		}
 	}
 	return actions
 }
 
 func (l *Leader) stage(to int, r Ref, now time.Time) []Action {
-	for _, m := range l.maps {
+	for _, m := range l.knownMaps {
 		if RefOf(m) == r {
 			return l.send(to, Stage{Head: l.head(to), Map: m}, now)
 		}
@@ -116,89 +121,94 @@
 	return nil
 }
 
-func (l *Leader) abandon(n Name, now time.Time) []Action {
-	if n == l.name && l.all(func(s State) bool { return s.Pending != n }) {
-		l.name = Name{}
+func (l *Leader) abandon(a Name, now time.Time) []Action {
+	if a == l.current && l.allMembers(func(s State) bool { return s.Pending != a }) {
+		l.current = Name{}
 	}
 	var actions []Action
 	for i := range l.Members {
-		if l.states[i].Pending == n {
-			actions = append(actions, l.send(i, Abandon{Head: l.head(i), Name: n}, now)...)
+		if l.states[i].Pending == a {
+			actions = append(actions, l.send(i, Abandon{Head: l.head(i), Name: a}, now)...)
 		}
 	}
 	return actions
 }
 
-// commit brings this leader's own name to its commit.
+// commit writes this leader's own activation to the record once all members
+// hold it.
 //
-// Failure: the leader dies after it has told some members of the name. It
-// shows as two maps in the name's step if the next leader does not know. The
-// name is in the record before the first member is released, so that each later
-// leader reads it there, and under a token, so that only one leader can write.
+// If the leader dies after it has released some members, a successor that did
+// not know of the activation could let the others run its step with another
+// map. The activation is therefore in the record before the first release, so
+// that each later leader reads it there, and it is written under a fencing
+// token, so that only one leader can write.
 //
-// A write whose outcome stays unknown for HoldTime is given up: nobody has been
-// released, and nobody else can release before this leader's orders are refused.
-func (l *Leader) commit(n Name, now time.Time) []Action {
-	if now.Sub(l.held) > l.HoldTime || l.passed(n) {
-		l.given = n
-		l.tries = min(l.tries+1, maxTries)
-		return l.abandon(n, now)
-	}
-	if !l.all(func(s State) bool { return s.Pending == n }) {
-		return l.holdAll(n, now)
-	}
-	if !l.known || !now.Before(l.until) {
+// An activation is abandoned if the outcome of its write stays unknown for
+// HoldTime. No member has been released by then, and no other leader can
+// release one before members refuse this leader's orders.
+func (l *Leader) commit(a Name, now time.Time) []Action {
+	if now.Sub(l.startedAt) > l.HoldTime || l.stepPassed(a) {
+		l.abandoned = a
+		l.failedAttempts = min(l.failedAttempts+1, maxFailedAttempts)
+		return l.abandon(a, now)
+	}
+	if !l.allMembers(func(s State) bool { return s.Pending == a }) {
+		return l.holdAll(a, now)
+	}
+	if !l.recordKnown || !now.Before(l.leaseUntil) {
 		return nil
 	}
-	return l.write(Record{Token: l.Token, Name: n})
+	return l.writeRecord(Record{Token: l.Token, Name: a})
 }
 
-// next starts the naming of the proposed map: only with a live lease, a record
-// that has just been read, and members that all run the newest name already, or
-// that all have lost their maps. So no rank needs more than two maps, and a name
-// is never for a step that has one.
-func (l *Leader) next(now time.Time) []Action {
-	if l.goal == nil || !l.known || !now.Before(l.until) {
+// startNext starts the activation of the proposed map. It requires a live
+// lease, a record that has just been read, and members that all use their
+// newest map already or have all lost their maps. So no rank needs more than
+// two maps, and an activation never gets a step that already has one.
+func (l *Leader) startNext(now time.Time) []Action {
+	if l.proposed == nil || !l.recordKnown || !now.Before(l.leaseUntil) {
 		return nil
 	}
-	joined := l.all(func(s State) bool { return s.Joined && s.Begun >= latest(s.Schedule).From })
-	if !joined && !l.all(func(s State) bool { return !s.Joined && s.Orphan }) {
+	joined := l.allMembers(func(s State) bool { return s.Joined && s.Begun >= latestEntry(s.Schedule).From })
+	if !joined && !l.allMembers(func(s State) bool { return !s.Joined && s.Orphan }) {
 		return nil
 	}
-	r := RefOf(l.goal)
-	l.Learn(l.goal)
-	if !l.all(func(s State) bool { return s.staged(r) }) {
+	r := RefOf(l.proposed)
+	l.Learn(l.proposed)
+	if !l.allMembers(func(s State) bool { return s.hasStaged(r) }) {
 		return l.stageAll(r, now)
 	}
-	l.name = Name{Token: l.Token, Step: l.beyond(), Map: r}
-	l.held = now
-	return l.holdAll(l.name, now)
+	l.current = Name{Token: l.Token, Step: l.nextSafeStep(), Map: r}
+	l.startedAt = now
+	return l.holdAll(l.current, now)
 }
 
 func (l *Leader) stageAll(r Ref, now time.Time) []Action {
 	var actions []Action
 	for i := range l.Members {
-		if !l.states[i].staged(r) {
+		if !l.states[i].hasStaged(r) {
 			actions = append(actions, l.stage(i, r, now)...)
 		}
 	}
 	return actions
 }
 
-// maxTries bounds how far a name is put off: 64 times the margin.
-const maxTries = 6
-
-// beyond returns a step that no rank may have been allowed to begin when the
-// members hear of it, and that is later than that of each name committed before:
-// ranks whose agents have lost their memory may still have such a name ahead of
-// them. It differs from that of a name given up, so that late
-// orders about the old name are not taken for the new one's, and lies twice as
-// far off after each failed try, because members extend their bounds while the
-// hold is on its way and slow messages would otherwise fail each time.
-func (l *Leader) beyond() uint64 {
-	step := max(l.given.Step, l.record.Name.Step)
+// maxFailedAttempts limits the distance of an activation to 64 times Margin+1.
+const maxFailedAttempts = 6
+
+// nextSafeStep returns a step that no rank may have been allowed to begin when
+// the members receive the hold order. The step is also later than that of every
+// activation committed before, which ranks may still have scheduled although
+// their agents restarted and forgot it, and later than that of the last
+// abandoned one, so that delayed orders for that one do not match the new one.
+//
+// The distance doubles with each failed attempt. Members extend their step
+// limits while the hold order is in transit, so with a constant distance slow
+// messages would make every attempt fail.
+func (l *Leader) nextSafeStep() uint64 {
+	step := max(l.abandoned.Step, l.record.Name.Step)
 	for _, s := range l.states {
 		step = max(step, s.Granted, s.Begun)
 	}
-	return step + (l.Margin+1)<<l.tries
+	return step + (l.Margin+1)<<l.failedAttempts
 }
--- a/internal/rank/naming/engine.go
+++ b/internal/rank/naming/engine.go
@@ -2,38 +2,39 @@
 
 import "github.com/hyssoprelay/hyssoprelay/internal/rank/expertmap"
 
-// EngineState is what the ranks of an endpoint say of themselves.
+// EngineState is the state that the ranks of an endpoint report.
 type EngineState struct {
 	// Incarnation changes when the ranks have restarted and lost their maps.
 	Incarnation uint64
-	// Begun is the last step that a rank has begun. A rank that restarts in a
-	// step does the step again, so it is the step before then.
+	// Begun is the last step that a rank has begun. A rank that restarts during
+	// a step repeats it, so Begun is then the step before.
 	Begun uint64
-	// Allowed is the last step that the ranks may begin.
+	// Allowed is the step limit: the last step that the ranks may begin.
 	Allowed uint64
-	// Staged lists the maps kept ready.
+	// Staged lists the loaded maps.
 	Staged []Ref
 	// Schedule holds the activated maps, oldest first.
 	Schedule []Entry
 }
 
-// EngineOrder is an order of the Member to its engine.
+// EngineOrder is an order of a Member to its engine.
 type EngineOrder interface{ isEngineOrder() }
 
 // EngineStage asks the engine to load the weights that a map needs and to keep
-// the map ready.
+// them loaded.
 type EngineStage struct{ Map *expertmap.Map }
 
 // EngineActivate asks the ranks to use a staged map from a step on, until the
-// next greater step of an activated map, in whatever order they came. With
-// Restart the ranks forget earlier entries and steps and begin at this step.
+// first step of the next activated map. The orders may arrive in any order.
+// With Restart, the ranks discard earlier entries and steps and begin at this
+// step.
 type EngineActivate struct {
 	Entry   Entry
 	Restart bool
 }
 
-// EngineAllow lets the ranks begin steps up to and with the given one. A lower
-// step than before changes nothing.
+// EngineAllow sets the step limit: the ranks may begin all steps up to and
+// including Step. A step lower than the present limit has no effect.
 type EngineAllow struct{ Step uint64 }
 
 func (EngineStage) isEngineOrder()    {}
--- a/internal/rank/naming/fakes_test.go
+++ b/internal/rank/naming/fakes_test.go
@@ -6,16 +6,17 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/rank/expertmap"
 )
 
-// fakeEngine is the ranks of one endpoint. They begin at most a step a tick.
+// fakeEngine simulates the ranks of one endpoint. They begin at most one step a
+// tick. mapOfStep holds the map used in each step.
 type fakeEngine struct {
 	EngineState
-	ran map[uint64]Ref
+	mapOfStep map[uint64]Ref
 }
 
-func (e *fakeEngine) order(o EngineOrder) {
+func (e *fakeEngine) apply(o EngineOrder) {
 	switch o := o.(type) {
 	case EngineStage:
-		if !e.has(RefOf(o.Map)) {
+		if !e.hasStaged(RefOf(o.Map)) {
 			e.Staged = append(e.Staged, RefOf(o.Map))
 			e.dropOldest()
 		}
@@ -26,10 +27,11 @@
 	}
 }
 
-// dropOldest makes room by dropping a map that no step to come uses.
+// dropOldest removes the oldest map that no later step uses, if more than
+// maxStaged are staged.
 func (e *fakeEngine) dropOldest() {
-	const room = 3
-	for i := 0; len(e.Staged) > room && i < len(e.Staged)-1; i++ {
+	const maxStaged = 3
+	for i := 0; len(e.Staged) > maxStaged && i < len(e.Staged)-1; i++ {
 		used := len(After(e.Schedule, e.Begun)) > 0
 		if r, ok := MapAt(e.Schedule, e.Begun+1); !used && (!ok || r != e.Staged[i]) {
 			e.Staged = append(e.Staged[:i], e.Staged[i+1:]...)
@@ -38,9 +40,9 @@
 	}
 }
 
-func (e *fakeEngine) has(r Ref) bool {
-	for _, o := range e.Staged {
-		if o == r {
+func (e *fakeEngine) hasStaged(r Ref) bool {
+	for _, staged := range e.Staged {
+		if staged == r {
 			return true
 		}
 	}
@@ -48,7 +50,7 @@
 }
 
 func (e *fakeEngine) activate(o EngineActivate) {
-	if scheduled(e.Schedule, o.Entry) || !e.has(o.Entry.Map) {
+	if containsEntry(e.Schedule, o.Entry) || !e.hasStaged(o.Entry.Map) {
 		return
 	}
 	if o.Restart && o.Entry.From > e.Begun {
@@ -58,16 +60,16 @@
 	e.Schedule = append(e.Schedule, o.Entry)
 }
 
-// fakeKV keeps the group's record and lease. Calls fail while it is down, and
-// may take effect and still fail.
+// fakeKV holds the group's record and lease. Calls fail while it is down. With
+// loseReplies, a write may take effect although its outcome is unknown.
 type fakeKV struct {
-	record   Record
-	revision int64
-	down     bool
-	lossy    bool
-	token    uint64
-	holder   int
-	until    time.Time
+	record      Record
+	revision    int64
+	down        bool
+	loseReplies bool
+	token       uint64
+	holder      int
+	leaseUntil  time.Time
 }
 
 func testMap(version uint64) *expertmap.Map {
@@ -82,43 +84,43 @@
 	return m
 }
 
-func (w *world) fault() {
-	i := w.rng.Intn(w.n)
+func (s *simulation) injectFault() {
+	i := s.rng.Intn(s.n)
 	switch {
-	case w.chance(0.01):
-		w.restartRanks(i)
-	case w.chance(0.01):
-		w.restartAgent(i)
-	case w.chance(0.003):
-		for j := range w.n {
-			w.restartRanks(j)
-			w.restartAgent(j)
+	case s.chance(0.01):
+		s.restartRanks(i)
+	case s.chance(0.01):
+		s.restartAgent(i)
+	case s.chance(0.003):
+		for j := range s.n {
+			s.restartRanks(j)
+			s.restartAgent(j)
 		}
-	case w.chance(0.01):
-		w.leads[i].paused = w.tick + 20 + w.rng.Intn(200)
-	case w.chance(0.02):
-		w.kv.down = !w.kv.down
+	case s.chance(0.01):
+		s.candidates[i].pausedUntil = s.tick + 20 + s.rng.Intn(200)
+	case s.chance(0.02):
+		s.kv.down = !s.kv.down
 	}
-	w.kv.lossy = w.chance(0.2)
+	s.kv.loseReplies = s.chance(0.2)
 }
 
-// restartRanks loses the maps of an endpoint's ranks. They do the step again
-// that not all ranks have begun.
-func (w *world) restartRanks(i int) {
-	e := w.engines[i]
+// restartRanks restarts the ranks of an endpoint, which lose their maps. They
+// repeat a step that some ranks have not begun yet.
+func (s *simulation) restartRanks(i int) {
+	e := s.engines[i]
 	begun := e.Begun
-	for _, o := range w.engines {
+	for _, o := range s.engines {
 		if o.Begun < begun {
 			begun = e.Begun - 1
-			delete(e.ran, e.Begun)
+			delete(e.mapOfStep, e.Begun)
 			break
 		}
 	}
 	e.EngineState = EngineState{Incarnation: e.Incarnation + 1, Begun: begun}
 }
 
-func (w *world) restartAgent(i int) {
-	w.members[i] = w.newMember(i, w.members[i].Incarnation+1)
-	w.leads[i] = &candidate{next: w.leads[i].next}
-	w.down[i] = w.tick + drain + w.rng.Intn(30)
+func (s *simulation) restartAgent(i int) {
+	s.members[i] = s.newMember(i, s.members[i].Incarnation+1)
+	s.candidates[i] = &candidate{proposals: s.candidates[i].proposals}
+	s.downUntil[i] = s.tick + maxDelayTicks + s.rng.Intn(30)
 }
--- a/internal/rank/naming/guards_test.go
+++ b/internal/rank/naming/guards_test.go
@@ -2,198 +2,204 @@
 
 import "testing"
 
-// TestPausedLeaderIsFenced: callers would see garbled answers of one step. A
-// leader commits a name, the answer of its write is lost and it gives the name
-// up, but is paused before its orders are out. The next leader reads the commit
-// and releases the first member; then the old leader's order reaches the second.
+// TestPausedLeaderIsFenced guards against two maps in one step, which garbles
+// answers. A leader commits an activation, loses the reply to its write and
+// abandons the activation, but is paused before its orders are sent. The next
+// leader reads the commit and releases the first member; then the old leader's
+// order reaches the second one.
 func TestPausedLeaderIsFenced(t *testing.T) {
-	r, a := begun(t)
+	g, a := newActiveGroup(t)
 	a.Propose(testMap(2))
-	r.drive(a, 30, isAbandon, func(w WriteRecord) WriteOutcome {
-		r.write(w)
-		r.kv.down = true
+	g.runLeader(a, 30, isAbandon, func(w WriteRecord) WriteOutcome {
+		g.writeRecord(w)
+		g.kv.down = true
 		return WriteUnknown
 	})
-	r.kv.down = false
-	old := r.back
-	r.back = nil
-	b := r.leader(2)
+	g.kv.down = false
+	oldOrders := g.heldBack
+	g.heldBack = nil
+	b := g.leader(2)
 	b.Learn(testMap(2))
-	r.drive(b, 10, releaseTo(1), r.write)
-	for _, s := range old {
-		r.give(s)
+	g.runLeader(b, 10, releaseTo(1), g.writeRecord)
+	for _, s := range oldOrders {
+		g.deliver(s)
 	}
-	r.run(40)
-	r.deliver()
-	r.run(40)
-	r.assertOneMap()
-	r.assertInForce(2)
+	g.runMembers(40)
+	g.deliverHeldBack()
+	g.runMembers(40)
+	g.assertOneMap()
+	g.assertActiveVersion(2)
 }
 
-// TestRestartedMemberIsNotCountedOn: callers would see garbled answers of one
-// step. A member promises to hold, its ranks restart and it joins anew from a
-// peer that has not heard of the name yet, so the promise is gone. The peer
-// hears of the name, and the leader believes that all hold.
+// TestRestartedMemberIsNotCountedOn guards against two maps in one step, which
+// garbles answers. A member promises to hold, its ranks restart and it joins
+// again from a peer that has not received the activation yet, so the promise is
+// lost. Then the peer receives the activation, and the leader assumes that all
+// members hold it.
 func TestRestartedMemberIsNotCountedOn(t *testing.T) {
-	r, a := begun(t)
+	g, a := newActiveGroup(t)
 	a.Propose(testMap(2))
-	holdTo1 := func(s Send) bool {
+	firstHoldTo1 := func(s Send) bool {
 		_, ok := s.Order.(Hold)
-		return ok && s.To == 1 && len(r.back) == 0
+		return ok && s.To == 1 && len(g.heldBack) == 0
 	}
-	for len(r.back) == 0 {
-		r.drive(a, 1, holdTo1, r.write)
+	for len(g.heldBack) == 0 {
+		g.runLeader(a, 1, firstHoldTo1, g.writeRecord)
 	}
-	r.restartRanks(0)
-	r.run(3)
-	a.HandleState(r.give(r.back[0]), r.now)
-	r.back = nil
-	deaf := func(s Send) bool { return s.To == 0 }
-	r.drive(a, 5, deaf, r.write)
-	r.back = nil
-	r.run(40)
-	r.assertOneMap()
-	r.drive(a, 80, nil, r.write)
-	r.assertOneMap()
-	r.assertInForce(2)
+	g.restartRanks(0)
+	g.runMembers(3)
+	a.HandleState(g.deliver(g.heldBack[0]), g.now)
+	g.heldBack = nil
+	toMember0 := func(s Send) bool { return s.To == 0 }
+	g.runLeader(a, 5, toMember0, g.writeRecord)
+	g.heldBack = nil
+	g.runMembers(40)
+	g.assertOneMap()
+	g.runLeader(a, 80, nil, g.writeRecord)
+	g.assertOneMap()
+	g.assertActiveVersion(2)
 }
 
-// TestLateWriteOfOldLeader: callers would see garbled answers of one step. A
-// leader's write of a name is late. The next leader abandons the name, commits
-// another, releases one member and dies; the late write arrives; that member's
-// agent restarts, and the third leader has the record alone to go by.
+// TestLateWriteOfOldLeader guards against two maps in one step, which garbles
+// answers. A leader's write of an activation is delayed. The next leader
+// abandons that activation, commits another, releases one member and dies. Then
+// the delayed write arrives, that member's agent restarts, and the third leader
+// knows only the record.
 func TestLateWriteOfOldLeader(t *testing.T) {
-	r, a := begun(t)
+	g, a := newActiveGroup(t)
 	a.Propose(testMap(2))
-	var late []WriteRecord
-	r.drive(a, 6, isAbandon, func(w WriteRecord) WriteOutcome {
-		late = append(late, w)
+	var lateWrites []WriteRecord
+	g.runLeader(a, 6, isAbandon, func(w WriteRecord) WriteOutcome {
+		lateWrites = append(lateWrites, w)
 		return WriteUnknown
 	})
-	r.back = nil
-	b := r.leader(2)
+	g.heldBack = nil
+	b := g.leader(2)
 	b.Propose(testMap(3))
-	r.drive(b, 40, releaseTo(1), r.write)
-	for _, w := range late {
-		r.write(w)
+	g.runLeader(b, 40, releaseTo(1), g.writeRecord)
+	for _, w := range lateWrites {
+		g.writeRecord(w)
 	}
-	r.members[0] = r.newMember(0, 2)
-	r.run(3)
-	c := r.leader(3)
+	g.members[0] = g.newMember(0, 2)
+	g.runMembers(3)
+	c := g.leader(3)
 	c.Learn(testMap(3))
-	r.drive(c, 40, nil, r.write)
-	r.run(40)
-	r.assertOneMap()
-	r.assertInForce(3)
-	if len(late) == 0 {
-		t.Error("the old leader wrote nothing")
+	g.runLeader(c, 40, nil, g.writeRecord)
+	g.runMembers(40)
+	g.assertOneMap()
+	g.assertActiveVersion(3)
+	if len(lateWrites) == 0 {
+		t.Error("the old leader wrote no record")
 	}
 }
 
-// TestPassedStepIsNotHeldFor: callers would see garbled answers of one step. A
-// leader gives a name up whose write took effect, one member goes past its step
-// with the old map, and the leader dies. That member's agent restarts and hears
-// of the name from its peer, and the next leader reads the commit.
+// TestPassedStepIsNotHeldFor guards against two maps in one step, which garbles
+// answers. A leader abandons an activation whose write took effect, one member
+// passes its step with the old map, and the leader dies. That member's agent
+// restarts and learns of the activation from its peer, and the next leader
+// reads the commit.
 func TestPassedStepIsNotHeldFor(t *testing.T) {
-	r, a := begun(t)
+	g, a := newActiveGroup(t)
 	a.Propose(testMap(2))
-	r.drive(a, 60, func(s Send) bool { return isAbandon(s) && s.To == 1 }, func(w WriteRecord) WriteOutcome {
-		r.write(w)
-		r.kv.down = true
+	g.runLeader(a, 60, func(s Send) bool { return isAbandon(s) && s.To == 1 }, func(w WriteRecord) WriteOutcome {
+		g.writeRecord(w)
+		g.kv.down = true
 		return WriteUnknown
 	})
-	r.kv.down = false
-	r.members[0] = r.newMember(0, 2)
-	r.run(3)
-	b := r.leader(2)
+	g.kv.down = false
+	g.members[0] = g.newMember(0, 2)
+	g.runMembers(3)
+	b := g.leader(2)
 	b.Learn(testMap(2))
 	b.Propose(testMap(3))
-	r.drive(b, 80, nil, r.write)
-	r.assertOneMap()
-	r.assertInForce(3)
+	g.runLeader(b, 80, nil, g.writeRecord)
+	g.assertOneMap()
+	g.assertActiveVersion(3)
 }
 
-// TestRestartedGroupNamesLaterStep: callers would see garbled answers of one
-// step. The ranks of one member have been told of a name ahead of them when all
-// agents lose their memory and the other's ranks their maps. The group begins
-// anew, and must not reach the name's step with another map.
+// TestRestartedGroupNamesLaterStep guards against two maps in one step, which
+// garbles answers. The ranks of one member have an activation scheduled for a
+// later step when all agents restart and the other member's ranks lose their
+// maps. The group starts again and must not reach the scheduled step with
+// another map.
 func TestRestartedGroupNamesLaterStep(t *testing.T) {
-	r, a := begun(t)
+	g, a := newActiveGroup(t)
 	a.Propose(testMap(2))
-	r.drive(a, 8, releaseTo(1), r.write)
-	r.back = nil
-	ahead := latest(r.engines[0].Schedule)
-	if ahead.Map.Version != 2 || ahead.From <= r.engines[0].Begun {
-		t.Fatalf("member 0 stands at %d and has %+v ahead", r.engines[0].Begun, ahead)
+	g.runLeader(a, 8, releaseTo(1), g.writeRecord)
+	g.heldBack = nil
+	upcoming := latestEntry(g.engines[0].Schedule)
+	if upcoming.Map.Version != 2 || upcoming.From <= g.engines[0].Begun {
+		t.Fatalf("member 0 is at step %d and has %+v as its newest entry", g.engines[0].Begun, upcoming)
 	}
-	r.members[0], r.members[1] = r.newMember(0, 2), r.newMember(1, 2)
-	r.restartRanks(1)
-	b := r.leader(2)
+	g.members[0], g.members[1] = g.newMember(0, 2), g.newMember(1, 2)
+	g.restartRanks(1)
+	b := g.leader(2)
 	b.Margin = 0
 	b.Propose(testMap(3))
-	r.drive(b, 80, nil, r.write)
-	r.assertOneMap()
-	r.assertInForce(3)
+	g.runLeader(b, 80, nil, g.writeRecord)
+	g.assertOneMap()
+	g.assertActiveVersion(3)
 }
 
-// TestReleasedNameIsFinished: callers would wait for a group that stands. One
-// member has been released and its ranks told of the name; then its agent and the
-// other's ranks restart. The leader, which lives, has to finish the name.
+// TestReleasedNameIsFinished guards against a group that stops, which makes
+// callers wait. One member has been released and its ranks have the activation
+// scheduled; then its agent and the other member's ranks restart. The leader,
+// which keeps running, has to finish the activation.
 func TestReleasedNameIsFinished(t *testing.T) {
-	r, a := begun(t)
+	g, a := newActiveGroup(t)
 	a.Propose(testMap(2))
-	r.drive(a, 8, releaseTo(1), r.write)
-	r.back = nil
-	r.members[0] = r.newMember(0, 2)
-	r.restartRanks(1)
-	r.members[1].Tick(r.engines[1].EngineState)
-	r.drive(a, 80, nil, r.write)
-	r.assertOneMap()
-	r.assertInForce(2)
+	g.runLeader(a, 8, releaseTo(1), g.writeRecord)
+	g.heldBack = nil
+	g.members[0] = g.newMember(0, 2)
+	g.restartRanks(1)
+	g.members[1].Tick(g.engines[1].EngineState)
+	g.runLeader(a, 80, nil, g.writeRecord)
+	g.assertOneMap()
+	g.assertActiveVersion(2)
 }
 
-// TestGroupGoesOnWithoutPlatform: callers would wait for nothing if a group
-// stopped because the platform is down. No leader and no platform is there, and
-// the ranks of one endpoint restart; steps go on with the map in force.
+// TestGroupGoesOnWithoutPlatform guards against a group that stops because the
+// platform is down. There is no leader and no platform, and the ranks of one
+// endpoint restart; steps must continue with the active map.
 func TestGroupGoesOnWithoutPlatform(t *testing.T) {
-	r, _ := begun(t)
-	before := r.engines[0].Begun
-	r.run(50)
-	r.restartRanks(1)
-	r.run(50)
-	if got := r.engines[0].Begun; got < before+90 {
+	g, _ := newActiveGroup(t)
+	before := g.engines[0].Begun
+	g.runMembers(50)
+	g.restartRanks(1)
+	g.runMembers(50)
+	if got := g.engines[0].Begun; got < before+90 {
 		t.Errorf("%d steps in 100 ticks, want at least 90", got-before)
 	}
-	r.assertInForce(1)
-	r.assertOneMap()
+	g.assertActiveVersion(1)
+	g.assertOneMap()
 }
 
-// TestNoNameWithoutLease: an old leader must not start a name when its lease has
-// lapsed, because another may lead already. The lease lapses and a map is
-// proposed; no member is asked to hold.
+// TestNoNameWithoutLease guards against a leader that starts an activation
+// after its lease has lapsed, when another leader may exist. The lease lapses
+// and a map is proposed; no member may be asked to hold.
 func TestNoNameWithoutLease(t *testing.T) {
-	r, a := begun(t)
-	a.Extend(r.now)
+	g, a := newActiveGroup(t)
+	a.Extend(g.now)
 	a.Propose(testMap(2))
-	r.drive(a, 30, nil, r.write)
-	r.assertInForce(1)
-	for i, m := range r.members {
-		if n := m.State().Pending; n != (Name{}) {
-			t.Errorf("member %d holds for step %d", i, n.Step)
+	g.runLeader(a, 30, nil, g.writeRecord)
+	g.assertActiveVersion(1)
+	for i, m := range g.members {
+		if pending := m.State().Pending; pending != (Name{}) {
+			t.Errorf("member %d holds an activation for step %d", i, pending.Step)
 		}
 	}
 }
 
-// TestReadsBackOff: a platform that is down would be kept down by leaders that
-// ask it at once again and again. It fails for a while; reads get rarer, and one
-// that succeeds makes the leader ready again.
+// TestReadsBackOff guards against leaders that keep a failed platform down with
+// immediate retries. Reads fail for some time and must become rarer; after one
+// succeeds, the leader must activate a map.
 func TestReadsBackOff(t *testing.T) {
-	r := newRig(t)
-	l := r.leader(1)
+	g := newTestGroup(t)
+	l := g.leader(1)
 	reads := 0
 	for range 400 {
-		r.now = r.now.Add(tick)
-		for _, a := range l.Step(r.now) {
+		g.now = g.now.Add(tick)
+		for _, a := range l.Step(g.now) {
 			if _, ok := a.(ReadRecord); ok {
 				reads++
 				l.HandleRecord(Record{}, 0, false)
@@ -204,6 +210,6 @@
 		t.Errorf("%d reads in 400 ticks, want at most 20", reads)
 	}
 	l.Propose(testMap(1))
-	r.drive(l, 80, nil, r.write)
-	r.assertInForce(1)
+	g.runLeader(l, 80, nil, g.writeRecord)
+	g.assertActiveVersion(1)
 }
--- a/internal/rank/naming/join.go
+++ b/internal/rank/naming/join.go
@@ -1,43 +1,45 @@
 package naming
 
-// reset forgets what the group agreed on, as after a restart of the ranks.
+// reset discards the state agreed with the group, as after a restart of the
+// ranks.
 //
-// Failure: a rank restarts and goes on with the map that it was first given,
-// while the group has moved on. It shows as two maps in one step. A member that
-// starts, or whose ranks did, has no schedule and extends no bound until it has
-// joined, so its ranks wait.
+// Restarted ranks that continued with their initial map would run steps for
+// which the rest of the group has another map. A member that starts, or whose
+// ranks restart, therefore has no schedule and extends no step limit until it
+// has joined, so its ranks wait.
 func (m *Member) reset(incarnation uint64) {
 	m.Incarnation = incarnation
-	m.view[m.Index] = incarnation
+	m.incarnations[m.Index] = incarnation
 	m.joined = false
 	m.schedule = nil
 	m.pending = Name{}
-	m.heard = map[int]Joining{}
+	m.joinReplies = map[int]Joining{}
 }
 
-// Joins returns the question for all peers while the member has to ask them.
+// Joins returns the message to send to all peers. It returns false once the
+// member has joined.
 func (m *Member) Joins() (Join, bool) {
 	m.init()
 	return Join{Member: m.Index, Incarnation: m.Incarnation}, !m.joined
 }
 
-// HandleJoin answers the question of a peer that has started and notes its
-// incarnation, so that orders that count on an older one are refused.
+// HandleJoin answers a peer that has started and records its incarnation, so
+// that orders that rely on an older one are refused.
 func (m *Member) HandleJoin(j Join) Joining {
 	m.init()
-	if j.Member >= 0 && j.Member < len(m.view) && j.Member != m.Index {
-		m.view[j.Member] = max(m.view[j.Member], j.Incarnation)
+	if j.Member >= 0 && j.Member < len(m.incarnations) && j.Member != m.Index {
+		m.incarnations[j.Member] = max(m.incarnations[j.Member], j.Incarnation)
 	}
-	out := Joining{To: j.Incarnation, State: m.State()}
-	if j.Member >= 0 && j.Member < len(m.view) {
-		out.Noted = m.view[j.Member]
+	reply := Joining{To: j.Incarnation, State: m.State()}
+	if j.Member >= 0 && j.Member < len(m.incarnations) {
+		reply.Noted = m.incarnations[j.Member]
 	}
-	out.Maps = m.Needed()
-	return out
+	reply.Maps = m.Needed()
+	return reply
 }
 
-// HandleJoining takes a peer's answer. Once all peers have answered and one of
-// them knows the group's maps, the member joins.
+// HandleJoining processes a peer's reply. The member joins once all peers have
+// replied and one of them knows the group's schedule.
 func (m *Member) HandleJoining(j Joining) {
 	m.init()
 	from := j.State.Member
@@ -48,57 +50,58 @@
 		m.reset(j.Noted + 1)
 		return
 	}
-	if old, ok := m.heard[from]; ok && !j.State.newer(old.State) {
+	if old, ok := m.joinReplies[from]; ok && !j.State.newer(old.State) {
 		return
 	}
-	m.view[from] = max(m.view[from], j.State.Incarnation)
-	m.heard[from] = j
-	for _, e := range j.Maps {
-		m.keep(e)
+	m.incarnations[from] = max(m.incarnations[from], j.State.Incarnation)
+	m.joinReplies[from] = j
+	for _, em := range j.Maps {
+		m.storeMap(em)
 	}
 	m.join()
 }
 
-// heardAll reports whether the engine and all peers have said where they are.
-func (m *Member) heardAll() bool {
-	return m.engine.Incarnation != 0 && len(m.heard) == m.Members-1
+// allReplied reports whether the engine and all peers have reported their
+// state.
+func (m *Member) allReplied() bool {
+	return m.engine.Incarnation != 0 && len(m.joinReplies) == m.Members-1
 }
 
-// orphan reports whether all peers have answered and none knows the group's
-// maps: the whole group has restarted.
-func (m *Member) orphan() bool {
-	if !m.heardAll() {
+// noPeerJoined reports whether all peers have replied and none knows the
+// group's schedule: the whole group has restarted.
+func (m *Member) noPeerJoined() bool {
+	if !m.allReplied() {
 		return false
 	}
-	for _, j := range m.heard {
-		if j.State.Joined {
+	for _, reply := range m.joinReplies {
+		if reply.State.Joined {
 			return false
 		}
 	}
 	return true
 }
 
-// join takes over what the peers know: the newest schedule, the highest
-// fencing token and a name for which one of them holds. Peers that have not
-// joined themselves add nothing but their tokens and pending names.
+// join takes over what the peers know: the newest schedule, the highest fencing
+// token and an activation that one of them holds. Peers that have not joined
+// themselves contribute only their tokens and pending activations.
 func (m *Member) join() {
-	if m.joined || !m.heardAll() {
+	if m.joined || !m.allReplied() {
 		return
 	}
 	var schedule []Entry
 	pending, found := m.pending, false
 	for i := range m.Members {
-		j, ok := m.heard[i]
+		reply, ok := m.joinReplies[i]
 		if !ok {
 			continue
 		}
-		m.fence = max(m.fence, j.State.Fence)
-		if j.State.Pending != (Name{}) {
-			pending = j.State.Pending
+		m.maxToken = max(m.maxToken, reply.State.Fence)
+		if reply.State.Pending != (Name{}) {
+			pending = reply.State.Pending
 		}
-		if j.State.Joined && latest(j.State.Schedule).From >= latest(schedule).From {
+		if reply.State.Joined && latestEntry(reply.State.Schedule).From >= latestEntry(schedule).From {
 			found = true
-			schedule = j.State.Schedule
+			schedule = reply.State.Schedule
 		}
 	}
 	if !found {
@@ -107,15 +110,15 @@
 	m.joined = true
 	m.schedule = append([]Entry(nil), schedule...)
 	m.pending = Name{}
-	if !m.inForce(pending) && !m.enginePassed(pending) {
+	if !m.isActive(pending) && !m.engineMissed(pending) {
 		m.pending = pending
 	}
-	m.heard = map[int]Joining{}
+	m.joinReplies = map[int]Joining{}
 }
 
-// enginePassed reports whether the engine, which went on while the agent
-// restarted, may run the name's step without the name. That shows that the
-// agent before did not hold, so the member must not say that it does.
-func (m *Member) enginePassed(n Name) bool {
-	return m.engine.Allowed >= n.Step && !scheduled(m.engine.Schedule, Entry{From: n.Step, Map: n.Map})
+// engineMissed reports whether the engine, which kept running while the agent
+// restarted, may run the activation's step without the activation. In that case
+// the previous agent did not hold it, so the member must not report a hold.
+func (m *Member) engineMissed(a Name) bool {
+	return m.engine.Allowed >= a.Step && !containsEntry(m.engine.Schedule, Entry{From: a.Step, Map: a.Map})
 }
--- a/internal/rank/naming/leader.go
+++ b/internal/rank/naming/leader.go
@@ -7,68 +7,74 @@
 )
 
 // Leader is the state machine of a group's leader under one fencing token. A
-// new token needs a new Leader. Set the exported fields before the first call;
-// it is not safe for concurrent use.
+// new token needs a new Leader. Set the exported fields before the first call.
+// A Leader is not safe for concurrent use.
 type Leader struct {
 	// Members is the number of members in the group.
 	Members int
 	// Token is the fencing token of the lease.
 	Token uint64
-	// Resend is how long an answer of a member is waited for.
+	// Resend is how long the leader waits for a member's reply before it sends
+	// another order to this member.
 	Resend time.Duration
-	// Refresh is how old a member's state may get before it is asked again
-	// although there is nothing to tell it.
+	// Refresh is the age at which a member's state is queried again although
+	// there is no order for it.
 	Refresh time.Duration
-	// HoldTime bounds how long a name that is not committed may be held for,
-	// because ranks that reach its step wait.
+	// HoldTime is how long members may hold an activation that is not
+	// committed. It is bounded because ranks that reach the activation's step
+	// wait there.
 	HoldTime time.Duration
-	// Margin is how many steps a name is put beyond the bounds last heard of,
-	// because members extend them while the hold is on its way. It should be
-	// the members' Lookahead.
+	// Margin is how many steps an activation is placed beyond the highest step
+	// limit reported, because members extend their limits while the hold order
+	// is in transit. It should equal the members' Lookahead.
 	Margin uint64
 
-	until  time.Time
-	states map[int]State
-	// asked and seen say when a member was last sent an order that it has not
-	// answered yet, and when it last answered.
-	asked, seen map[int]time.Time
+	// leaseUntil is the time until which the lease is held at least.
+	leaseUntil time.Time
+	states     map[int]State
+	// sentAt holds when a member was last sent an order that it has not
+	// answered yet, repliedAt when it last answered.
+	sentAt, repliedAt map[int]time.Time
 
 	record   Record
 	revision int64
-	// known says that record is what the key-value service holds, as far as
-	// this leader knows; writing and reading that a call is under way.
-	known, writing, reading bool
-	written                 Record
-	readAt                  time.Time
-	// failed counts the reads in a row that failed.
-	failed int
-
-	goal *expertmap.Map
-	maps []*expertmap.Map
-	// name is the name that this leader is bringing into force, since when it
-	// is held; given is the last one that it gave up before its commit was
-	// known, so that nobody was released.
-	name, given Name
-	held        time.Time
-	// tries counts the names given up since the last one got in force.
-	tries   int
-	deposed bool
+	// recordKnown is set while record and revision are what this leader last
+	// read and it has not written since. reading and writing are set while a
+	// call is in progress, and inFlightRecord is the record that is being
+	// written.
+	recordKnown, writing, reading bool
+	inFlightRecord                Record
+	lastReadAt                    time.Time
+	// failedReads counts consecutive failed reads, up to maxReadBackoff.
+	failedReads int
+
+	proposed  *expertmap.Map
+	knownMaps []*expertmap.Map
+	// current is the activation that this leader is carrying out, begun at
+	// startedAt. abandoned is the last one that it abandoned before it knew of
+	// a commit, so that no member was released.
+	current, abandoned Name
+	startedAt          time.Time
+	// failedAttempts counts the activations abandoned since one last took
+	// effect, up to maxFailedAttempts.
+	failedAttempts int
+	deposed        bool
 }
 
-// Action is what a Leader wants done.
+// Action is an operation that a Leader requests from its caller.
 type Action interface{ isAction() }
 
-// Send sends an order to a member. Its answer goes to HandleState.
+// Send sends an order to a member. The reply goes to HandleState.
 type Send struct {
 	To    int
 	Order Order
 }
 
-// ReadRecord reads the group's record. The answer goes to HandleRecord.
+// ReadRecord reads the group's record. The result goes to HandleRecord.
 type ReadRecord struct{}
 
-// WriteRecord replaces the record of a revision. The outcome goes to
-// HandleWritten.
+// WriteRecord replaces the group's record if it is still at Revision. The
+// outcome goes to HandleWritten.
 type WriteRecord struct {
 	Revision int64
 	Record   Record
@@ -81,40 +87,42 @@
 func (l *Leader) init() {
 	if l.states == nil {
 		l.states = map[int]State{}
-		l.asked = map[int]time.Time{}
-		l.seen = map[int]time.Time{}
+		l.sentAt = map[int]time.Time{}
+		l.repliedAt = map[int]time.Time{}
 	}
 }
 
-// Extend notes until when the lease holds at least.
-func (l *Leader) Extend(until time.Time) { l.until = until }
+// Extend records that the lease is held at least until the given time.
+func (l *Leader) Extend(until time.Time) { l.leaseUntil = until }
 
-// Propose gives the leader a map to bring into force. It replaces a proposed
-// map that no member holds for yet.
-func (l *Leader) Propose(m *expertmap.Map) { l.goal = m }
+// Propose sets the map to activate next. It replaces a proposed map whose
+// activation has not been started yet.
+func (l *Leader) Propose(m *expertmap.Map) { l.proposed = m }
 
-// Learn gives the leader a map that it may have to stage again to finish a name
-// of the leader before.
+// Learn adds a map that the leader may have to stage again to finish an
+// activation of its predecessor.
 func (l *Leader) Learn(m *expertmap.Map) {
-	for _, o := range l.maps {
-		if RefOf(o) == RefOf(m) {
+	for _, known := range l.knownMaps {
+		if RefOf(known) == RefOf(m) {
 			return
 		}
 	}
-	l.maps = append(l.maps, m)
-	if len(l.maps) > keptMaps {
-		l.maps = l.maps[1:]
+	l.knownMaps = append(l.knownMaps, m)
+	if len(l.knownMaps) > maxMaps {
+		l.knownMaps = l.knownMaps[1:]
 	}
 }
 
-// Deposed reports whether a newer leader has been seen. A deposed Leader does
-// nothing any more.
+// Deposed reports whether a newer leader has been seen. A deposed Leader
+// requests no further actions.
 func (l *Leader) Deposed() bool { return l.deposed }
 
-// Idle reports whether the leader has no name and no map to bring into force.
-func (l *Leader) Idle() bool { return l.goal == nil && l.name == Name{} }
+// Idle reports whether the leader has no activation in progress and no proposed
+// map.
+func (l *Leader) Idle() bool { return l.proposed == nil && l.current == Name{} }
 
-// HandleState takes a member's answer.
+// HandleState processes a member's reply. It ignores members outside the group
+// and states older than the last one.
 func (l *Leader) HandleState(s State, now time.Time) {
 	l.init()
 	if s.Member < 0 || s.Member >= l.Members {
@@ -127,70 +135,72 @@
 		return
 	}
 	l.states[s.Member] = s
-	l.seen[s.Member] = now
-	delete(l.asked, s.Member)
+	l.repliedAt[s.Member] = now
+	delete(l.sentAt, s.Member)
 }
 
-// HandleRecord takes the answer to ReadRecord; ok is false when it failed.
+// HandleRecord processes the result of ReadRecord. ok is false if the read
+// failed.
 func (l *Leader) HandleRecord(r Record, revision int64, ok bool) {
 	l.reading = false
 	if !ok {
-		l.failed = min(l.failed+1, maxBackOff)
+		l.failedReads = min(l.failedReads+1, maxReadBackoff)
 		return
 	}
-	l.failed = 0
-	l.record, l.revision, l.known = r, revision, true
+	l.failedReads = 0
+	l.record, l.revision, l.recordKnown = r, revision, true
 	if r.Token > l.Token {
 		l.deposed = true
 	}
 }
 
-// HandleWritten takes the outcome of WriteRecord.
+// HandleWritten processes the outcome of WriteRecord.
 func (l *Leader) HandleWritten(o WriteOutcome) {
 	l.writing = false
 	if o == Written {
-		l.record = l.written
+		l.record = l.inFlightRecord
 	}
 }
 
-// Step returns what to do at a time. Call it after each answer and each Resend.
+// Step returns the actions to take at the time now. Call it after each reply
+// and once per Resend.
 func (l *Leader) Step(now time.Time) []Action {
 	l.init()
 	if l.deposed {
 		return nil
 	}
 	var actions []Action
-	if !l.known && !l.reading && !l.writing && l.due(now) {
+	if !l.recordKnown && !l.reading && !l.writing && l.readDue(now) {
 		l.reading = true
 		actions = append(actions, ReadRecord{})
 	}
-	if l.known && l.record.Token != l.Token {
-		actions = append(actions, l.write(Record{Token: l.Token, Name: l.record.Name})...)
+	if l.recordKnown && l.record.Token != l.Token {
+		actions = append(actions, l.writeRecord(Record{Token: l.Token, Name: l.record.Name})...)
 	}
 	if !l.ready() {
-		return append(actions, l.askAll(now)...)
+		return append(actions, l.queryAll(now)...)
 	}
 	actions = append(actions, l.decide(now)...)
-	return append(actions, l.refresh(now)...)
+	return append(actions, l.queryStale(now)...)
 }
 
-// write replaces the record. Whatever its outcome, the record has to be read
+// writeRecord replaces the record. Whatever the outcome, the record is read
 // again before the next write.
-func (l *Leader) write(r Record) []Action {
+func (l *Leader) writeRecord(r Record) []Action {
 	if l.writing || l.reading {
 		return nil
 	}
-	l.writing, l.known, l.written = true, false, r
+	l.writing, l.recordKnown, l.inFlightRecord = true, false, r
 	return []Action{WriteRecord{Revision: l.revision, Record: r}}
 }
 
-// ready reports whether the leader may decide: its token is in the record, so
-// that no older leader can commit a name, and all members have seen it, so that
-// they refuse what older leaders have sent.
+// ready reports whether the leader may decide: the record has its token, so
+// that no older leader can commit an activation, and all members have seen the
+// token, so that they refuse orders of older leaders.
 //
-// Failure: two leaders at once. It shows as two names for one step. The token
-// in the record makes the compare-and-swap of the older one fail, and what it
-// had committed before can be read here.
+// This keeps two concurrent leaders from activating two maps for one step. The
+// token in the record makes the older leader's compare-and-swap fail, and
+// reading the record shows what that leader committed before.
 func (l *Leader) ready() bool {
 	if l.record.Token != l.Token || len(l.states) < l.Members {
 		return false
@@ -203,7 +213,8 @@
 	return true
 }
 
-func (l *Leader) askAll(now time.Time) []Action {
+// queryAll queries the members that have not seen this leader's token.
+func (l *Leader) queryAll(now time.Time) []Action {
 	var actions []Action
 	for i := range l.Members {
 		if s, ok := l.states[i]; !ok || s.Fence != l.Token {
@@ -213,11 +224,11 @@
 	return actions
 }
 
-// refresh asks the members that have not been heard of for a while.
-func (l *Leader) refresh(now time.Time) []Action {
+// queryStale queries the members whose last reply is at least Refresh old.
+func (l *Leader) queryStale(now time.Time) []Action {
 	var actions []Action
 	for i := range l.Members {
-		if now.Sub(l.seen[i]) < l.Refresh {
+		if now.Sub(l.repliedAt[i]) < l.Refresh {
 			continue
 		}
 		actions = append(actions, l.send(i, Query{Head{Token: l.Token}}, now)...)
@@ -225,30 +236,33 @@
 	return actions
 }
 
-// send sends an order unless the member was asked within Resend.
+// send sends an order unless an order to this member is unanswered and less
+// than Resend old.
 func (l *Leader) send(to int, o Order, now time.Time) []Action {
-	if at, ok := l.asked[to]; ok && now.Sub(at) < l.Resend {
+	if at, ok := l.sentAt[to]; ok && now.Sub(at) < l.Resend {
 		return nil
 	}
-	l.asked[to] = now
+	l.sentAt[to] = now
 	return []Action{Send{To: to, Order: o}}
 }
 
-// maxBackOff bounds the back-off of reads: 32 times Resend.
-const maxBackOff = 5
+// maxReadBackoff limits the back-off between reads to 32 times Resend.
+const maxReadBackoff = 5
 
-// due reports whether the record may be read again.
+// readDue reports whether the record may be read again, and notes the time of
+// the read if so.
 //
-// Load: hundreds of groups whose leaders all wait for a platform that is down or
-// slow. Harm prevented: their reads, each Resend, would take up the platform's
-// reads when it comes back and keep it down. After each failure a leader waits
-// twice as long, up to 32 times Resend: with 0.2 s, 375 groups make 60 reads a
-// second at most, and a name is late by some seconds once the platform answers.
-func (l *Leader) due(now time.Time) bool {
-	if !l.readAt.IsZero() && now.Sub(l.readAt) < l.Resend<<l.failed {
+// Leaders of hundreds of groups may wait for a platform that is down or slow.
+// If each read every Resend, they would use up the platform's read capacity as
+// it recovers and keep it down. The delay therefore doubles with each failure,
+// up to 32 times Resend. With a Resend of 0.2 s, 375 groups make at most 60
+// reads a second, and an activation is delayed by some seconds once the
+// platform answers.
+func (l *Leader) readDue(now time.Time) bool {
+	if !l.lastReadAt.IsZero() && now.Sub(l.lastReadAt) < l.Resend<<l.failedReads {
 		return false
 	}
-	l.readAt = now
+	l.lastReadAt = now
 	return true
 }
 
@@ -256,7 +270,8 @@
 	return Head{Token: l.Token, Incarnation: l.states[to].Incarnation}
 }
 
-// view returns the incarnations that the leader counts on.
+// view returns the incarnation of each member that the leader's decisions rely
+// on.
 func (l *Leader) view() []uint64 {
 	view := make([]uint64, l.Members)
 	for i := range view {
@@ -265,23 +280,23 @@
 	return view
 }
 
-// Settled reports whether the leader has no name on its way. A map that is only
-// proposed does not count.
-func (l *Leader) Settled() bool { return l.name == Name{} }
+// Settled reports whether the leader has no activation in progress. A proposed
+// map does not count.
+func (l *Leader) Settled() bool { return l.current == Name{} }
 
-// Current returns what all members run on, and false while they differ or a
-// name is on its way.
+// Current returns the map that all members use. It returns false while their
+// maps differ or an activation is in progress.
 func (l *Leader) Current() (Ref, bool) {
-	if l.deposed || !l.ready() || !l.Idle() || l.active() != (Name{}) {
+	if l.deposed || !l.ready() || !l.Idle() || l.inProgress() != (Name{}) {
 		return Ref{}, false
 	}
-	r := latest(l.states[0].Schedule).Map
-	same := l.all(func(s State) bool { return s.Joined && latest(s.Schedule).Map == r })
+	r := latestEntry(l.states[0].Schedule).Map
+	same := l.allMembers(func(s State) bool { return s.Joined && latestEntry(s.Schedule).Map == r })
 	return r, same
 }
 
-// Lost reports whether all members have lost their maps, so that the group needs
-// a map from outside.
+// Lost reports whether all members have lost their maps, so that the group
+// needs one from outside.
 func (l *Leader) Lost() bool {
-	return !l.deposed && l.ready() && l.Idle() && l.all(func(s State) bool { return !s.Joined && s.Orphan })
+	return !l.deposed && l.ready() && l.Idle() && l.allMembers(func(s State) bool { return !s.Joined && s.Orphan })
 }
--- a/internal/rank/naming/member.go
+++ b/internal/rank/naming/member.go
@@ -6,63 +6,68 @@
 )
 
 // Member is the state machine of one agent of a group. Set the exported fields
-// before the first call; it is not safe for concurrent use.
+// before the first call. A Member is not safe for concurrent use.
 type Member struct {
-	// Index is the member's place in the group, Members how many there are.
+	// Index is the member's position in the group, Members the group's size.
 	Index, Members int
-	// Incarnation grows with each start of the agent. The member raises it
+	// Incarnation increases with each start of the agent. The member raises it
 	// when its ranks restart.
 	Incarnation uint64
-	// Lookahead is how many steps the ranks may run without asking. It must
-	// cover the time between two calls of Tick, or the ranks stop; a name
-	// takes force no earlier than so many steps ahead.
+	// Lookahead is how many steps the ranks may run beyond the last step begun
+	// without a new step limit. It must cover the time between two calls of
+	// Tick, or the ranks stop. An activation takes effect no earlier than that
+	// many steps ahead.
 	Lookahead uint64
 
-	number   uint64
-	fence    uint64
+	// sequence numbers the states of this incarnation.
+	sequence uint64
+	// maxToken is the highest fencing token seen.
+	maxToken uint64
 	joined   bool
 	schedule []Entry
 	pending  Name
-	// granted is no less than any bound that the engine was given.
-	granted uint64
-	maps    []*expertmap.Map
-	// view holds the highest incarnation known of each member.
-	view   []uint64
-	heard  map[int]Joining
-	engine EngineState
+	// stepLimit is at least as high as any step limit sent to the engine.
+	stepLimit uint64
+	maps      []*expertmap.Map
+	// incarnations holds the highest known incarnation of each member.
+	incarnations []uint64
+	// joinReplies holds the last reply of each peer while the member joins.
+	joinReplies map[int]Joining
+	engine      EngineState
 }
 
-// Handle obeys an order of the leader, or does not, and returns the member's
-// state after it. The error says why an order was refused.
+// Handle applies an order of the leader and returns the member's state after
+// it. The error says why an order was refused.
 func (m *Member) Handle(o Order) (State, error) {
 	m.init()
-	err := m.obey(o)
+	err := m.apply(o)
 	return m.State(), err
 }
 
 func (m *Member) init() {
-	if m.view != nil {
+	if m.incarnations != nil {
 		return
 	}
-	m.view = make([]uint64, m.Members)
-	m.view[m.Index] = m.Incarnation
-	m.heard = map[int]Joining{}
+	m.incarnations = make([]uint64, m.Members)
+	m.incarnations[m.Index] = m.Incarnation
+	m.joinReplies = map[int]Joining{}
 }
 
-// obey checks the fencing token and the incarnation of an order and runs it.
+// apply checks the fencing token and the incarnation of an order and executes
+// it.
 //
-// Failure: a leader is paused, its lease lapses, another leader names a map,
-// and the first wakes and sends what it had in hand. It shows as two maps in
-// one step at an engine that ignores fencing numbers. The member keeps the
-// highest token seen and refuses lower ones, and a leader acts only after all
-// members have seen its token, so orders of an older one no longer count. The
-// incarnation does the same for orders that a restart has overtaken.
-func (m *Member) obey(o Order) error {
+// A paused leader can lose its lease, wake up after its successor has activated
+// a map, and send outdated orders. Obeying them would give one step two maps at
+// engines that ignore fencing tokens. The member therefore refuses tokens lower
+// than the highest one seen, and a leader acts only after all members have seen
+// its token. In the same way the incarnation rejects orders sent before a
+// restart.
+func (m *Member) apply(o Order) error {
 	h := o.head()
-	if h.Token < m.fence {
-		return result.Newf(result.StaleFencing, "token %d, seen %d", h.Token, m.fence)
+	if h.Token < m.maxToken {
+		return result.Newf(result.StaleFencing, "token %d, seen %d", h.Token, m.maxToken)
 	}
-	m.fence = h.Token
+	m.maxToken = h.Token
 	if _, ok := o.(Query); ok {
 		return nil
 	}
@@ -71,7 +76,7 @@
 	}
 	switch o := o.(type) {
 	case Stage:
-		m.keep(o.Map)
+		m.storeMap(o.Map)
 		return nil
 	case Hold:
 		return m.hold(o)
@@ -85,26 +90,27 @@
 	}
 }
 
-// hold promises not to let the ranks begin the name's step.
+// hold promises that the ranks will not begin the activation's step until it is
+// released or abandoned.
 //
-// Failure: one member's ranks have begun a step when another member hears
-// that a new map holds from it. It shows as two maps in this step. The promise
-// is given only for a step beyond each bound handed to the engine, bounds are
-// not extended over it while it is pending, and no member is released before
+// Without this, one member's ranks could begin a step with the old map while
+// another member receives a new map for this step. The promise is given only
+// for a step beyond every step limit sent to the engine, limits do not reach
+// the step while the activation is pending, and no member is released before
 // all have promised.
 func (m *Member) hold(o Hold) error {
 	switch {
 	case m.pending != Name{} && m.pending != o.Name:
 		return result.Newf(result.Conflict, "holding for step %d", m.pending.Step)
-	case !m.joined && !m.orphan():
+	case !m.joined && !m.noPeerJoined():
 		return result.New(result.MapMissing, "the member is joining its group")
-	case !m.sees(o.View):
+	case !m.viewMatches(o.View):
 		return result.New(result.StaleFencing, "a member has restarted since")
-	case m.pending == o.Name || m.inForce(o.Name):
+	case m.pending == o.Name || m.isActive(o.Name):
 		return nil
-	case m.granted >= o.Name.Step || m.engine.Begun >= o.Name.Step:
-		return result.Newf(result.Conflict, "the ranks may run up to step %d", m.granted)
-	case m.engineBeyond(o.Name):
+	case m.stepLimit >= o.Name.Step || m.engine.Begun >= o.Name.Step:
+		return result.Newf(result.Conflict, "the ranks may run up to step %d", m.stepLimit)
+	case m.engineHasLaterEntry(o.Name):
 		return result.New(result.Conflict, "the ranks have a later name ahead of them")
 	case !m.engineStaged(o.Name.Map):
 		return result.Newf(result.MapMissing, "version %d", o.Name.Map.Version)
@@ -113,96 +119,101 @@
 	return nil
 }
 
-// release puts the name in force that the member holds for.
+// release schedules the activation that the member holds.
 func (m *Member) release(o Release) error {
-	if m.inForce(o.Name) {
+	if m.isActive(o.Name) {
 		return nil
 	}
 	if m.pending != o.Name {
 		return result.Newf(result.Conflict, "not holding for step %d", o.Name.Step)
 	}
-	if !m.sees(o.View) {
+	if !m.viewMatches(o.View) {
 		return result.New(result.StaleFencing, "a member has restarted since")
 	}
 	m.pending = Name{}
 	m.joined = true
-	m.append(Entry{From: o.Name.Step, Map: o.Name.Map})
+	m.addEntry(Entry{From: o.Name.Step, Map: o.Name.Map})
 	return nil
 }
 
-func (m *Member) abandon(n Name) {
-	if m.pending == n {
+func (m *Member) abandon(a Name) {
+	if m.pending == a {
 		m.pending = Name{}
 	}
 }
 
-func (m *Member) append(e Entry) {
+func (m *Member) addEntry(e Entry) {
 	m.schedule = append(m.schedule, e)
-	if len(m.schedule) > keptEntries {
-		m.schedule = m.schedule[len(m.schedule)-keptEntries:]
+	if len(m.schedule) > maxEntries {
+		m.schedule = m.schedule[len(m.schedule)-maxEntries:]
 	}
-	m.forget()
+	m.evictMaps()
 }
 
-// sees reports whether the view names the incarnations that the member knows.
-func (m *Member) sees(view []uint64) bool {
-	if len(view) != len(m.view) {
+// viewMatches reports whether a leader's view has exactly the incarnations that
+// this member knows.
+func (m *Member) viewMatches(view []uint64) bool {
+	if len(view) != len(m.incarnations) {
 		return false
 	}
 	for i, v := range view {
-		if v != m.view[i] {
+		if v != m.incarnations[i] {
 			return false
 		}
 	}
 	return true
 }
 
-// engineBeyond reports whether the ranks have another entry for the name's step
-// or a later one, as ranks may whose agent has lost its memory.
-func (m *Member) engineBeyond(n Name) bool {
-	own := Entry{From: n.Step, Map: n.Map}
+// engineHasLaterEntry reports whether the ranks have another entry for the
+// activation's step or a later one. This happens if the agent has restarted and
+// forgotten what it told its ranks.
+func (m *Member) engineHasLaterEntry(a Name) bool {
+	entry := Entry{From: a.Step, Map: a.Map}
 	for _, e := range m.engine.Schedule {
-		if e.From >= n.Step && e != own {
+		if e.From >= a.Step && e != entry {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *Member) inForce(n Name) bool {
-	return scheduled(m.schedule, Entry{From: n.Step, Map: n.Map})
+func (m *Member) isActive(a Name) bool {
+	return containsEntry(m.schedule, Entry{From: a.Step, Map: a.Map})
 }
 
-// Map returns the map that the reference names if the member has it.
+// Map returns the map with the given reference, and false if the member does
+// not have it.
 func (m *Member) Map(r Ref) (*expertmap.Map, bool) {
-	for _, e := range m.maps {
-		if RefOf(e) == r {
-			return e, true
+	for _, em := range m.maps {
+		if RefOf(em) == r {
+			return em, true
 		}
 	}
 	return nil, false
 }
 
-// keptMaps bounds the maps in memory: those of the schedule, of a pending name
-// and one that is being staged, and one more for a leader that changed its mind.
-const keptMaps = keptEntries + 3
+// maxMaps is the number of maps kept in memory: those of the schedule, of the
+// pending activation and of one being staged, and one more for a leader that
+// replaces its proposed map.
+const maxMaps = maxEntries + 3
 
-// keep makes e the map that came last.
-func (m *Member) keep(e *expertmap.Map) {
-	kept := m.maps[:0]
-	for _, o := range m.maps {
-		if RefOf(o) != RefOf(e) {
-			kept = append(kept, o)
+// storeMap stores em as the most recent map.
+func (m *Member) storeMap(em *expertmap.Map) {
+	others := m.maps[:0]
+	for _, other := range m.maps {
+		if RefOf(other) != RefOf(em) {
+			others = append(others, other)
 		}
 	}
-	m.maps = append(kept, e)
-	m.forget()
+	m.maps = append(others, em)
+	m.evictMaps()
 }
 
-// forget drops the maps kept longest that are neither scheduled nor pending.
-func (m *Member) forget() {
-	for i := 0; i < len(m.maps) && len(m.maps) > keptMaps; {
-		if m.needs(RefOf(m.maps[i])) {
+// evictMaps removes the oldest maps that are neither scheduled nor pending,
+// down to maxMaps.
+func (m *Member) evictMaps() {
+	for i := 0; i < len(m.maps) && len(m.maps) > maxMaps; {
+		if m.requires(RefOf(m.maps[i])) {
 			i++
 			continue
 		}
@@ -210,7 +221,7 @@
 	}
 }
 
-func (m *Member) needs(r Ref) bool {
+func (m *Member) requires(r Ref) bool {
 	if m.pending.Map == r {
 		return true
 	}
@@ -222,19 +233,19 @@
 	return false
 }
 
-// State returns what the member says of itself.
+// State returns the member's present state under the next sequence number.
 func (m *Member) State() State {
 	m.init()
-	m.number++
+	m.sequence++
 	s := State{
 		Member:      m.Index,
 		Incarnation: m.Incarnation,
-		Number:      m.number,
-		Fence:       m.fence,
+		Number:      m.sequence,
+		Fence:       m.maxToken,
 		Joined:      m.joined,
-		Orphan:      !m.joined && m.orphan(),
+		Orphan:      !m.joined && m.noPeerJoined(),
 		Begun:       m.engine.Begun,
-		Granted:     m.granted,
+		Granted:     m.stepLimit,
 		Schedule:    append([]Entry(nil), m.schedule...),
 		Pending:     m.pending,
 	}
@@ -246,12 +257,12 @@
 	return s
 }
 
-// Needed returns the maps of the schedule and of the pending name, which a
-// leader may have to stage again.
+// Needed returns the maps of the schedule and of the pending activation, which
+// a leader may have to stage again.
 func (m *Member) Needed() []*expertmap.Map {
 	var out []*expertmap.Map
 	for _, e := range m.maps {
-		if m.needs(RefOf(e)) {
+		if m.requires(RefOf(e)) {
 			out = append(out, e)
 		}
 	}
--- a/internal/rank/naming/message.go
+++ b/internal/rank/naming/message.go
@@ -2,45 +2,46 @@
 
 import "github.com/hyssoprelay/hyssoprelay/internal/rank/expertmap"
 
-// Head is what each order to a member carries.
+// Head is the header of every order to a member.
 type Head struct {
 	// Token is the fencing token of the leader.
 	Token uint64
-	// Incarnation is the incarnation of the member that the order is for.
+	// Incarnation is the incarnation of the member that the order is meant for.
 	Incarnation uint64
 }
 
-// Order is a message from the leader to a member. Each is idempotent, and the
-// member answers each with its State, from which the leader sees whether it
+// Order is a message from the leader to a member. Orders are idempotent. The
+// member answers each with its State, which shows the leader whether the order
 // was obeyed.
 type Order interface{ head() Head }
 
-// Query asks for the member's state and lets it refuse older tokens from now
-// on. It is meant for any incarnation.
+// Query asks for the member's state and makes it refuse older tokens from now
+// on. It applies to any incarnation.
 type Query struct{ Head }
 
-// Stage gives the member a map to keep ready.
+// Stage gives the member a map for its engine to load.
 type Stage struct {
 	Head
 	Map *expertmap.Map
 }
 
-// Hold asks the member not to let its ranks begin the name's step.
+// Hold asks the member not to let its ranks begin the activation's step.
 type Hold struct {
 	Head
 	Name Name
-	// View holds the incarnation of each member that the leader counts on.
+	// View holds the incarnation of each member that the leader relies on.
 	View []uint64
 }
 
-// Release puts a committed name in force, which all members of View hold.
+// Release puts a committed activation, which all members hold, into effect.
+// View is that of Hold.
 type Release struct {
 	Head
 	Name Name
 	View []uint64
 }
 
-// Abandon ends the hold for a name that will not be released.
+// Abandon ends the hold of an activation that will not be released.
 type Abandon struct {
 	Head
 	Name Name
@@ -52,70 +53,70 @@
 func (r Release) head() Head { return r.Head }
 func (a Abandon) head() Head { return a.Head }
 
-// State is what a member says of itself.
+// State is a member's report about itself.
 type State struct {
 	Member      int
 	Incarnation uint64
-	// Number grows with each state of an incarnation, so that a late one is
-	// known as such.
+	// Number increases with each state of an incarnation, so that a delayed
+	// state is recognised.
 	Number uint64
 	// Fence is the highest fencing token that the member has seen.
 	Fence uint64
-	// Joined says that the member knows what its group runs on. Orphan says
-	// that it does not, and that no peer that answered does.
+	// Joined is set once the member knows its group's schedule. Orphan is set
+	// if it does not and all peers have replied that they do not either.
 	Joined, Orphan bool
 	// Begun is the last step that the ranks are known to have begun.
 	Begun uint64
-	// Granted is the last step that the ranks may begin without asking.
+	// Granted is the last step that the ranks may have been allowed to begin.
 	Granted uint64
-	// Schedule holds the names in force, oldest first.
+	// Schedule holds the released activations, oldest first.
 	Schedule []Entry
-	// Pending is the name that the member holds for, or the zero Name.
+	// Pending is the activation that the member holds, or the zero Name.
 	Pending Name
-	// Staged lists the maps that the engine keeps ready.
+	// Staged lists the maps that are loaded in the engine and known to the
+	// member.
 	Staged []Ref
 }
 
-// newer reports whether s was said after o by the same member.
-func (s State) newer(o State) bool {
-	if s.Incarnation != o.Incarnation {
-		return s.Incarnation > o.Incarnation
+// newer reports whether s was reported after other by the same member.
+func (s State) newer(other State) bool {
+	if s.Incarnation != other.Incarnation {
+		return s.Incarnation > other.Incarnation
 	}
-	return s.Number > o.Number
+	return s.Number > other.Number
 }
 
-func (s State) staged(r Ref) bool {
-	for _, o := range s.Staged {
-		if o == r {
+func (s State) hasStaged(r Ref) bool {
+	for _, staged := range s.Staged {
+		if staged == r {
 			return true
 		}
 	}
 	return false
 }
 
-func (s State) inForce(n Name) bool {
-	return scheduled(s.Schedule, Entry{From: n.Step, Map: n.Map})
+func (s State) isActive(a Name) bool {
+	return containsEntry(s.Schedule, Entry{From: a.Step, Map: a.Map})
 }
 
-// passed reports whether the ranks may already begin the name's step.
-func (s State) passed(n Name) bool {
-	return s.Granted >= n.Step || s.Begun >= n.Step
+// mayBegin reports whether the ranks may already begin the activation's step.
+func (s State) mayBegin(a Name) bool {
+	return s.Granted >= a.Step || s.Begun >= a.Step
 }
 
-// Join is the question of a member that has started to a peer.
+// Join asks a peer for the group's state after a start of the sender.
 type Join struct {
 	Member      int
 	Incarnation uint64
 }
 
-// Joining is the answer to Join.
+// Joining is the reply to Join.
 type Joining struct {
-	// To is the incarnation that asked.
+	// To is the incarnation that sent the Join.
 	To uint64
-	// Noted is the highest incarnation of the asking member that the peer
-	// has seen.
+	// Noted is the highest incarnation of the sender that the peer has seen.
 	Noted uint64
 	State State
-	// Maps holds the maps of the schedule and of the pending name.
+	// Maps holds the maps of the schedule and of the pending activation.
 	Maps []*expertmap.Map
 }
--- a/internal/rank/naming/name.go
+++ b/internal/rank/naming/name.go
@@ -2,8 +2,8 @@
 
 import "github.com/hyssoprelay/hyssoprelay/internal/rank/expertmap"
 
-// Ref names the content of an expert map. The digest keeps maps apart that two
-// leaders have made under one version.
+// Ref identifies an expert map by version and content. The digest tells apart
+// maps that two leaders made under the same version.
 type Ref struct {
 	Version uint64
 	Digest  uint64
@@ -14,36 +14,38 @@
 	return Ref{Version: m.Version(), Digest: m.Digest()}
 }
 
-// Name says from which step a map holds. The zero Name names nothing.
+// Name is an activation: a map and the first step that uses it. The zero Name
+// means no activation.
 type Name struct {
-	// Token is the fencing token of the leader that chose the name.
+	// Token is the fencing token of the leader that chose the step.
 	Token uint64
 	// Step is the first step that uses the map.
 	Step uint64
 	Map  Ref
 }
 
-// Record is what a group keeps in the platform's key-value service.
+// Record is the state of a group in the platform's key-value service.
 type Record struct {
 	// Token is the fencing token of the leader that wrote last.
 	Token uint64
-	// Name is the name that was committed last.
+	// Name is the last committed activation.
 	Name Name
 }
 
-// Entry says that a map holds from a step on.
+// Entry is an entry of a schedule: a map and the first step that uses it.
 type Entry struct {
 	From uint64
 	Map  Ref
 }
 
-// keptEntries is how many entries of the schedule are kept. Members are at most
-// a step apart and a name needs all of them beyond the last one's step, so no
-// rank needs more than the entry in force and the one before.
-const keptEntries = 2
+// maxEntries is the number of schedule entries kept. Members are at most one
+// step apart, and an activation requires that all of them have passed the step
+// of the one before, so a rank needs no more than the entry in use and its
+// predecessor.
+const maxEntries = 2
 
-// MapAt returns the map for a step, and false when there is none. Entries may
-// come in any order.
+// MapAt returns the map that a schedule has for a step, and false if it has
+// none. The entries may be in any order.
 func MapAt(schedule []Entry, step uint64) (Ref, bool) {
 	best, found := Entry{}, false
 	for _, e := range schedule {
@@ -54,8 +56,7 @@
 	return best.Map, found
 }
 
-// After returns the entries of a schedule that hold from a later step than the
-// given one.
+// After returns the entries of a schedule that begin later than the given step.
 func After(schedule []Entry, step uint64) []Entry {
 	var out []Entry
 	for _, e := range schedule {
@@ -66,17 +67,17 @@
 	return out
 }
 
-// latest returns the newest entry of a schedule, or the zero Entry.
-func latest(schedule []Entry) Entry {
+// latestEntry returns the newest entry of a schedule, or the zero Entry.
+func latestEntry(schedule []Entry) Entry {
 	if len(schedule) == 0 {
 		return Entry{}
 	}
 	return schedule[len(schedule)-1]
 }
 
-func scheduled(schedule []Entry, e Entry) bool {
-	for _, o := range schedule {
-		if o == e {
+func containsEntry(schedule []Entry, e Entry) bool {
+	for _, other := range schedule {
+		if other == e {
 			return true
 		}
 	}
--- a/internal/rank/naming/rig_test.go
+++ b/internal/rank/naming/rig_test.go
@@ -5,117 +5,118 @@
 	"time"
 )
 
-// rig is a group of two without faults of its own: messages arrive at once
-// unless a test holds them back.
-type rig struct {
-	*world
+// testGroup is a group of two members without random faults. Messages are
+// delivered at once unless a test holds them back.
+type testGroup struct {
+	*simulation
 	t *testing.T
-	// back holds the orders that a test held back.
-	back []Send
+	// heldBack holds the orders that a test held back.
+	heldBack []Send
 }
 
-func newRig(t *testing.T) *rig {
+func newTestGroup(t *testing.T) *testGroup {
 	t.Helper()
-	r := &rig{world: newWorld(1, 2), t: t}
-	r.faults = false
-	r.run(5)
-	return r
+	g := &testGroup{simulation: newSimulation(1, 2), t: t}
+	g.faults = false
+	g.runMembers(5)
+	return g
 }
 
-// run lets members and ranks go on, without leaders.
-func (r *rig) run(ticks int) {
+// runMembers advances members and ranks by some ticks, without leaders.
+func (g *testGroup) runMembers(ticks int) {
 	for range ticks {
-		for i, m := range r.members {
-			for _, o := range m.Tick(r.engines[i].EngineState) {
-				r.engines[i].order(o)
+		for i, m := range g.members {
+			for _, o := range m.Tick(g.engines[i].EngineState) {
+				g.engines[i].apply(o)
 			}
 			if j, ask := m.Joins(); ask {
-				m.HandleJoining(r.members[1-i].HandleJoin(j))
+				m.HandleJoining(g.members[1-i].HandleJoin(j))
 			}
 		}
-		for i := range r.members {
-			r.begin(i)
+		for i := range g.members {
+			g.startStep(i)
 		}
 	}
 }
 
-func (r *rig) leader(token uint64) *Leader {
+func (g *testGroup) leader(token uint64) *Leader {
 	l := &Leader{
 		Members: 2, Token: token, Resend: tick, Refresh: tick, HoldTime: 10 * tick, Margin: 8,
 	}
-	l.Extend(r.now.Add(time.Hour))
+	l.Extend(g.now.Add(time.Hour))
 	return l
 }
 
-// drive lets a leader act for some ticks. Orders for which back holds are not
-// sent but kept, and so is a write when late is set.
-func (r *rig) drive(l *Leader, ticks int, back func(Send) bool, write func(WriteRecord) WriteOutcome) {
+// runLeader advances a leader, the members and the ranks by some ticks. Orders
+// for which holdBack returns true are kept in heldBack. Writes of the record
+// are passed to write.
+func (g *testGroup) runLeader(l *Leader, ticks int, holdBack func(Send) bool, write func(WriteRecord) WriteOutcome) {
 	for range ticks {
-		r.now = r.now.Add(tick)
-		for _, a := range l.Step(r.now) {
+		g.now = g.now.Add(tick)
+		for _, a := range l.Step(g.now) {
 			switch a := a.(type) {
 			case ReadRecord:
-				l.HandleRecord(r.kv.record, r.kv.revision, !r.kv.down)
+				l.HandleRecord(g.kv.record, g.kv.revision, !g.kv.down)
 			case WriteRecord:
 				l.HandleWritten(write(a))
 			case Send:
-				if back != nil && back(a) {
-					r.back = append(r.back, a)
+				if holdBack != nil && holdBack(a) {
+					g.heldBack = append(g.heldBack, a)
 				} else {
-					l.HandleState(r.give(a), r.now)
+					l.HandleState(g.deliver(a), g.now)
 				}
 			}
 		}
-		r.run(1)
+		g.runMembers(1)
 	}
 }
 
-func (r *rig) give(s Send) State {
-	state, _ := r.members[s.To].Handle(s.Order)
+func (g *testGroup) deliver(s Send) State {
+	state, _ := g.members[s.To].Handle(s.Order)
 	return state
 }
 
-// deliver gives all orders that were held back.
-func (r *rig) deliver() {
-	for _, s := range r.back {
-		r.give(s)
+// deliverHeldBack delivers all orders that were held back.
+func (g *testGroup) deliverHeldBack() {
+	for _, s := range g.heldBack {
+		g.deliver(s)
 	}
-	r.back = nil
+	g.heldBack = nil
 }
 
-func (r *rig) write(w WriteRecord) WriteOutcome {
-	if w.Revision != r.kv.revision {
+func (g *testGroup) writeRecord(w WriteRecord) WriteOutcome {
+	if w.Revision != g.kv.revision {
 		return NotWritten
 	}
-	r.kv.record = w.Record
-	r.kv.revision++
+	g.kv.record = w.Record
+	g.kv.revision++
 	return Written
 }
 
-// begun brings version 1 into force and returns the group and its leader.
-func begun(t *testing.T) (*rig, *Leader) {
+// newActiveGroup returns a group in which version 1 is active, and its leader.
+func newActiveGroup(t *testing.T) (*testGroup, *Leader) {
 	t.Helper()
-	r := newRig(t)
-	a := r.leader(1)
+	g := newTestGroup(t)
+	a := g.leader(1)
 	a.Propose(testMap(1))
-	r.drive(a, 40, nil, r.write)
-	r.assertInForce(1)
-	return r, a
+	g.runLeader(a, 40, nil, g.writeRecord)
+	g.assertActiveVersion(1)
+	return g, a
 }
 
-func (r *rig) assertInForce(version uint64) {
-	r.t.Helper()
-	for i, m := range r.members {
-		if got := latest(m.State().Schedule).Map.Version; got != version {
-			r.t.Fatalf("member %d runs on version %d, want %d", i, got, version)
+func (g *testGroup) assertActiveVersion(version uint64) {
+	g.t.Helper()
+	for i, m := range g.members {
+		if got := latestEntry(m.State().Schedule).Map.Version; got != version {
+			g.t.Fatalf("member %d uses version %d, want %d", i, got, version)
 		}
 	}
 }
 
-func (r *rig) assertOneMap() {
-	r.t.Helper()
-	for _, v := range r.violations {
-		r.t.Error(v)
+func (g *testGroup) assertOneMap() {
+	g.t.Helper()
+	for _, v := range g.violations {
+		g.t.Error(v)
 	}
 }
 
--- a/internal/rank/naming/schedule_test.go
+++ b/internal/rank/naming/schedule_test.go
@@ -5,65 +5,69 @@
 )
 
 const (
-	schedules    = 400
-	faultyTicks  = 3000
-	healthyTicks = 600
+	scheduleCount = 400
+	faultyTicks   = 3000
+	healthyTicks  = 600
 )
 
-func assertOneMap(t *testing.T, w *world, seed int64) {
+func assertOneMap(t *testing.T, s *simulation, seed int64) {
 	t.Helper()
-	if len(w.violations) > 0 {
-		t.Errorf("seed %d: %d violations, first: %s", seed, len(w.violations), w.violations[0])
+	if len(s.violations) > 0 {
+		t.Errorf("seed %d: %d violations, first: %s", seed, len(s.violations), s.violations[0])
 	}
 }
 
-// TestOneMapInEachStep: callers would see garbled answers when ranks of a group
-// compute a step by different expert maps. Messages are lost, late and doubled,
-// leaders pause and wake with a lapsed lease, ranks and agents restart, one or
-// all, and the platform is down or loses its answers. No step may have two
-// maps, and once the faults end a proposed map gets in force.
+// TestOneMapInEachStep guards against ranks of a group that compute one step
+// with different expert maps, which garbles answers. Messages are lost, delayed
+// and duplicated, leaders pause and wake with a lapsed lease, ranks and agents
+// restart, one or all, and the platform is down or loses its replies. No step
+// may have two maps, and after the faults end a proposed map must become
+// active.
 func TestOneMapInEachStep(t *testing.T) {
-	named, steps := 0, uint64(0)
-	for seed := range int64(schedules) {
-		w := newWorld(seed, 2+int(seed%3))
+	activated, steps := 0, uint64(0)
+	for seed := range int64(scheduleCount) {
+		s := newSimulation(seed, 2+int(seed%3))
 		for range faultyTicks {
-			w.step()
+			s.step()
 		}
-		assertOneMap(t, w, seed)
-		w.faults, w.kv.down, w.kv.lossy = false, false, false
-		before := w.newest()
+		assertOneMap(t, s, seed)
+		s.faults, s.kv.down, s.kv.loseReplies = false, false, false
+		before := s.oldestLatestStep()
 		for range healthyTicks {
-			w.step()
+			s.step()
 		}
-		assertOneMap(t, w, seed)
-		after := w.newest()
+		assertOneMap(t, s, seed)
+		after := s.oldestLatestStep()
 		if after <= before {
-			t.Errorf("seed %d: no map got in force after the faults", seed)
+			t.Errorf("seed %d: no map became active after the faults", seed)
 		}
-		named += w.distinct()
-		steps += w.engines[0].Begun
+		activated += s.distinctMaps()
+		steps += s.engines[0].Begun
 		if t.Failed() {
 			return
 		}
 	}
-	t.Logf("%d schedules, %d maps in force, %d steps", schedules, named, steps)
+	t.Logf("%d schedules, %d maps activated, %d steps", scheduleCount, activated, steps)
 }
 
-func (w *world) newest() uint64 {
-	newest := uint64(0)
-	for i, e := range w.engines {
-		v := latest(e.Schedule).From
-		if i == 0 || v < newest {
-			newest = v
+// oldestLatestStep returns the lowest first step among the engines' newest
+// entries.
+func (s *simulation) oldestLatestStep() uint64 {
+	oldest := uint64(0)
+	for i, e := range s.engines {
+		v := latestEntry(e.Schedule).From
+		if i == 0 || v < oldest {
+			oldest = v
 		}
 	}
-	return newest
+	return oldest
 }
 
-func (w *world) distinct() int {
+// distinctMaps returns the number of maps used in any step.
+func (s *simulation) distinctMaps() int {
 	seen := map[Ref]bool{}
-	for _, e := range w.engines {
-		for _, r := range e.ran {
+	for _, e := range s.engines {
+		for _, r := range e.mapOfStep {
 			seen[r] = true
 		}
 	}
--- a/internal/rank/naming/tick.go
+++ b/internal/rank/naming/tick.go
@@ -1,8 +1,8 @@
 package naming
 
-// Tick takes what the engine says of itself and returns the orders that bring
-// it to what the member wants. It compares anew on each call, so orders whose
-// answer was lost are sent again.
+// Tick processes the engine's state and returns the orders that bring it to the
+// state that the member requires. It compares the two on each call, so orders
+// whose answer was lost are sent again.
 func (m *Member) Tick(e EngineState) []EngineOrder {
 	m.init()
 	m.observe(e)
@@ -19,32 +19,32 @@
 	return m.allowOrders()
 }
 
-// observe notes the engine's state. The first one tells which bound an agent
-// before this one has handed out.
+// observe records the engine's state. The first state shows the step limit that
+// a previous agent set.
 func (m *Member) observe(e EngineState) {
 	if m.engine.Incarnation != 0 && m.engine.Incarnation != e.Incarnation {
 		m.reset(m.Incarnation + 1)
 	}
 	m.engine = e
-	m.granted = max(m.granted, e.Allowed)
+	m.stepLimit = max(m.stepLimit, e.Allowed)
 }
 
-// stageOrders gives the engine the maps in use, the pending name's and the one
-// that came last. Others it may have dropped, and would load their weights for
-// nothing.
+// stageOrders gives the engine the maps in use, that of the pending activation
+// and the most recent one. The engine may have dropped others, and would load
+// their weights needlessly.
 func (m *Member) stageOrders() []EngineOrder {
 	var orders []EngineOrder
-	for i, e := range m.maps {
-		r := RefOf(e)
-		if (i == len(m.maps)-1 || m.uses(r)) && !m.engineStaged(r) {
-			orders = append(orders, EngineStage{Map: e})
+	for i, em := range m.maps {
+		r := RefOf(em)
+		if (i == len(m.maps)-1 || m.usesMap(r)) && !m.engineStaged(r) {
+			orders = append(orders, EngineStage{Map: em})
 		}
 	}
 	return orders
 }
 
-func (m *Member) uses(r Ref) bool {
-	for _, e := range m.inUse() {
+func (m *Member) usesMap(r Ref) bool {
+	for _, e := range m.entriesInUse() {
 		if e.Map == r {
 			return true
 		}
@@ -52,9 +52,9 @@
 	return m.pending.Map == r
 }
 
-// inUse returns the entries of the schedule that the ranks' next step or a later
-// one uses.
-func (m *Member) inUse() []Entry {
+// entriesInUse returns the entries of the schedule that apply to the ranks'
+// next step or a later one.
+func (m *Member) entriesInUse() []Entry {
 	for i := len(m.schedule) - 1; i > 0; i-- {
 		if m.schedule[i].From <= m.engine.Begun+1 {
 			return m.schedule[i:]
@@ -64,29 +64,29 @@
 }
 
 func (m *Member) engineStaged(r Ref) bool {
-	for _, o := range m.engine.Staged {
-		if o == r {
+	for _, staged := range m.engine.Staged {
+		if staged == r {
 			return true
 		}
 	}
 	return false
 }
 
-// activateOrders gives the engine the entries in use that it lacks, one after the
-// other and the newest first.
+// activateOrders gives the engine the entries in use that it lacks, one at a
+// time and the newest first.
 //
-// Failure: ranks that restarted are given an old entry and a bound that was set
-// before, and begin a step of the newer entry with the old map. It shows as two
-// maps in this step. With the newest entry first, steps before it have no map,
-// and the ranks wait there until the older entry comes.
+// Restarted ranks may receive an old entry together with a step limit that was
+// set before, and would begin a step of the newer entry with the old map. With
+// the newest entry first, earlier steps have no map, and the ranks wait until
+// they receive the older entry.
 //
-// The ranks restart at the oldest entry when it leaves out their next step: that
-// is so only after all members have lost their maps together.
+// The ranks restart at the oldest entry if it begins after their next step.
+// This happens only if all members have lost their maps at the same time.
 func (m *Member) activateOrders() []EngineOrder {
-	entries := m.inUse()
+	entries := m.entriesInUse()
 	for i := len(entries) - 1; i >= 0; i-- {
 		e := entries[i]
-		if !scheduled(m.engine.Schedule, e) {
+		if !containsEntry(m.engine.Schedule, e) {
 			restart := i == 0 && e.From > m.engine.Begun+1
 			return []EngineOrder{EngineActivate{Entry: e, Restart: restart}}
 		}
@@ -94,25 +94,25 @@
 	return nil
 }
 
-// allowOrders extends the engine's bound once the engine has all maps of the
-// schedule, up to Lookahead steps beyond the last begun and never to the step
-// of a pending name. See hold for the failure that this guards against.
+// allowOrders raises the engine's step limit once the engine has all maps of
+// the schedule, to at most Lookahead steps beyond the last one begun and never
+// to the step of a pending activation (see hold).
 //
-// Load: ranks that begin a step each ten or twenty milliseconds. Harm
-// prevented: a bound too near stops the group between two ticks; one too far
-// delays a new map by as many steps. The bound is extended when half of it is
-// used, so that an order is sent every Lookahead/2 steps and not each tick.
+// Ranks begin a step every 10 to 20 ms. If the limit is too close, the group
+// stops between two ticks; if it is too far, a new map is delayed by as many
+// steps. The limit is raised once half of it is used, so that an order is sent
+// every Lookahead/2 steps and not on each tick.
 func (m *Member) allowOrders() []EngineOrder {
-	to := m.engine.Begun + m.Lookahead
+	limit := m.engine.Begun + m.Lookahead
 	if m.pending != (Name{}) {
-		to = min(to, m.pending.Step-1)
+		limit = min(limit, m.pending.Step-1)
 	}
-	if to <= m.engine.Allowed {
+	if limit <= m.engine.Allowed {
 		return nil
 	}
 	if m.engine.Allowed > m.engine.Begun+m.Lookahead/2 {
 		return nil
 	}
-	m.granted = max(m.granted, to)
-	return []EngineOrder{EngineAllow{Step: to}}
+	m.stepLimit = max(m.stepLimit, limit)
+	return []EngineOrder{EngineAllow{Step: limit}}
 }
--- a/internal/rank/naming/world_test.go
+++ b/internal/rank/naming/world_test.go
@@ -8,243 +8,246 @@
 
 const (
 	tick = 10 * time.Millisecond
-	// drain is how many ticks a message may be late, and how long an agent that
-	// starts waits for the orders of the one before.
-	drain = 60
+	// maxDelayTicks is the longest delay of a message, and the least time for
+	// which a restarted agent is down, so that it receives no orders sent to
+	// its predecessor.
+	maxDelayTicks = 60
 )
 
-// event is something that happens at a later tick.
+// event is a callback scheduled for a later tick.
 type event struct {
 	at  int
 	run func()
 }
 
-// candidate is the leader's part of an agent.
+// candidate is the leader role of an agent.
 type candidate struct {
-	leader *Leader
-	paused int
-	next   uint64
+	leader      *Leader
+	pausedUntil int
+	proposals   uint64
 }
 
-// world is a group under a seeded schedule of faults.
-type world struct {
+// simulation is a group under random faults, determined by a seed.
+type simulation struct {
 	rng        *rand.Rand
 	n          int
 	now        time.Time
 	tick       int
 	members    []*Member
 	engines    []*fakeEngine
-	down       []int
-	leads      []*candidate
+	downUntil  []int
+	candidates []*candidate
 	kv         fakeKV
 	events     []event
 	faults     bool
 	violations []string
 }
 
-func newWorld(seed int64, n int) *world {
-	w := &world{rng: rand.New(rand.NewSource(seed)), n: n, now: time.Unix(1000, 0), faults: true}
-	w.kv.holder = -1
+func newSimulation(seed int64, n int) *simulation {
+	s := &simulation{rng: rand.New(rand.NewSource(seed)), n: n, now: time.Unix(1000, 0), faults: true}
+	s.kv.holder = -1
 	for i := range n {
-		w.engines = append(w.engines, &fakeEngine{EngineState: EngineState{Incarnation: 1}, ran: map[uint64]Ref{}})
-		w.members = append(w.members, w.newMember(i, 1))
-		w.leads = append(w.leads, &candidate{})
-		w.down = append(w.down, 0)
+		s.engines = append(s.engines, &fakeEngine{EngineState: EngineState{Incarnation: 1}, mapOfStep: map[uint64]Ref{}})
+		s.members = append(s.members, s.newMember(i, 1))
+		s.candidates = append(s.candidates, &candidate{})
+		s.downUntil = append(s.downUntil, 0)
 	}
-	return w
+	return s
 }
 
-func (w *world) newMember(i int, incarnation uint64) *Member {
-	return &Member{Index: i, Members: w.n, Incarnation: incarnation, Lookahead: 8}
+func (s *simulation) newMember(i int, incarnation uint64) *Member {
+	return &Member{Index: i, Members: s.n, Incarnation: incarnation, Lookahead: 8}
 }
 
-func (w *world) chance(p float64) bool { return w.faults && w.rng.Float64() < p }
+func (s *simulation) chance(p float64) bool { return s.faults && s.rng.Float64() < p }
 
-// send lets f happen later, perhaps twice or never.
-func (w *world) send(f func()) {
+// send schedules f for a later tick. With faults it may run twice or not at
+// all.
+func (s *simulation) send(f func()) {
 	copies := 1
-	if w.chance(0.1) {
-		copies = w.rng.Intn(3)
+	if s.chance(0.1) {
+		copies = s.rng.Intn(3)
 	}
 	for range copies {
 		delay := 1
-		if w.chance(0.2) {
-			delay += w.rng.Intn(drain - 1)
+		if s.chance(0.2) {
+			delay += s.rng.Intn(maxDelayTicks - 1)
 		}
-		w.events = append(w.events, event{at: w.tick + delay, run: f})
+		s.events = append(s.events, event{at: s.tick + delay, run: f})
 	}
 }
 
-func (w *world) step() {
-	w.tick++
-	w.now = w.now.Add(tick)
-	if w.faults {
-		w.fault()
+func (s *simulation) step() {
+	s.tick++
+	s.now = s.now.Add(tick)
+	if s.faults {
+		s.injectFault()
 	}
-	due := w.events
-	w.events = nil
+	due := s.events
+	s.events = nil
 	for _, e := range due {
-		if e.at <= w.tick {
+		if e.at <= s.tick {
 			e.run()
 		} else {
-			w.events = append(w.events, e)
+			s.events = append(s.events, e)
 		}
 	}
-	for i := range w.n {
-		w.stepMember(i)
-		w.stepLeader(i)
+	for i := range s.n {
+		s.stepMember(i)
+		s.stepLeader(i)
 	}
-	for _, i := range w.rng.Perm(w.n) {
-		w.begin(i)
+	for _, i := range s.rng.Perm(s.n) {
+		s.startStep(i)
 	}
 }
 
-func (w *world) stepMember(i int) {
-	if w.tick < w.down[i] {
+func (s *simulation) stepMember(i int) {
+	if s.tick < s.downUntil[i] {
 		return
 	}
-	m, e := w.members[i], w.engines[i]
+	m, e := s.members[i], s.engines[i]
 	for _, o := range m.Tick(e.EngineState) {
-		w.orderEngine(e, o)
+		s.orderEngine(e, o)
 	}
-	if j, ask := m.Joins(); ask && w.tick%5 == 0 {
-		for p := range w.n {
+	if j, ask := m.Joins(); ask && s.tick%5 == 0 {
+		for p := range s.n {
 			if p != i {
-				w.send(func() { w.answerJoin(p, i, j) })
+				s.send(func() { s.answerJoin(p, i, j) })
 			}
 		}
 	}
 }
 
-// orderEngine lets an order take effect later. An order does not outlive the
-// connection to the ranks that it was sent to.
-func (w *world) orderEngine(e *fakeEngine, o EngineOrder) {
+// orderEngine delivers an order to the ranks later. It is lost if the ranks
+// restart before, because that ends their connection.
+func (s *simulation) orderEngine(e *fakeEngine, o EngineOrder) {
 	incarnation := e.Incarnation
-	w.send(func() {
+	s.send(func() {
 		if e.Incarnation == incarnation {
-			e.order(o)
+			e.apply(o)
 		}
 	})
 }
 
-func (w *world) answerJoin(p, i int, j Join) {
-	if w.tick < w.down[p] {
+func (s *simulation) answerJoin(p, i int, j Join) {
+	if s.tick < s.downUntil[p] {
 		return
 	}
-	a := w.members[p].HandleJoin(j)
-	w.send(func() { w.members[i].HandleJoining(a) })
+	reply := s.members[p].HandleJoin(j)
+	s.send(func() { s.members[i].HandleJoining(reply) })
 }
 
-func (w *world) stepLeader(i int) {
-	c := w.leads[i]
-	if w.tick < w.down[i] || w.tick < c.paused {
+func (s *simulation) stepLeader(i int) {
+	c := s.candidates[i]
+	if s.tick < s.downUntil[i] || s.tick < c.pausedUntil {
 		return
 	}
 	if c.leader == nil || c.leader.Deposed() {
-		w.acquire(i)
+		s.acquireLease(i)
 	}
 	if c.leader == nil {
 		return
 	}
-	w.renew(i)
-	for _, m := range w.members[i].maps {
+	s.renewLease(i)
+	for _, m := range s.members[i].maps {
 		c.leader.Learn(m)
 	}
-	if c.leader.Idle() && w.rng.Intn(20) == 0 {
-		c.next++
-		c.leader.Propose(testMap(c.leader.Token<<20 + c.next))
+	if c.leader.Idle() && s.rng.Intn(20) == 0 {
+		c.proposals++
+		c.leader.Propose(testMap(c.leader.Token<<20 + c.proposals))
 	}
-	for _, a := range c.leader.Step(w.now) {
-		w.act(i, a)
+	for _, a := range c.leader.Step(s.now) {
+		s.perform(i, a)
 	}
 }
 
 const leaseTime = 40 * tick
 
-func (w *world) acquire(i int) {
-	if w.kv.down || w.now.Before(w.kv.until) {
+func (s *simulation) acquireLease(i int) {
+	if s.kv.down || s.now.Before(s.kv.leaseUntil) {
 		return
 	}
-	w.kv.token++
-	w.kv.holder, w.kv.until = i, w.now.Add(leaseTime)
+	s.kv.token++
+	s.kv.holder, s.kv.leaseUntil = i, s.now.Add(leaseTime)
 	l := &Leader{
-		Members: w.n, Token: w.kv.token, Resend: 4 * tick, Refresh: 4 * tick, HoldTime: 60 * tick, Margin: 8,
+		Members: s.n, Token: s.kv.token, Resend: 4 * tick, Refresh: 4 * tick, HoldTime: 60 * tick, Margin: 8,
 	}
-	l.Extend(w.kv.until)
-	w.leads[i].leader = l
+	l.Extend(s.kv.leaseUntil)
+	s.candidates[i].leader = l
 }
 
-func (w *world) renew(i int) {
-	l := w.leads[i].leader
-	if w.kv.down || w.kv.token != l.Token || w.kv.holder != i || !w.now.Before(w.kv.until) {
-		if !w.kv.down && w.kv.token == l.Token && w.kv.holder == i {
-			w.acquire(i)
+func (s *simulation) renewLease(i int) {
+	l := s.candidates[i].leader
+	if s.kv.down || s.kv.token != l.Token || s.kv.holder != i || !s.now.Before(s.kv.leaseUntil) {
+		if !s.kv.down && s.kv.token == l.Token && s.kv.holder == i {
+			s.acquireLease(i)
 		}
 		return
 	}
-	w.kv.until = w.now.Add(leaseTime)
-	l.Extend(w.kv.until)
+	s.kv.leaseUntil = s.now.Add(leaseTime)
+	l.Extend(s.kv.leaseUntil)
 }
 
-func (w *world) act(i int, a Action) {
-	c := w.leads[i]
+func (s *simulation) perform(i int, a Action) {
+	c := s.candidates[i]
 	l := c.leader
 	switch a := a.(type) {
 	case Send:
-		w.send(func() {
-			if w.tick < w.down[a.To] {
+		s.send(func() {
+			if s.tick < s.downUntil[a.To] {
 				return
 			}
-			s, _ := w.members[a.To].Handle(a.Order)
-			w.send(func() { w.toLeader(i, l, func() { l.HandleState(s, w.now) }) })
+			state, _ := s.members[a.To].Handle(a.Order)
+			s.send(func() { s.deliverToLeader(i, l, func() { l.HandleState(state, s.now) }) })
 		})
 	case ReadRecord:
-		r, revision, ok := w.kv.record, w.kv.revision, !w.kv.down
-		w.sure(func() { w.toLeader(i, l, func() { l.HandleRecord(r, revision, ok) }) })
+		r, revision, ok := s.kv.record, s.kv.revision, !s.kv.down
+		s.sendOnce(func() { s.deliverToLeader(i, l, func() { l.HandleRecord(r, revision, ok) }) })
 	case WriteRecord:
-		w.sure(func() { w.cas(i, l, a) })
+		s.sendOnce(func() { s.compareAndSwap(i, l, a) })
 	}
 }
 
-// sure lets f happen later, once.
-func (w *world) sure(f func()) {
-	w.events = append(w.events, event{at: w.tick + 1 + w.rng.Intn(5), run: f})
+// sendOnce schedules f to run exactly once, at a later tick.
+func (s *simulation) sendOnce(f func()) {
+	s.events = append(s.events, event{at: s.tick + 1 + s.rng.Intn(5), run: f})
 }
 
-func (w *world) cas(i int, l *Leader, a WriteRecord) {
+func (s *simulation) compareAndSwap(i int, l *Leader, a WriteRecord) {
 	outcome := WriteUnknown
-	if !w.kv.down {
+	if !s.kv.down {
 		outcome = NotWritten
-		if a.Revision == w.kv.revision {
-			w.kv.record = a.Record
-			w.kv.revision++
+		if a.Revision == s.kv.revision {
+			s.kv.record = a.Record
+			s.kv.revision++
 			outcome = Written
 		}
-		if w.kv.lossy {
+		if s.kv.loseReplies {
 			outcome = WriteUnknown
 		}
 	}
-	w.sure(func() { w.toLeader(i, l, func() { l.HandleWritten(outcome) }) })
+	s.sendOnce(func() { s.deliverToLeader(i, l, func() { l.HandleWritten(outcome) }) })
 }
 
-// toLeader gives an answer to the leader that asked, when it is awake.
-func (w *world) toLeader(i int, l *Leader, f func()) {
-	c := w.leads[i]
+// deliverToLeader runs f if l still leads, as soon as it is not paused.
+func (s *simulation) deliverToLeader(i int, l *Leader, f func()) {
+	c := s.candidates[i]
 	if c.leader != l {
 		return
 	}
-	if w.tick < c.paused {
-		w.events = append(w.events, event{at: c.paused, run: func() { w.toLeader(i, l, f) }})
+	if s.tick < c.pausedUntil {
+		s.events = append(s.events, event{at: c.pausedUntil, run: func() { s.deliverToLeader(i, l, f) }})
 		return
 	}
 	f()
 }
 
-// begin lets ranks begin their next step when all have begun the one before.
-func (w *world) begin(i int) {
-	e := w.engines[i]
+// startStep lets ranks begin their next step once all have begun the previous
+// one, and records a violation if another endpoint used a different map for it.
+func (s *simulation) startStep(i int) {
+	e := s.engines[i]
 	next := e.Begun + 1
-	for _, o := range w.engines {
+	for _, o := range s.engines {
 		if o.Begun < e.Begun {
 			return
 		}
@@ -254,10 +257,10 @@
 		return
 	}
 	e.Begun = next
-	e.ran[next] = r
-	for j, o := range w.engines {
-		if other, ran := o.ran[next]; ran && other != r {
-			w.violations = append(w.violations, fmt.Sprintf("step %d: ranks of %d use version %d, of %d version %d", next, i, r.Version, j, other.Version))
+	e.mapOfStep[next] = r
+	for j, o := range s.engines {
+		if other, ran := o.mapOfStep[next]; ran && other != r {
+			s.violations = append(s.violations, fmt.Sprintf("step %d: ranks of member %d use version %d, those of member %d version %d", next, i, r.Version, j, other.Version))
 		}
 	}
 }
