--- a/internal/rank/evenmap/jumptable/run.go
+++ b/internal/rank/evenmap/jumptable/run.go
@@ -9,46 +9,47 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/rank/evenmap"
 )
 
-// leader is one way of keeping a set's placement.
-type leader interface{ leader() }
+// strategy is a way of updating a placement.
+type strategy interface{ isStrategy() }
 
 type (
-	// none keeps the placement that engines begin with.
-	none struct{}
-	// naive exchanges the hottest expert of the most loaded rank for the
-	// coldest of the least loaded one, then the same for the second, by what
-	// was counted last: what a first relay did.
+	// static keeps the placement that engines begin with.
+	static struct{}
+	// naive exchanges the most loaded expert of the most loaded rank for the
+	// least loaded one of the least loaded rank, then does the same for the
+	// next pairs, based on the last counts. The first relay did this.
 	naive struct{}
-	// afresh solves the whole placement anew by what was counted last.
-	afresh struct{}
-	// planned goes on from the present placement within the limits, by what
-	// was counted last.
+	// fromScratch computes a new placement from the last counts.
+	fromScratch struct{}
+	// planned improves the present placement within the limits, based on the
+	// last counts.
 	planned struct{}
-	// knowing knows the popularity and may copy at no cost: the bound.
-	knowing struct{}
+	// oracle knows the true popularity and copies at no cost. Its skew is the
+	// bound to which the other strategies are compared.
+	oracle struct{}
 )
 
-func (none) leader()    {}
-func (naive) leader()   {}
-func (afresh) leader()  {}
-func (planned) leader() {}
-func (knowing) leader() {}
+func (static) isStrategy()      {}
+func (naive) isStrategy()       {}
+func (fromScratch) isStrategy() {}
+func (planned) isStrategy()     {}
+func (oracle) isStrategy()      {}
 
-// knowingPlans bounds the plans that follow one another for the bound.
-const knowingPlans = 40
+// maxOraclePlans limits the consecutive plans of the oracle.
+const maxOraclePlans = 40
 
-// next returns the placement to bring into force.
-func next(l leader, p *evenmap.Placement, c Case, truth, counted []float64) (*evenmap.Placement, error) {
-	switch l.(type) {
+// nextPlacement returns the placement that the strategy chooses after p.
+func nextPlacement(s strategy, p *evenmap.Placement, c Case, truth, counts []float64) (*evenmap.Placement, error) {
+	switch s.(type) {
 	case naive:
-		return exchange(p, c.Shape, counted)
-	case afresh:
-		return solve(c.Shape, counted)
+		return exchangePairs(p, c.Shape, counts)
+	case fromScratch:
+		return placeGreedily(c.Shape, counts)
 	case planned:
-		return evenmap.NewPlan([]*evenmap.Placement{p}, [][]float64{counted}, c.Limits).Next()[0], nil
-	case knowing:
+		return evenmap.NewPlan([]*evenmap.Placement{p}, [][]float64{counts}, c.Limits).Next()[0], nil
+	case oracle:
 		free := evenmap.Limits{PerRank: c.Shape.Slots, PerSet: c.Shape.Slots}
-		for range knowingPlans {
+		for range maxOraclePlans {
 			plan := evenmap.NewPlan([]*evenmap.Placement{p}, [][]float64{truth}, free)
 			if plan.Before()-plan.After() < 1e-3 {
 				break
@@ -61,45 +62,46 @@
 	}
 }
 
-// run keeps one set's placement through the jumps of a case.
-func run(c Case, l leader) (Result, error) {
+// simulate applies a strategy to one layer set through the popularity jumps of
+// a case.
+func simulate(c Case, s strategy) (Result, error) {
 	rng := rand.New(rand.NewPCG(c.Seed, 1))
-	p, err := evenmap.NewPlacement(c.Shape, inTurn(c.Shape))
+	p, err := evenmap.NewPlacement(c.Shape, roundRobin(c.Shape))
 	if err != nil {
 		return Result{}, err
 	}
 	r := Result{}
-	counted := make([]float64, c.Shape.Experts)
+	counts := make([]float64, c.Shape.Experts)
 	for range c.Jumps {
 		truth := popularity(rng, c.Shape.Experts)
 		for range c.Looks {
-			if _, ok := l.(knowing); ok {
-				// The bound has its map in the moment of the jump.
-				if p, err = next(l, p, c, truth, truth); err != nil {
+			if _, ok := s.(oracle); ok {
+				// The oracle has its placement at the moment of the jump.
+				if p, err = nextPlacement(s, p, c, truth, truth); err != nil {
 					return r, err
 				}
 			}
 			r.skew += p.Skew(truth) / float64(c.Jumps*c.Looks)
-			count(rng, truth, counted)
-			if _, ok := l.(knowing); ok {
+			sampleCounts(rng, truth, counts)
+			if _, ok := s.(oracle); ok {
 				continue
 			}
-			q, err := next(l, p, c, truth, counted)
+			next, err := nextPlacement(s, p, c, truth, counts)
 			if err != nil {
 				return r, err
 			}
-			for _, n := range q.Copies(p) {
+			for _, n := range next.Copies(p) {
 				r.copies += float64(n) / float64(c.Jumps)
 			}
-			p = q
+			p = next
 		}
 	}
 	return r, nil
 }
 
-// popularity draws the loads of experts: a power law whose order is new with
-// each jump. With 72 experts in turn on 12 ranks the most loaded rank has some
-// three times the mean, as engines report.
+// popularity draws the loads of experts from a power law, in a new random order
+// for each jump. With 72 experts assigned in turn to 12 ranks, the most loaded
+// rank has about three times the mean load, as engines report.
 func popularity(rng *rand.Rand, experts int) []float64 {
 	load := make([]float64, experts)
 	sum := 0.0
@@ -113,20 +115,22 @@
 	return load
 }
 
-// picks is how often the experts of a set are chosen between two looks: a group
-// writes some hundred tokens in that time, of which each chooses a few.
-const picks = 2000
+// selectionsPerPlan is how often the experts of a set are selected between two
+// plans: a group generates some hundred tokens in that time, each of which
+// selects a few experts.
+const selectionsPerPlan = 2000
 
-// count draws how often each expert was chosen since the last look, with the
-// noise of as many independent choices.
-func count(rng *rand.Rand, truth, counted []float64) {
+// sampleCounts draws how often each expert was selected since the last plan,
+// with the noise of as many independent selections.
+func sampleCounts(rng *rand.Rand, truth, counts []float64) {
 	for e, x := range truth {
-		mean := picks * x
-		counted[e] = math.Max(0, mean+math.Sqrt(mean)*rng.NormFloat64())
+		mean := selectionsPerPlan * x
+		counts[e] = math.Max(0, mean+math.Sqrt(mean)*rng.NormFloat64())
 	}
 }
 
-func inTurn(s evenmap.Shape) [][]int {
+// roundRobin returns the experts of each rank, assigned in turn.
+func roundRobin(s evenmap.Shape) [][]int {
 	ranks := make([][]int, s.Ranks)
 	for e := range s.Experts {
 		ranks[e%s.Ranks] = append(ranks[e%s.Ranks], e)
@@ -134,9 +138,9 @@
 	return ranks
 }
 
-// exchange pairs the most loaded ranks with the least loaded ones and has each
-// pair exchange one expert.
-func exchange(p *evenmap.Placement, s evenmap.Shape, load []float64) (*evenmap.Placement, error) {
+// exchangePairs pairs the most loaded ranks with the least loaded ones and lets
+// each pair exchange one expert.
+func exchangePairs(p *evenmap.Placement, s evenmap.Shape, load []float64) (*evenmap.Placement, error) {
 	order := make([]int, s.Ranks)
 	for r := range order {
 		order[r] = r
@@ -150,29 +154,30 @@
 	for i := range s.Ranks / 2 {
 		hot, cold := order[i], order[s.Ranks-1-i]
 		byLoad := func(a, b int) int { return cmp.Compare(load[a], load[b]) }
-		h, k := slices.MaxFunc(ranks[hot], byLoad), slices.MinFunc(ranks[cold], byLoad)
-		gain := load[h] - load[k]
-		if gain <= 0 || gain >= loads[hot]-loads[cold] || slices.Contains(ranks[cold], h) || slices.Contains(ranks[hot], k) {
+		hottest, coldest := slices.MaxFunc(ranks[hot], byLoad), slices.MinFunc(ranks[cold], byLoad)
+		gain := load[hottest] - load[coldest]
+		if gain <= 0 || gain >= loads[hot]-loads[cold] || slices.Contains(ranks[cold], hottest) || slices.Contains(ranks[hot], coldest) {
 			continue
 		}
-		ranks[hot][slices.Index(ranks[hot], h)] = k
-		ranks[cold][slices.Index(ranks[cold], k)] = h
+		ranks[hot][slices.Index(ranks[hot], hottest)] = coldest
+		ranks[cold][slices.Index(ranks[cold], coldest)] = hottest
 	}
 	return evenmap.NewPlacement(s, ranks)
 }
 
-// solve gives spare places to the experts with the most load a replica and puts
-// the heaviest replicas on the least loaded ranks first.
-func solve(s evenmap.Shape, load []float64) (*evenmap.Placement, error) {
+// placeGreedily gives spare slots to the experts with the largest load per
+// replica and places the heaviest replicas first, each on the least loaded
+// rank.
+func placeGreedily(s evenmap.Shape, load []float64) (*evenmap.Placement, error) {
 	replicas := make([]int, s.Experts)
 	for e := range replicas {
 		replicas[e] = 1
 	}
-	each := func(e int) float64 { return load[e] / float64(replicas[e]) }
+	perReplica := func(e int) float64 { return load[e] / float64(replicas[e]) }
 	for range s.Ranks*s.Slots - s.Experts {
 		best := 0
 		for e := range replicas {
-			if replicas[e] < s.Ranks && each(e) > each(best) {
+			if replicas[e] < s.Ranks && perReplica(e) > perReplica(best) {
 				best = e
 			}
 		}
@@ -182,9 +187,10 @@
 	for e := range order {
 		order[e] = e
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(each(b), each(a)) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(perReplica(b), perReplica(a)) })
 	ranks, loads := make([][]int, s.Ranks), make([]float64, s.Ranks)
-	// First one replica of each, so that all have a place.
+	// The first round places one replica of each expert, so that each has a
+	// place.
 	for round := range 2 {
 		for _, e := range order {
 			n := 1
@@ -192,15 +198,16 @@
 				n = replicas[e] - 1
 			}
 			for range n {
-				put(s, ranks, loads, e, each(e))
+				addReplica(s, ranks, loads, e, perReplica(e))
 			}
 		}
 	}
 	return evenmap.NewPlacement(s, ranks)
 }
 
-// put adds a replica to the least loaded rank that has room for it.
-func put(s evenmap.Shape, ranks [][]int, loads []float64, e int, load float64) {
+// addReplica adds a replica of e to the least loaded rank that has a free slot
+// and does not hold e. It does nothing if there is no such rank.
+func addReplica(s evenmap.Shape, ranks [][]int, loads []float64, e int, load float64) {
 	to := -1
 	for r := range ranks {
 		free := len(ranks[r]) < s.Slots && !slices.Contains(ranks[r], e)
--- a/internal/rank/evenmap/jumptable/table.go
+++ b/internal/rank/evenmap/jumptable/table.go
@@ -1,7 +1,7 @@
-// Package jumptable measures how level a group of ranks stays whose popularity of
-// experts jumps, by ways of keeping its map. All draws are seeded: the figures
-// are the same on each run. The time that a plan takes is measured by the
-// benchmark of package evenmap.
+// Package jumptable measures the load skew of a group of ranks whose expert
+// popularity jumps, for several placement strategies. All draws are seeded, so
+// the figures are the same on each run. The benchmark of package evenmap
+// measures the time that a plan takes.
 package jumptable
 
 import (
@@ -12,28 +12,28 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/rank/evenmap"
 )
 
-// Case is a size of a group and the jumps that it goes through.
+// Case is a group size and the popularity jumps simulated with it.
 type Case struct {
-	// Shape holds the sizes of the set.
+	// Shape holds the dimensions of the placement.
 	Shape evenmap.Shape
-	// Limits bounds what one plan copies.
+	// Limits restricts the changes of one plan.
 	Limits evenmap.Limits
-	// Jumps is how often popularity changes, and Looks how many looks there
-	// are between two changes.
+	// Jumps is how often the popularity changes, and Looks the number of rounds
+	// after each change. A round samples counts and computes a placement.
 	Jumps, Looks int
-	// Seed makes the run repeatable.
+	// Seed initialises the random number generator.
 	Seed uint64
 }
 
-// Sizes of the table: a change is in force a quarter second after the counts
-// that it goes by, and popularity jumps every 3.5 s.
+// A placement takes effect a quarter of a second after the counts that it is
+// based on, and the popularity jumps every 3.5 s.
 const (
-	jumps = 12
-	looks = 14
+	jumpsPerCase = 12
+	plansPerJump = 14
 )
 
-// Cases returns the sizes of the table: the present deployments, the next ones
-// and the target in two years.
+// Cases returns the group sizes of the table: the present deployments, the next
+// ones and the target in two years.
 func Cases() []Case {
 	shapes := []evenmap.Shape{
 		{Ranks: 12, Slots: 8, Experts: 72},
@@ -42,66 +42,68 @@
 	}
 	cases := make([]Case, 0, len(shapes))
 	for i, s := range shapes {
-		// One copy a rank and change, as leaders plan.
+		// One copy per rank and plan, as leaders plan.
 		l := evenmap.Limits{PerRank: 1, PerSet: 1, MinGain: 0.02}
-		cases = append(cases, Case{Shape: s, Limits: l, Jumps: jumps, Looks: looks, Seed: uint64(i + 1)})
+		cases = append(cases, Case{Shape: s, Limits: l, Jumps: jumpsPerCase, Looks: plansPerJump, Seed: uint64(i + 1)})
 	}
 	return cases
 }
 
-// Result is what one way of keeping a map led to.
+// Result is the result of one strategy.
 type Result struct{ skew, copies float64 }
 
-// Skew returns the mean load of the most loaded rank over the mean load.
+// Skew returns the load of the most loaded rank over the mean load, averaged
+// over all rounds.
 func (r Result) Skew() float64 { return r.skew }
 
-// Copies returns how many experts were copied a jump.
+// Copies returns the number of experts copied per jump.
 func (r Result) Copies() float64 { return r.copies }
 
-// Row is the measurement of one case.
+// Row holds the results of one case.
 type Row struct {
-	of                                    Case
-	none, naive, afresh, planned, knowing Result
+	config                                      Case
+	static, naive, fromScratch, planned, oracle Result
 }
 
-// None returns the result without maps.
-func (r Row) None() Result { return r.none }
+// None returns the result of keeping the initial placement.
+func (r Row) None() Result { return r.static }
 
-// Naive returns the result of exchanging one expert a rank.
+// Naive returns the result of exchanging one expert per pair of ranks.
 func (r Row) Naive() Result { return r.naive }
 
-// Afresh returns the result of a full new solution at each look.
-func (r Row) Afresh() Result { return r.afresh }
+// Afresh returns the result of a placement computed from scratch in each round.
+func (r Row) Afresh() Result { return r.fromScratch }
 
-// Planned returns the result of package evenmap within its limits.
+// Planned returns the result of plans of package evenmap within the limits.
 func (r Row) Planned() Result { return r.planned }
 
-// Bound returns the skew of placements that know the popularity and cost nothing.
-func (r Row) Bound() Result { return r.knowing }
+// Bound returns the result of placements that are based on the true popularity
+// and whose copies are free.
+func (r Row) Bound() Result { return r.oracle }
 
-// Run measures one case.
+// Run simulates one case with all strategies.
 func Run(c Case) (Row, error) {
-	row := Row{of: c}
-	for _, way := range []struct {
-		l  leader
-		to *Result
+	row := Row{config: c}
+	for _, s := range []struct {
+		strategy strategy
+		result   *Result
 	}{
-		{none{}, &row.none},
+		{static{}, &row.static},
 		{naive{}, &row.naive},
-		{afresh{}, &row.afresh},
+		{fromScratch{}, &row.fromScratch},
 		{planned{}, &row.planned},
-		{knowing{}, &row.knowing},
+		{oracle{}, &row.oracle},
 	} {
-		r, err := run(c, way.l)
+		r, err := simulate(c, s.strategy)
 		if err != nil {
 			return row, err
 		}
-		*way.to = r
+		*s.result = r
 	}
 	return row, nil
 }
 
-// Measure runs all cases.
+// Measure runs all cases and returns one row for each.
 func Measure() ([]Row, error) {
 	var rows []Row
 	for _, c := range Cases() {
@@ -114,14 +116,14 @@
 	return rows, nil
 }
 
-// Write prints the rows as a table.
+// Write writes the rows as a text table.
 func Write(w io.Writer, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	_, _ = fmt.Fprintln(t, "ranks x experts\tno maps\tnaive\tcopies\tafresh\tcopies\tplanned\tcopies\tbound\t")
+	_, _ = fmt.Fprintln(t, "ranks x experts\tstatic\tnaive\tcopies\tfrom scratch\tcopies\tplanned\tcopies\toracle\t")
 	for _, r := range rows {
 		_, _ = fmt.Fprintf(t, "%d x %d\t%.2f\t%.2f\t%.0f\t%.2f\t%.0f\t%.2f\t%.0f\t%.2f\t\n",
-			r.of.Shape.Ranks, r.of.Shape.Experts, r.none.skew, r.naive.skew, r.naive.copies,
-			r.afresh.skew, r.afresh.copies, r.planned.skew, r.planned.copies, r.knowing.skew)
+			r.config.Shape.Ranks, r.config.Shape.Experts, r.static.skew, r.naive.skew, r.naive.copies,
+			r.fromScratch.skew, r.fromScratch.copies, r.planned.skew, r.planned.copies, r.oracle.skew)
 	}
 	return t.Flush()
 }
--- a/internal/rank/evenmap/placement.go
+++ b/internal/rank/evenmap/placement.go
@@ -6,38 +6,38 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrPlacement is returned for lists that are no placement.
-var ErrPlacement = eris.New("evenmap: the lists are no placement")
+// ErrPlacement is returned for lists that do not form a valid placement.
+var ErrPlacement = eris.New("evenmap: lists do not form a valid placement")
 
-// Shape holds the sizes of a set.
+// Shape holds the dimensions of a placement.
 type Shape struct {
-	// Ranks is the number of ranks, Slots how many experts one rank holds at
-	// most, Experts the number of experts.
+	// Ranks is the number of ranks, Slots the maximum number of experts that
+	// one rank holds, and Experts the number of experts.
 	Ranks, Slots, Experts int
 }
 
-// Placement says for one set of layers which ranks hold which experts.
+// Placement assigns experts to ranks for one layer set.
 type Placement struct {
 	shape Shape
-	// ranks lists each rank's experts, holders each expert's ranks.
+	// ranks lists the experts of each rank, holders the ranks of each expert.
 	ranks, holders [][]int
 }
 
-// NewPlacement returns the placement in which rank r holds ranks[r]. It returns
-// ErrPlacement unless each expert is held, no rank holds one twice and none
-// holds more than its slots.
+// NewPlacement returns the placement in which rank r holds the experts
+// ranks[r]. It returns ErrPlacement unless each expert is held, no rank holds
+// an expert twice and none holds more experts than it has slots.
 func NewPlacement(shape Shape, ranks [][]int) (*Placement, error) {
 	if len(ranks) != shape.Ranks {
-		return nil, eris.Wrapf(ErrPlacement, "%d ranks of %d", len(ranks), shape.Ranks)
+		return nil, eris.Wrapf(ErrPlacement, "%d lists of experts for %d ranks", len(ranks), shape.Ranks)
 	}
 	p := &Placement{shape: shape, ranks: make([][]int, shape.Ranks), holders: make([][]int, shape.Experts)}
 	for r, experts := range ranks {
 		if len(experts) > shape.Slots {
-			return nil, eris.Wrapf(ErrPlacement, "rank %d holds %d experts", r, len(experts))
+			return nil, eris.Wrapf(ErrPlacement, "rank %d holds %d experts, more than its slots", r, len(experts))
 		}
 		for _, e := range experts {
 			if e < 0 || e >= shape.Experts || slices.Contains(p.ranks[r], e) {
-				return nil, eris.Wrapf(ErrPlacement, "rank %d, expert %d", r, e)
+				return nil, eris.Wrapf(ErrPlacement, "rank %d lists the unknown or repeated expert %d", r, e)
 			}
 			p.add(e, r)
 		}
@@ -50,13 +50,14 @@
 	return p, nil
 }
 
-// Ranks returns each rank's experts. The caller must not change them.
+// Ranks returns the experts of each rank. The caller must not modify them.
 func (p *Placement) Ranks() [][]int { return p.ranks }
 
 // Holds reports whether rank r holds expert e.
 func (p *Placement) Holds(r, e int) bool { return slices.Contains(p.ranks[r], e) }
 
-// Loads returns the load of each rank for the given load of each expert.
+// Loads returns the load of each rank for the given load of each expert, which
+// is split evenly over the expert's replicas. The unit is that of the argument.
 func (p *Placement) Loads(load []float64) []float64 {
 	out := make([]float64, p.shape.Ranks)
 	for e, hs := range p.holders {
@@ -67,21 +68,21 @@
 	return out
 }
 
-// Skew returns the load of the most loaded rank over the mean, or 1 without
-// load.
+// Skew returns the load of the most loaded rank divided by the mean load, or 1
+// without load.
 func (p *Placement) Skew(load []float64) float64 {
-	top, sum := 0.0, 0.0
+	highest, sum := 0.0, 0.0
 	for _, v := range p.Loads(load) {
-		top = max(top, v)
+		highest = max(highest, v)
 		sum += v
 	}
 	if sum == 0 {
 		return 1
 	}
-	return top * float64(p.shape.Ranks) / sum
+	return highest * float64(p.shape.Ranks) / sum
 }
 
-// Copies returns how many experts each rank of p holds that it doesn't in from.
+// Copies returns for each rank how many experts it holds in p but not in from.
 func (p *Placement) Copies(from *Placement) []int {
 	out := make([]int, p.shape.Ranks)
 	for r, experts := range p.ranks {
@@ -111,11 +112,11 @@
 }
 
 func (p *Placement) drop(e, r int) {
-	p.ranks[r] = without(p.ranks[r], e)
-	p.holders[e] = without(p.holders[e], r)
+	p.ranks[r] = remove(p.ranks[r], e)
+	p.holders[e] = remove(p.holders[e], r)
 }
 
-func without(s []int, v int) []int {
+func remove(s []int, v int) []int {
 	i := slices.Index(s, v)
 	return slices.Delete(s, i, i+1)
 }
--- a/internal/rank/evenmap/plan.go
+++ b/internal/rank/evenmap/plan.go
@@ -5,104 +5,111 @@
 )
 
 const (
-	// norm is the power by which the loads of ranks are summed up. The largest
-	// load decides how long a step lasts, but a search for it alone stops where
-	// two ranks are equally loaded; a high power follows the largest and still
-	// sees the second.
-	norm = 12
-	// freeGain is the least fall of the objective, as a part of the mean load,
-	// for which a replica is dropped. Dropping costs nothing but the order.
-	freeGain = 1e-3
-	// topRanks is how many of the most loaded ranks are looked at for a change,
-	// and lowRanks how many of the least loaded that may still copy.
-	topRanks = 3
-	lowRanks = 12
-	// maxChanges bounds the work of one plan.
+	// normExponent is the exponent of the norm over the loads of ranks. The
+	// largest load determines how long a step lasts, but a search that
+	// minimises it alone stops where two ranks are equally loaded. A high
+	// exponent approximates the maximum and still responds to the second
+	// largest load.
+	normExponent = 12
+	// minDropGain is the minimum decrease of the objective, relative to the
+	// mean load, for which a replica is dropped. Dropping costs nothing but the
+	// order to the rank.
+	minDropGain = 1e-3
+	// maxSourceRanks is how many of the most loaded ranks are considered for a
+	// change, and maxTargetRanks how many of the least loaded ranks that may
+	// still copy.
+	maxSourceRanks = 3
+	maxTargetRanks = 12
+	// maxChanges limits the work of one plan.
 	maxChanges = 400
 )
 
-// Limits bounds what a plan may do.
+// Limits restricts the changes of a plan.
 type Limits struct {
-	// PerRank is how many experts one rank may copy in all sets together: they
-	// load one after the other, so it is how long the plan takes.
+	// PerRank is how many experts one rank may copy in all sets together. A
+	// rank loads them one after the other, so it determines how long the plan
+	// takes.
 	PerRank int
-	// PerSet is how many experts one rank may copy of one set.
+	// PerSet is how many experts of one set a rank may copy.
 	PerSet int
-	// Slow is how many times slower than usual each rank is; nil means that
-	// none is. All ranks wait for the one that takes longest, so a slow one is
-	// given less.
+	// Slow is the factor by which each rank is slower than usual; nil means 1
+	// for all. All ranks wait for the slowest one, so a slow rank is given less
+	// load.
 	Slow []float64
-	// MinGain is the fall of the skew of one set that a copy must bring.
+	// MinGain is the minimum decrease of a set's skew, approximated by the norm
+	// of its rank loads, for each copy.
 	MinGain float64
 }
 
-// Plan is a planned change of all sets.
+// Plan is a planned change of the placements of all layer sets.
 type Plan struct {
 	next          []*Placement
 	copies        int
 	before, after float64
 }
 
-// Next returns the planned placements.
+// Next returns the planned placements by set.
 func (p *Plan) Next() []*Placement { return p.next }
 
-// Copies returns how many experts are copied.
+// Copies returns the number of experts to copy.
 func (p *Plan) Copies() int { return p.copies }
 
 // Before returns the mean skew of the sets without the plan.
 func (p *Plan) Before() float64 { return p.before }
 
-// After returns the mean skew with it.
+// After returns the mean skew of the sets with the plan.
 func (p *Plan) After() float64 { return p.after }
 
-// change is one step of the search: an expert copied to a rank, in place of
-// another if evict is not negative, or dropped from it. With back, the evicted
-// expert moves to the rank that loses the copied one.
+// change is one step of the search. If to is not negative, expert is copied to
+// this rank, in place of the expert evict unless that is negative. If from is
+// not negative, this rank drops expert. With swap, evict moves to the rank
+// from.
 type change struct {
 	set, expert, to, evict int
-	// from is the rank that drops the expert, or negative.
-	from int
-	back bool
+	from                   int
+	swap                   bool
+	// gain is the decrease of the objective, cost the number of copies.
 	gain float64
 	cost int
 }
 
-// planner is a search under way.
-type planner struct {
-	limits Limits
-	start  []*Placement
-	sets   []*set
-	// spent is how many experts each rank copies.
-	spent []int
+// search is the state of a plan's greedy search.
+type search struct {
+	limits  Limits
+	current []*Placement
+	sets    []*setState
+	// copied is how many experts each rank copies in all sets.
+	copied []int
 }
 
-// NewPlan plans the next placements for the given loads of experts by set. The
-// search takes the change that gains most for each copy, one after the other:
-// the load is a popularity that jumps every few seconds, so a good change now is
-// worth more than the best one after a second of copying.
+// NewPlan plans the next placements for the given loads of experts, by set.
+// There must be at least one set. The search repeatedly takes the change with
+// the largest gain per copy: popularity jumps every few seconds, so a good
+// change now is worth more than the best one after a second of copying.
 func NewPlan(current []*Placement, loads [][]float64, limits Limits) *Plan {
-	s := &planner{limits: limits, start: current, spent: make([]int, current[0].shape.Ranks)}
+	s := &search{limits: limits, current: current, copied: make([]int, current[0].shape.Ranks)}
 	plan := &Plan{}
 	for i, p := range current {
-		st := newSet(p.clone(), loads[i], limits.Slow)
+		st := newSetState(p.clone(), loads[i], limits.Slow)
 		s.sets = append(s.sets, st)
 		plan.before += st.skew() / float64(len(current))
 	}
-	best := make([]change, len(s.sets))
+	bestChanges := make([]change, len(s.sets))
 	for i := range s.sets {
-		best[i] = s.best(i)
+		bestChanges[i] = s.bestChange(i)
 	}
 	for range maxChanges {
-		i := bestOf(best)
-		if best[i].gain <= 0 {
+		i := indexOfBest(bestChanges)
+		if bestChanges[i].gain <= 0 {
 			break
 		}
-		touched := s.apply(best[i])
-		best[i] = s.best(i)
-		for k := range best {
-			// A rank may have used up its copies: what others wanted may not fit.
-			if touched && !s.fits(best[k]) {
-				best[k] = s.best(k)
+		copied := s.apply(bestChanges[i])
+		bestChanges[i] = s.bestChange(i)
+		for k := range bestChanges {
+			// The copy may have used up a rank's limit, so that other changes
+			// no longer fit.
+			if copied && !s.feasible(bestChanges[k]) {
+				bestChanges[k] = s.bestChange(k)
 			}
 		}
 	}
@@ -116,140 +123,146 @@
 	return plan
 }
 
-func bestOf(changes []change) int {
+func indexOfBest(changes []change) int {
 	best := 0
 	for i := range changes {
-		if changes[i].worth() > changes[best].worth() {
+		if changes[i].score() > changes[best].score() {
 			best = i
 		}
 	}
 	return best
 }
 
-// worth orders changes: gain for each copy, free ones first.
-func (c change) worth() float64 {
+// score ranks changes by their gain per copy. The gain of a change without
+// copies counts ten times.
+func (c change) score() float64 {
 	if c.cost == 0 {
 		return c.gain * 10
 	}
 	return c.gain / float64(c.cost)
 }
 
-// apply makes a change and reports whether it made copies.
-func (s *planner) apply(c change) bool {
+// apply makes a change and reports whether it copied an expert.
+func (s *search) apply(c change) bool {
 	st := s.sets[c.set]
 	if c.to >= 0 {
 		if c.evict >= 0 {
 			st.p.drop(c.evict, c.to)
 		}
 		st.p.add(c.expert, c.to)
-		s.spend(c.set, c.expert, c.to)
+		s.countCopy(c.set, c.expert, c.to)
 	}
 	if c.from >= 0 {
 		st.p.drop(c.expert, c.from)
 	}
-	if c.back {
+	if c.swap {
 		st.p.add(c.evict, c.from)
-		s.spend(c.set, c.evict, c.from)
+		s.countCopy(c.set, c.evict, c.from)
 	}
-	st.measure()
+	st.recompute()
 	return c.cost > 0
 }
 
-// fits reports whether a change found before may still be made.
-func (s *planner) fits(c change) bool {
+// feasible reports whether a change found earlier is still within the limits.
+func (s *search) feasible(c change) bool {
 	if c.cost == 0 {
 		return true
 	}
-	_, ok := s.price(c.set, c.expert, c.to)
-	if c.back {
-		_, back := s.price(c.set, c.evict, c.from)
-		ok = ok && back
+	_, ok := s.copyCost(c.set, c.expert, c.to)
+	if c.swap {
+		_, swapOK := s.copyCost(c.set, c.evict, c.from)
+		ok = ok && swapOK
 	}
 	return ok
 }
 
-// spend counts a copy unless the rank held the expert at the start.
-func (s *planner) spend(set, e, r int) {
-	if !s.start[set].Holds(r, e) {
-		s.spent[r]++
-		s.sets[set].spent[r]++
+// countCopy counts a copy of expert e to rank r, unless r held it at the start.
+func (s *search) countCopy(set, e, r int) {
+	if !s.current[set].Holds(r, e) {
+		s.copied[r]++
+		s.sets[set].copied[r]++
 	}
 }
 
-// price returns how many copies it takes to have e on r, and whether r may.
-func (s *planner) price(set, e, r int) (int, bool) {
-	if s.start[set].Holds(r, e) {
+// copyCost returns how many copies it takes to have expert e on rank r, and
+// whether the limits of r allow them.
+func (s *search) copyCost(set, e, r int) (int, bool) {
+	if s.current[set].Holds(r, e) {
 		return 0, true
 	}
-	return 1, s.spent[r] < s.limits.PerRank && s.sets[set].spent[r] < s.limits.PerSet
+	return 1, s.copied[r] < s.limits.PerRank && s.sets[set].copied[r] < s.limits.PerSet
 }
 
-// best returns the change of a set that gains most.
-func (s *planner) best(i int) change {
+// bestChange returns the change of a set with the highest score. Its gain is 0
+// if no change is good enough.
+func (s *search) bestChange(i int) change {
 	st := s.sets[i]
-	top := change{set: i}
+	best := change{set: i}
 	if st.mean <= 0 {
-		return top
+		return best
 	}
-	order := st.byLoad()
-	low := s.low(i, order)
-	for _, r := range order[:min(topRanks, len(order))] {
+	order := st.ranksByLoad()
+	targets := s.targetRanks(i, order)
+	for _, r := range order[:min(maxSourceRanks, len(order))] {
 		for _, e := range slices.Clone(st.p.ranks[r]) {
-			s.consider(&top, s.dropFrom(i, e, r))
-			for _, to := range low {
-				if to != r && !st.p.Holds(to, e) && st.ranks[to] < st.ranks[r] {
-					s.copies(&top, i, e, r, to)
+			s.keepBetter(&best, s.dropChange(i, e, r))
+			for _, to := range targets {
+				if to != r && !st.p.Holds(to, e) && st.rankLoads[to] < st.rankLoads[r] {
+					s.considerCopies(&best, i, e, r, to)
 				}
 			}
 		}
 	}
-	return top
+	return best
 }
 
-// low returns the least loaded ranks that may still copy an expert of a set.
+// targetRanks returns the least loaded ranks that may still copy an expert of
+// the set.
 //
-// Load: 129 ranks with 16 sets, on a quarter of a core. Harm prevented: a search
-// of all ranks takes longer than the popularity lasts that it is for. What a copy
-// gains is nearly the same on each rank that is far from the most loaded.
-func (s *planner) low(i int, order []int) []int {
+// With 129 ranks and 16 sets on a quarter of a core, a search of all ranks
+// would take longer than the popularity lasts that it is based on. A copy gains
+// nearly the same on all ranks whose load is far below the largest.
+func (s *search) targetRanks(i int, order []int) []int {
 	st := s.sets[i]
-	out := make([]int, 0, lowRanks)
-	for k := len(order) - 1; k >= 0 && len(out) < lowRanks; k-- {
-		if r := order[k]; s.spent[r] < s.limits.PerRank && st.spent[r] < s.limits.PerSet {
+	out := make([]int, 0, maxTargetRanks)
+	for k := len(order) - 1; k >= 0 && len(out) < maxTargetRanks; k-- {
+		if r := order[k]; s.copied[r] < s.limits.PerRank && st.copied[r] < s.limits.PerSet {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-func (s *planner) consider(top *change, c change) {
-	least := freeGain
+// keepBetter replaces best with c if c gains enough and scores higher.
+func (s *search) keepBetter(best *change, c change) {
+	least := minDropGain
 	if c.cost > 0 {
 		least = s.limits.MinGain * float64(c.cost)
 	}
-	if c.gain >= least && (top.gain <= 0 || c.worth() > top.worth()) {
-		*top = c
+	if c.gain >= least && (best.gain <= 0 || c.score() > best.score()) {
+		*best = c
 	}
 }
 
-// dropFrom is the change that takes expert e off rank r.
-func (s *planner) dropFrom(i, e, r int) change {
+// dropChange returns the change that drops expert e from rank r. Its gain is 0
+// if no other rank holds e.
+func (s *search) dropChange(i, e, r int) change {
 	st := s.sets[i]
 	c := change{set: i, expert: e, to: -1, evict: -1, from: r}
 	if len(st.p.holders[e]) < 2 {
 		return c
 	}
-	d := st.begin()
-	d.drop(e, r)
-	c.gain = d.gain()
-	d.back()
+	t := st.beginTrial()
+	t.drop(e, r)
+	c.gain = t.gain()
+	t.rollback()
 	return c
 }
 
-// copies considers all ways to have expert e of rank r on rank to as well, or
-// there alone.
-func (s *planner) copies(top *change, i, e, r, to int) {
-	cost, ok := s.price(i, e, to)
+// considerCopies considers all changes that put expert e of rank r on rank to,
+// with and without dropping it from r.
+func (s *search) considerCopies(best *change, i, e, r, to int) {
+	cost, ok := s.copyCost(i, e, to)
 	if !ok {
 		return
 	}
@@ -258,39 +271,40 @@
 	if len(st.p.ranks[to]) >= st.p.shape.Slots {
 		evicts = st.p.ranks[to]
 	}
-	for _, f := range evicts {
-		if f >= 0 && len(st.p.holders[f]) < 2 {
-			s.swap(top, i, e, r, to, f, cost)
+	for _, evict := range evicts {
+		if evict >= 0 && len(st.p.holders[evict]) < 2 {
+			s.considerSwap(best, i, e, r, to, evict, cost)
 			continue
 		}
-		c := change{set: i, expert: e, to: to, evict: f, from: -1, cost: cost}
-		d := st.begin()
-		if f >= 0 {
-			d.drop(f, to)
+		c := change{set: i, expert: e, to: to, evict: evict, from: -1, cost: cost}
+		t := st.beginTrial()
+		if evict >= 0 {
+			t.drop(evict, to)
 		}
-		d.add(e, to)
-		c.gain = d.gain()
-		s.consider(top, c)
-		d.drop(e, r)
-		c.from, c.gain = r, d.gain()
-		d.back()
-		s.consider(top, c)
+		t.add(e, to)
+		c.gain = t.gain()
+		s.keepBetter(best, c)
+		t.drop(e, r)
+		c.from, c.gain = r, t.gain()
+		t.rollback()
+		s.keepBetter(best, c)
 	}
 }
 
-// swap considers that e and f, which no other rank holds, change places.
-func (s *planner) swap(top *change, i, e, r, to, f, cost int) {
-	back, ok := s.price(i, f, r)
+// considerSwap considers exchanging e on rank r for evict on rank to. No rank
+// other than to holds evict.
+func (s *search) considerSwap(best *change, i, e, r, to, evict, cost int) {
+	backCost, ok := s.copyCost(i, evict, r)
 	st := s.sets[i]
-	if !ok || st.p.Holds(r, f) {
+	if !ok || st.p.Holds(r, evict) {
 		return
 	}
-	d := st.begin()
-	d.drop(f, to)
-	d.add(e, to)
-	d.drop(e, r)
-	d.add(f, r)
-	gain := d.gain()
-	d.back()
-	s.consider(top, change{set: i, expert: e, to: to, evict: f, from: r, back: true, cost: cost + back, gain: gain})
+	t := st.beginTrial()
+	t.drop(evict, to)
+	t.add(e, to)
+	t.drop(e, r)
+	t.add(evict, r)
+	gain := t.gain()
+	t.rollback()
+	s.keepBetter(best, change{set: i, expert: e, to: to, evict: evict, from: r, swap: true, cost: cost + backCost, gain: gain})
 }
--- a/internal/rank/evenmap/plan_test.go
+++ b/internal/rank/evenmap/plan_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// shapes are today's deployment, the next one and the target.
+// shapes are the sizes of today's deployment, the next one and the target.
 var shapes = []Shape{
 	{Ranks: 12, Slots: 8, Experts: 72},
 	{Ranks: 63, Slots: 5, Experts: 252},
@@ -16,8 +16,9 @@
 	{Ranks: 129, Slots: 3, Experts: 258},
 }
 
-// inTurn is the placement that engines begin with: experts in turn.
-func inTurn(t testing.TB, s Shape) *Placement {
+// roundRobin returns the placement that engines begin with: experts are
+// assigned to ranks in turn.
+func roundRobin(t testing.TB, s Shape) *Placement {
 	t.Helper()
 	ranks := make([][]int, s.Ranks)
 	for e := range s.Experts {
@@ -40,11 +41,11 @@
 	return load
 }
 
-func limits(perRank int) Limits {
+func testLimits(perRank int) Limits {
 	return Limits{PerRank: perRank, PerSet: 3, MinGain: 0.02}
 }
 
-// checkPlan checks that a plan keeps to its limits.
+// checkPlan checks that a plan keeps within its limits.
 func checkPlan(t *testing.T, from []*Placement, p *Plan, l Limits) {
 	t.Helper()
 	perRank := make([]int, from[0].shape.Ranks)
@@ -62,25 +63,26 @@
 		}
 	}
 	if top := slices.Max(perRank); top > l.PerRank {
-		t.Fatalf("a rank copies %d experts, %d are allowed", top, l.PerRank)
+		t.Fatalf("a rank copies %d experts, limit %d", top, l.PerRank)
 	}
 	if copies != p.Copies() || p.After() > p.Before()+1e-9 {
-		t.Fatalf("%d copies said, %d made; skew %.3f to %.3f", p.Copies(), copies, p.Before(), p.After())
+		t.Fatalf("plan reports %d copies and makes %d; skew %.3f before, %.3f after", p.Copies(), copies, p.Before(), p.After())
 	}
 }
 
-// Popularity jumps. Steps wait for the most loaded rank, three times the mean,
-// until the first change of one copy a rank halves the excess and the next ones
-// bring it near the bound.
-func TestPlansLevelAJump(t *testing.T) {
+// TestPlansRebalanceAfterPopularityJump guards against steps that stay slow
+// after the popularity of experts jumps. The most loaded rank then has three
+// times the mean load. The first plan, with one copy per rank, halves the
+// excess and the next ones bring it near the lower bound.
+func TestPlansRebalanceAfterPopularityJump(t *testing.T) {
 	for _, s := range shapes {
 		t.Run(fmt.Sprint(s), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, uint64(s.Ranks)))
-			sets := []*Placement{inTurn(t, s), inTurn(t, s)}
+			sets := []*Placement{roundRobin(t, s), roundRobin(t, s)}
 			loads := [][]float64{popularity(rng, s.Experts), popularity(rng, s.Experts)}
 			first, skew := 0.0, 0.0
 			for round := range 8 {
-				l := limits(1)
+				l := testLimits(1)
 				p := NewPlan(sets, loads, l)
 				checkPlan(t, sets, p, l)
 				if round == 0 {
@@ -89,32 +91,34 @@
 				sets, skew = p.Next(), p.After()
 			}
 			if skew-1 > 0.4*(first-1) {
-				t.Fatalf("skew %.2f after eight changes, %.2f before", skew, first)
+				t.Fatalf("skew %.2f after eight plans, %.2f before", skew, first)
 			}
 		})
 	}
 }
 
-// A calm popularity must cost nothing: the second plan for the same loads finds
-// little left that is worth a copy.
-func TestLevelPlacementStays(t *testing.T) {
+// TestBalancedPlacementIsKept guards against copies while the popularity is
+// stable: a plan for loads that have been planned for finds no copy worth
+// making.
+func TestBalancedPlacementIsKept(t *testing.T) {
 	s := shapes[0]
 	rng := rand.New(rand.NewPCG(2, 2))
-	sets, loads := []*Placement{inTurn(t, s)}, [][]float64{popularity(rng, s.Experts)}
+	sets, loads := []*Placement{roundRobin(t, s)}, [][]float64{popularity(rng, s.Experts)}
 	for range 12 {
-		sets = NewPlan(sets, loads, limits(3)).Next()
+		sets = NewPlan(sets, loads, testLimits(3)).Next()
 	}
-	if p := NewPlan(sets, loads, limits(3)); p.Copies() > 0 {
-		t.Fatalf("%d copies for a placement that is level (skew %.3f)", p.Copies(), p.Before())
+	if p := NewPlan(sets, loads, testLimits(3)); p.Copies() > 0 {
+		t.Fatalf("%d copies for a balanced placement (skew %.3f)", p.Copies(), p.Before())
 	}
 }
 
-// One rank turns six times slower. The others take its experts over.
-func TestSlowRankIsRelieved(t *testing.T) {
+// TestSlowRankLosesLoad guards against steps that wait for a slow rank. One
+// rank becomes six times slower, and the others take over its experts.
+func TestSlowRankLosesLoad(t *testing.T) {
 	s := shapes[0]
 	rng := rand.New(rand.NewPCG(3, 3))
-	sets, loads := []*Placement{inTurn(t, s)}, [][]float64{popularity(rng, s.Experts)}
-	l := limits(1)
+	sets, loads := []*Placement{roundRobin(t, s)}, [][]float64{popularity(rng, s.Experts)}
+	l := testLimits(1)
 	l.Slow = slices.Repeat([]float64{1}, s.Ranks)
 	l.Slow[4] = 6.3
 	before := sets[0].Loads(loads[0])[4]
@@ -122,13 +126,13 @@
 		sets = NewPlan(sets, loads, l).Next()
 	}
 	if after := sets[0].Loads(loads[0])[4]; after > before/3 {
-		t.Fatalf("the slow rank bears %.1f, %.1f before", after, before)
+		t.Fatalf("load of the slow rank is %.1f, was %.1f before", after, before)
 	}
 }
 
-// naive replicates the most loaded expert on the least loaded rank with a free
-// slot, as a first relay did: the baseline.
-func naive(p *Placement, load []float64, copies int) *Placement {
+// replicateNaively copies the most loaded expert to the least loaded rank with
+// a free slot, as the first relay did. It is the baseline.
+func replicateNaively(p *Placement, load []float64, copies int) *Placement {
 	q := p.clone()
 	for range copies {
 		best, top := -1, 0.0
@@ -153,30 +157,31 @@
 	return q
 }
 
-// The search is compared with the naive choice at as many copies.
-func TestPlanBeatsNaiveChoice(t *testing.T) {
+// TestPlanBeatsNaiveReplication compares plans with naive replication that
+// makes the same number of copies.
+func TestPlanBeatsNaiveReplication(t *testing.T) {
 	s := shapes[0]
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		from, load := inTurn(t, s), popularity(rng, s.Experts)
-		p := NewPlan([]*Placement{from}, [][]float64{load}, limits(1))
-		if n := naive(from, load, p.Copies()).Skew(load); p.After() > n+1e-9 {
-			t.Errorf("seed %d: skew %.3f with %d copies, the naive choice has %.3f", seed, p.After(), p.Copies(), n)
+		from, load := roundRobin(t, s), popularity(rng, s.Experts)
+		p := NewPlan([]*Placement{from}, [][]float64{load}, testLimits(1))
+		if n := replicateNaively(from, load, p.Copies()).Skew(load); p.After() > n+1e-9 {
+			t.Errorf("seed %d: skew %.3f with %d copies, naive replication has %.3f", seed, p.After(), p.Copies(), n)
 		}
 	}
 }
 
-func TestNewPlacementRefuses(t *testing.T) {
+func TestNewPlacementRejectsInvalidLists(t *testing.T) {
 	s := Shape{Ranks: 2, Slots: 2, Experts: 2}
 	for name, ranks := range map[string][][]int{
-		"an expert that nobody holds": {{0}, {0}},
-		"a rank that holds one twice": {{0, 0}, {1}},
-		"too many experts":            {{0, 1, 1}, {1}},
-		"an unknown expert":           {{0, 2}, {1}},
-		"too few ranks":               {{0, 1}},
+		"an expert without a rank":          {{0}, {0}},
+		"a rank that holds an expert twice": {{0, 0}, {1}},
+		"too many experts":                  {{0, 1, 1}, {1}},
+		"an unknown expert":                 {{0, 2}, {1}},
+		"too few ranks":                     {{0, 1}},
 	} {
 		if _, err := NewPlacement(s, ranks); err == nil {
-			t.Errorf("%s was taken", name)
+			t.Errorf("%s was accepted", name)
 		}
 	}
 }
@@ -185,13 +190,13 @@
 	for _, s := range shapes {
 		b.Run(fmt.Sprintf("%dx%d", s.Ranks, s.Experts), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 1))
-			sets := []*Placement{inTurn(b, s), inTurn(b, s), inTurn(b, s), inTurn(b, s)}
+			sets := []*Placement{roundRobin(b, s), roundRobin(b, s), roundRobin(b, s), roundRobin(b, s)}
 			var loads [][]float64
 			for range sets {
 				loads = append(loads, popularity(rng, s.Experts))
 			}
 			for b.Loop() {
-				NewPlan(sets, loads, limits(1))
+				NewPlan(sets, loads, testLimits(1))
 			}
 		})
 	}
--- a/internal/rank/evenmap/trial.go
+++ b/internal/rank/evenmap/trial.go
@@ -1,44 +1,47 @@
 package evenmap
 
-// trial follows how the objective changes without changing the placement. It
-// works on the set's loads in place and puts them back, because it runs some
-// hundred thousand times a plan.
+// trial computes how changes affect the objective without changing the
+// placement. It modifies the set's rank loads in place and restores them
+// afterwards, because it runs some hundred thousand times per plan.
 type trial struct {
-	s      *set
-	powers float64
-	// experts and holders are the changed lists, of two experts at most.
+	s        *setState
+	powerSum float64
+	// experts and holders are the first n changed experts, two at most, and
+	// their changed holder lists.
 	experts [2]int
 	holders [2][]int
 	n       int
-	// ranks and loads are what to put back, newest last.
-	ranks []int
-	loads []float64
+	// undoRanks and undoLoads are the ranks whose loads have changed and their
+	// previous loads, newest last.
+	undoRanks []int
+	undoLoads []float64
 }
 
-// begin starts a trial; back ends it.
-func (s *set) begin() *trial {
+// beginTrial starts a trial. Call rollback to end it.
+func (s *setState) beginTrial() *trial {
 	t := &s.scratch
-	t.s, t.powers, t.n = s, s.powers, 0
-	t.ranks, t.loads = t.ranks[:0], t.loads[:0]
+	t.s, t.powerSum, t.n = s, s.powerSum, 0
+	t.undoRanks, t.undoLoads = t.undoRanks[:0], t.undoLoads[:0]
 	return t
 }
 
-func (t *trial) back() {
-	for i := len(t.ranks) - 1; i >= 0; i-- {
-		t.s.ranks[t.ranks[i]] = t.loads[i]
+// rollback restores the rank loads.
+func (t *trial) rollback() {
+	for i := len(t.undoRanks) - 1; i >= 0; i-- {
+		t.s.rankLoads[t.undoRanks[i]] = t.undoLoads[i]
 	}
 }
 
-// gain is the fall of the objective, or 0 where it doesn't fall.
+// gain returns the decrease of the objective, or 0 if it does not decrease.
 func (t *trial) gain() float64 {
-	if t.powers >= t.s.powers {
+	if t.powerSum >= t.s.powerSum {
 		return 0
 	}
-	return t.s.value - objective(t.powers)
+	return t.s.objective - loadNorm(t.powerSum)
 }
 
-// of returns the list of an expert's holders that the trial may change.
-func (t *trial) of(e int) *[]int {
+// holdersOf returns the trial's modifiable copy of an expert's holders.
+func (t *trial) holdersOf(e int) *[]int {
 	for i := range t.n {
 		if t.experts[i] == e {
 			return &t.holders[i]
@@ -50,29 +53,30 @@
 	return &t.holders[t.n-1]
 }
 
+// spread adds sign times the load of expert e to its holders hs, split evenly.
 func (t *trial) spread(e int, hs []int, sign float64) {
 	if len(hs) == 0 {
 		return
 	}
-	part := sign * t.s.load[e] / float64(len(hs))
+	delta := sign * t.s.load[e] / float64(len(hs))
 	for _, r := range hs {
-		old := t.s.ranks[r]
-		t.ranks, t.loads = append(t.ranks, r), append(t.loads, old)
-		t.s.ranks[r] = old + part*t.s.slow[r]
-		t.powers += t.s.power(t.s.ranks[r]) - t.s.power(old)
+		old := t.s.rankLoads[r]
+		t.undoRanks, t.undoLoads = append(t.undoRanks, r), append(t.undoLoads, old)
+		t.s.rankLoads[r] = old + delta*t.s.slowdown[r]
+		t.powerSum += t.s.power(t.s.rankLoads[r]) - t.s.power(old)
 	}
 }
 
 func (t *trial) add(e, r int) {
-	hs := t.of(e)
+	hs := t.holdersOf(e)
 	t.spread(e, *hs, -1)
 	*hs = append(*hs, r)
 	t.spread(e, *hs, 1)
 }
 
 func (t *trial) drop(e, r int) {
-	hs := t.of(e)
+	hs := t.holdersOf(e)
 	t.spread(e, *hs, -1)
-	*hs = without(*hs, r)
+	*hs = remove(*hs, r)
 	t.spread(e, *hs, 1)
 }
