--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -10,7 +10,7 @@
 	// ID is unique among running endpoints; a restarted endpoint may keep it.
 	ID string
 	// Born is the start time of the endpoint in milliseconds since the Unix epoch.
-	Born uint64
+	StartMillis uint64
 	// Service is the name of the endpoint's service, Address its IP:port and DataCentre
 	// its data centre.
 	Service, Address, DataCentre string
@@ -58,7 +58,7 @@
 	// LapseHold is how long entries that vanished while the store was unavailable are
 	// retained after its recovery. Running endpoints write their entries again within
 	// this time.
-	LapseHold time.Duration
+	RetentionAfterOutage time.Duration
 	// ColdStart returns the cold start time of a service's endpoints; nil means none.
 	// An endpoint in unknown state counts as just started.
 	ColdStart func(service string) time.Duration
@@ -76,17 +76,17 @@
 }
 
 // Returned records that the store recovered from an outage at now.
-func (d *Directory) Returned(now time.Time) { d.storeRecovered = now }
+func (d *Directory) StoreRecovered(now time.Time) { d.storeRecovered = now }
 
 // Put adds or updates an endpoint from its current store entry. It ignores an entry
 // of an earlier start.
 func (d *Directory) Put(e Entry, now time.Time) {
 	d.initMaps()
 	rec := d.entries[e.ID]
-	if rec != nil && e.Born < rec.endpoint.Born {
+	if rec != nil && e.StartMillis < rec.endpoint.StartMillis {
 		return
 	}
-	isNew := rec == nil || e.Born != rec.endpoint.Born
+	isNew := rec == nil || e.StartMillis != rec.endpoint.StartMillis
 	if isNew {
 		rec = &record{}
 		d.entries[e.ID] = rec
@@ -111,9 +111,9 @@
 		if other == rec || other.endpoint.Address != rec.endpoint.Address {
 			continue
 		}
-		if other.endpoint.Born < rec.endpoint.Born {
+		if other.endpoint.StartMillis < rec.endpoint.StartMillis {
 			other.replaced = true
-		} else if other.endpoint.Born > rec.endpoint.Born {
+		} else if other.endpoint.StartMillis > rec.endpoint.StartMillis {
 			rec.replaced = true
 		}
 	}
@@ -121,8 +121,8 @@
 
 // Misdirected records that another endpoint answered at the address of an endpoint:
 // the one that started at born is gone.
-func (d *Directory) Misdirected(id string, born uint64) {
-	if rec := d.entries[id]; rec != nil && rec.endpoint.Born == born {
+func (d *Directory) MarkMisdirected(id string, startMillis uint64) {
+	if rec := d.entries[id]; rec != nil && rec.endpoint.StartMillis == startMillis {
 		rec.replaced = true
 	}
 }
@@ -139,7 +139,7 @@
 	if rec == nil {
 		return
 	}
-	until := d.storeRecovered.Add(d.LapseHold)
+	until := d.storeRecovered.Add(d.RetentionAfterOutage)
 	if d.storeRecovered.IsZero() || !now.Before(until) || rec.endpoint.Draining {
 		delete(d.entries, id)
 		return
@@ -158,13 +158,13 @@
 
 // Lapsed reports whether the retention of a vanished entry has ended since the last
 // call of Endpoints.
-func (d *Directory) Lapsed(now time.Time) bool {
+func (d *Directory) RetentionExpired(now time.Time) bool {
 	return !d.nextExpiry.IsZero() && !now.Before(d.nextExpiry)
 }
 
 // Whole applies a full listing of the store: entries whose IDs are not in ids have
 // vanished.
-func (d *Directory) Whole(ids map[string]bool, now time.Time) {
+func (d *Directory) ApplyListing(ids map[string]bool, now time.Time) {
 	d.initMaps()
 	for _, id := range d.ids() {
 		if !ids[id] {
@@ -176,7 +176,7 @@
 
 // SetOut takes a data centre out of service or puts it back. Endpoints of a data
 // centre that is put back may have become cold unnoticed, so they count as cold.
-func (d *Directory) SetOut(dataCentre string, out bool, now time.Time) {
+func (d *Directory) SetOutOfService(dataCentre string, out bool, now time.Time) {
 	d.initMaps()
 	if d.outOfService[dataCentre] == out {
 		return
@@ -193,7 +193,7 @@
 }
 
 // Outs returns the data centres that are out of service, sorted by name.
-func (d *Directory) Outs() []string {
+func (d *Directory) OutOfService() []string {
 	var out []string
 	for dc, isOut := range d.outOfService {
 		if isOut {
@@ -205,7 +205,7 @@
 }
 
 // Turned records that an endpoint reported how much longer it is cold.
-func (d *Directory) Turned(id string, cold time.Duration, now time.Time) {
+func (d *Directory) ExtendColdStart(id string, cold time.Duration, now time.Time) {
 	if rec := d.entries[id]; rec != nil {
 		rec.endpoint.ColdUntil = latest(rec.endpoint.ColdUntil, now.Add(cold))
 	}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -8,14 +8,14 @@
 
 var start = time.Unix(10000, 0)
 
-func entry(id string, born uint64, addr string) Entry {
-	return Entry{ID: id, Born: born, Service: "quotes", Address: addr, DataCentre: "a", Slots: 4}
+func entry(id string, startMillis uint64, addr string) Entry {
+	return Entry{ID: id, StartMillis: startMillis, Service: "quotes", Address: addr, DataCentre: "a", Slots: 4}
 }
 
 func newDirectory() *Directory {
 	return &Directory{
-		LapseHold: 2 * time.Second,
-		ColdStart: func(string) time.Duration { return 3 * time.Second },
+		RetentionAfterOutage: 2 * time.Second,
+		ColdStart:            func(string) time.Duration { return 3 * time.Second },
 	}
 }
 
@@ -42,7 +42,7 @@
 	d.Put(entry("x", 1, "1:1"), start)
 	d.Put(entry("y", 1, "2:1"), start)
 	recovered := start.Add(10 * time.Second)
-	d.Returned(recovered)
+	d.StoreRecovered(recovered)
 	d.Remove("x", recovered)
 	d.Remove("y", recovered)
 	wantIDs(t, d, recovered.Add(1900*time.Millisecond), "x", "y")
@@ -67,7 +67,7 @@
 	e.Draining = true
 	d.Put(e, start)
 	wantIDs(t, d, start)
-	d.Returned(start)
+	d.StoreRecovered(start)
 	d.Remove("x", start)
 	if d.Len() != 0 {
 		t.Fatal("the vanished entry of a draining endpoint is retained")
@@ -95,7 +95,7 @@
 func TestMisdirectedEndpointIsUnusableUntilRestart(t *testing.T) {
 	d := newDirectory()
 	d.Put(entry("x", 1, "1:1"), start)
-	d.Misdirected("x", 1)
+	d.MarkMisdirected("x", 1)
 	wantIDs(t, d, start)
 	d.Put(entry("x", 1, "1:1"), start)
 	wantIDs(t, d, start)
@@ -124,7 +124,7 @@
 	}
 	t.Run("an endpoint that starts after the first listing is cold whatever its entry says", func(t *testing.T) {
 		d := newDirectory()
-		d.Whole(nil, start)
+		d.ApplyListing(nil, start)
 		d.Put(entry("x", 1, "1:1"), start)
 		if !coldAt(d, "x", start.Add(2900*time.Millisecond)) || coldAt(d, "x", start.Add(3100*time.Millisecond)) {
 			t.Fatal("not cold for exactly the cold start time")
@@ -133,7 +133,7 @@
 	t.Run("an endpoint of the first listing is not cold", func(t *testing.T) {
 		d := newDirectory()
 		d.Put(entry("x", 1, "1:1"), start)
-		d.Whole(map[string]bool{"x": true}, start)
+		d.ApplyListing(map[string]bool{"x": true}, start)
 		if coldAt(d, "x", start) {
 			t.Fatal("cold")
 		}
@@ -141,7 +141,7 @@
 	t.Run("an endpoint that reports a cold start is cold", func(t *testing.T) {
 		d := newDirectory()
 		d.Put(entry("x", 1, "1:1"), start)
-		d.Turned("x", time.Second, start)
+		d.ExtendColdStart("x", time.Second, start)
 		if !coldAt(d, "x", start.Add(900*time.Millisecond)) {
 			t.Fatal("not cold")
 		}
@@ -149,9 +149,9 @@
 	t.Run("endpoints of a data centre that is put back into service are cold", func(t *testing.T) {
 		d := newDirectory()
 		d.Put(entry("x", 1, "1:1"), start)
-		d.SetOut("a", true, start)
+		d.SetOutOfService("a", true, start)
 		wantIDs(t, d, start)
-		d.SetOut("a", false, start.Add(time.Minute))
+		d.SetOutOfService("a", false, start.Add(time.Minute))
 		if !coldAt(d, "x", start.Add(time.Minute)) {
 			t.Fatal("not cold")
 		}
--- a/internal/fleet/document/holder.go
+++ b/internal/fleet/document/holder.go
@@ -33,7 +33,7 @@
 }
 
 // Packed is a version encoded for transfer to another process.
-type Packed struct {
+type Encoded struct {
 	Revision int64
 	// Base is the revision of the version that Bytes is the difference from, or 0 if
 	// Bytes is the full value.
@@ -42,47 +42,47 @@
 }
 
 // Holder holds the newest versions of one value. It is safe for concurrent use.
-type Holder struct {
+type Versions struct {
 	mu sync.Mutex // guards all below
 	// versions are sorted by revision.
 	versions []Version
 	// packedByBase caches the encodings of the newest version by the revision of the
 	// base.
-	packedByBase map[int64]Packed
+	encodedByBase map[int64]Encoded
 }
 
 // Put adds a version if it is newer than all others, and reports whether it is.
-func (h *Holder) Put(v Version) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if v.Revision <= h.newest().Revision {
+func (vs *Versions) Put(v Version) bool {
+	vs.mu.Lock()
+	defer vs.mu.Unlock()
+	if v.Revision <= vs.newest().Revision {
 		return false
 	}
-	h.versions = append(h.versions, v)
-	if n := len(h.versions) - 1 - maxPastVersions; n > 0 {
-		h.versions = append([]Version(nil), h.versions[n:]...)
+	vs.versions = append(vs.versions, v)
+	if n := len(vs.versions) - 1 - maxPastVersions; n > 0 {
+		vs.versions = append([]Version(nil), vs.versions[n:]...)
 	}
-	h.packedByBase = map[int64]Packed{}
+	vs.encodedByBase = map[int64]Encoded{}
 	return true
 }
 
 // Newest returns the newest version. Its revision is 0 if there is none.
-func (h *Holder) Newest() Version {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.newest()
+func (vs *Versions) Newest() Version {
+	vs.mu.Lock()
+	defer vs.mu.Unlock()
+	return vs.newest()
 }
 
-func (h *Holder) newest() Version {
-	if len(h.versions) == 0 {
+func (vs *Versions) newest() Version {
+	if len(vs.versions) == 0 {
 		return Version{}
 	}
-	return h.versions[len(h.versions)-1]
+	return vs.versions[len(vs.versions)-1]
 }
 
 // find returns the version at a revision, or the zero Version if it isn't kept.
-func (h *Holder) find(revision int64) Version {
-	for _, v := range h.versions {
+func (vs *Versions) find(revision int64) Version {
+	for _, v := range vs.versions {
 		if v.Revision == revision {
 			return v
 		}
@@ -93,39 +93,39 @@
 // Pack returns the newest version encoded for a receiver that holds the version at the
 // revision held, or no version if held is 0. Bytes is empty if the receiver's version
 // isn't older. The result is cached for other receivers of the same version.
-func (h *Holder) Pack(held int64) (Packed, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	v, base := h.newest(), h.find(held)
+func (vs *Versions) Pack(held int64) (Encoded, error) {
+	vs.mu.Lock()
+	defer vs.mu.Unlock()
+	v, base := vs.newest(), vs.find(held)
 	if v.Revision <= held {
-		return Packed{Revision: v.Revision, Base: v.Revision}, nil
+		return Encoded{Revision: v.Revision, Base: v.Revision}, nil
 	}
-	if p, ok := h.packedByBase[base.Revision]; ok {
-		return p, nil
+	if e, ok := vs.encodedByBase[base.Revision]; ok {
+		return e, nil
 	}
 	b, err := pack(v.Value, base.Value)
 	if err != nil {
-		return Packed{}, err
+		return Encoded{}, err
 	}
-	p := Packed{Revision: v.Revision, Base: base.Revision, Bytes: b}
-	h.packedByBase[base.Revision] = p
-	return p, nil
+	e := Encoded{Revision: v.Revision, Base: base.Revision, Bytes: b}
+	vs.encodedByBase[base.Revision] = e
+	return e, nil
 }
 
 // Unpack decodes a version that another process has packed. It fails with
 // result.DocumentUnreadable if the base isn't held or the data is corrupt.
-func (h *Holder) Unpack(p Packed) (Version, error) {
-	h.mu.Lock()
-	base := h.find(p.Base)
-	h.mu.Unlock()
-	if base.Revision != p.Base {
-		return Version{}, result.Newf(result.DocumentUnreadable, "base revision %d is not held", p.Base)
-	}
-	value, err := unpack(p.Bytes, base.Value)
+func (vs *Versions) Unpack(e Encoded) (Version, error) {
+	vs.mu.Lock()
+	base := vs.find(e.Base)
+	vs.mu.Unlock()
+	if base.Revision != e.Base {
+		return Version{}, result.Newf(result.DocumentUnreadable, "base revision %d is not held", e.Base)
+	}
+	value, err := unpack(e.Bytes, base.Value)
 	if err != nil {
-		return Version{}, result.Newf(result.DocumentUnreadable, "revision %d: %v", p.Revision, err)
+		return Version{}, result.Newf(result.DocumentUnreadable, "revision %d: %v", e.Revision, err)
 	}
-	return Version{Revision: p.Revision, Value: value}, nil
+	return Version{Revision: e.Revision, Value: value}, nil
 }
 
 // pack compresses a value with base as its dictionary, if that isn't empty, and adds a
--- a/internal/fleet/document/holder_test.go
+++ b/internal/fleet/document/holder_test.go
@@ -27,13 +27,13 @@
 
 // transfer transfers the newest version from one holder to another and returns the
 // number of bytes transferred.
-func transfer(t *testing.T, from, to *Holder) int {
+func transfer(t *testing.T, from, to *Versions) int {
 	t.Helper()
-	p, err := from.Pack(to.Newest().Revision)
+	e, err := from.Pack(to.Newest().Revision)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v, err := to.Unpack(p)
+	v, err := to.Unpack(e)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,14 +41,14 @@
 		t.Fatalf("revision %d of %d bytes arrives as %d of %d bytes", want.Revision, len(want.Value), v.Revision, len(v.Value))
 	}
 	to.Put(v)
-	return len(p.Bytes)
+	return len(e.Bytes)
 }
 
 // One route of a configuration changes repeatedly. Guards against changes whose transfer
 // costs as much as the full value.
 func TestDifferenceIsSmall(t *testing.T) {
 	for _, routes := range []int{240, 1500, 15000} {
-		from, to := &Holder{}, &Holder{}
+		from, to := &Versions{}, &Versions{}
 		from.Put(Version{Revision: 5, Value: document(routes, 1)})
 		fullBytes := transfer(t, from, to)
 		if wantMax := len(from.Newest().Value) / 6; fullBytes > wantMax {
@@ -66,14 +66,14 @@
 // The sender doesn't have the version that the receiver holds: it is no longer kept, or
 // was never there. Guards against a difference that the receiver can't decode.
 func TestReceiverFarBehindGetsFullVersion(t *testing.T) {
-	from, to := &Holder{}, &Holder{}
+	from, to := &Versions{}, &Versions{}
 	from.Put(Version{Revision: 1, Value: document(50, 1)})
 	transfer(t, from, to)
 	for r := 2; r < 20; r++ {
 		from.Put(Version{Revision: int64(r), Value: document(50, r)})
 	}
-	if p, err := from.Pack(1); err != nil || p.Base != 0 {
-		t.Fatalf("packed as the difference from %d (%v), want the full value", p.Base, err)
+	if e, err := from.Pack(1); err != nil || e.Base != 0 {
+		t.Fatalf("packed as the difference from %d (%v), want the full value", e.Base, err)
 	}
 	transfer(t, from, to)
 	if len(from.versions) != 1+maxPastVersions {
@@ -83,18 +83,18 @@
 
 // Guards against a difference that is decoded with another value than its base.
 func TestUnpackNeedsTheBase(t *testing.T) {
-	from, to := &Holder{}, &Holder{}
+	from, to := &Versions{}, &Versions{}
 	from.Put(Version{Revision: 1, Value: document(200, 1)})
 	from.Put(Version{Revision: 2, Value: document(200, 2)})
-	p, err := from.Pack(1)
+	e, err := from.Pack(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := to.Unpack(p); err == nil {
+	if _, err := to.Unpack(e); err == nil {
 		t.Error("unpacked without its base")
 	}
 	to.Put(Version{Revision: 1, Value: document(200, 100)})
-	if v, err := to.Unpack(p); err == nil && bytes.Equal(v.Value, from.Newest().Value) {
+	if v, err := to.Unpack(e); err == nil && bytes.Equal(v.Value, from.Newest().Value) {
 		t.Error("unpacked to the right value from the wrong base")
 	} else if err == nil {
 		t.Error("unpacked to a wrong value without an error")
@@ -103,18 +103,18 @@
 
 // Guards against a version that replaces a newer one.
 func TestPutKeepsTheNewestVersion(t *testing.T) {
-	h := &Holder{}
-	if h.Newest().Revision != 0 {
+	vs := &Versions{}
+	if vs.Newest().Revision != 0 {
 		t.Error("an empty holder has a version")
 	}
-	if p, err := h.Pack(0); err != nil || p.Revision != 0 || len(p.Bytes) > 0 {
-		t.Errorf("an empty holder packs %+v (%v)", p, err)
+	if e, err := vs.Pack(0); err != nil || e.Revision != 0 || len(e.Bytes) > 0 {
+		t.Errorf("an empty holder packs %+v (%v)", e, err)
 	}
-	if !h.Put(Version{Revision: 4}) || h.Put(Version{Revision: 3}) || h.Put(Version{Revision: 4}) {
+	if !vs.Put(Version{Revision: 4}) || vs.Put(Version{Revision: 3}) || vs.Put(Version{Revision: 4}) {
 		t.Error("a version that isn't newer is accepted")
 	}
-	if p, err := h.Pack(4); err != nil || p.Revision != 4 || len(p.Bytes) > 0 {
-		t.Errorf("a receiver that holds the newest version gets %+v (%v)", p, err)
+	if e, err := vs.Pack(4); err != nil || e.Revision != 4 || len(e.Bytes) > 0 {
+		t.Errorf("a receiver that holds the newest version gets %+v (%v)", e, err)
 	}
 }
 
@@ -141,18 +141,18 @@
 // Bytes are corrupted in transfer. Guards against a configuration that was never written.
 func TestUnpackRejectsCorruptedData(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 5))
-	from := &Holder{}
+	from := &Versions{}
 	from.Put(Version{Revision: 1, Value: document(240, 1)})
 	from.Put(Version{Revision: 2, Value: document(240, 2)})
 	for _, held := range []int64{0, 1} {
-		p, err := from.Pack(held)
+		e, err := from.Pack(held)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range 300 {
-			corrupted := p
-			corrupted.Bytes = bytes.Clone(p.Bytes)
-			corrupted.Bytes[rng.IntN(len(p.Bytes))] ^= byte(1 + rng.IntN(255))
+			corrupted := e
+			corrupted.Bytes = bytes.Clone(e.Bytes)
+			corrupted.Bytes[rng.IntN(len(e.Bytes))] ^= byte(1 + rng.IntN(255))
 			if v, err := from.Unpack(corrupted); err == nil && !bytes.Equal(v.Value, from.Newest().Value) {
 				t.Fatalf("difference from %d: a corrupted value of %d bytes is accepted", held, len(v.Value))
 			}
--- a/internal/fleet/document/pace.go
+++ b/internal/fleet/document/pace.go
@@ -12,7 +12,7 @@
 // once and without a limit, its link would be saturated for a second. Urgent messages
 // to all of them, such as the removal of an endpoint or of a key, would be queued behind
 // the copies.
-type Pace struct {
+type Pacer struct {
 	// BytesPerSecond is the bandwidth available to copies.
 	BytesPerSecond float64
 
@@ -21,7 +21,7 @@
 }
 
 // Wait returns the delay that Take would return for the next copy.
-func (p *Pace) Wait(now time.Time) time.Duration {
+func (p *Pacer) Delay(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(0, p.freeAt.Sub(now))
@@ -29,7 +29,7 @@
 
 // Take reserves bandwidth for a copy of n bytes and returns the delay after which it is
 // to be sent.
-func (p *Pace) Take(n int, now time.Time) time.Duration {
+func (p *Pacer) Reserve(n int, now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	wait := max(0, p.freeAt.Sub(now))
--- a/internal/fleet/document/sender.go
+++ b/internal/fleet/document/sender.go
@@ -18,16 +18,16 @@
 
 // Copy is the newest version, to be sent after the delay After.
 type Copy struct {
-	Packed Packed
-	After  time.Duration
+	Encoded Encoded
+	Delay   time.Duration
 }
 
 // Elsewhere redirects a request to the address of a process that was sent the newest
 // version.
-type Elsewhere struct{ Address string }
+type Redirect struct{ Address string }
 
-func (Copy) isAnswer()      {}
-func (Elsewhere) isAnswer() {}
+func (Copy) isAnswer()     {}
+func (Redirect) isAnswer() {}
 
 // Sender answers requests for the newest version with a copy or a redirect. Set the
 // exported fields before the first call. It is safe for concurrent use.
@@ -37,8 +37,8 @@
 // wait is redirected to a process that was already sent a copy, so that the number of
 // possible sources doubles with each transmission time of a copy.
 type Sender struct {
-	Holder *Holder
-	Pace   *Pace
+	Versions *Versions
+	Pacer    *Pacer
 
 	mu sync.Mutex // guards all below
 	// recipients are the addresses to which the version at revision was sent, and next
@@ -50,25 +50,25 @@
 
 // Ask answers a request from the process at addr, which holds the version at the
 // revision held, or none if held is 0. It fails if the version can't be encoded.
-func (s *Sender) Ask(addr string, held int64, now time.Time) (Answer, error) {
-	p, err := s.Holder.Pack(held)
+func (s *Sender) Answer(addr string, held int64, now time.Time) (Answer, error) {
+	e, err := s.Versions.Pack(held)
 	if err != nil {
 		return nil, err
 	}
-	if len(p.Bytes) == 0 {
-		return Copy{Packed: p}, nil
+	if len(e.Bytes) == 0 {
+		return Copy{Encoded: e}, nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p.Revision != s.revision {
-		s.revision, s.recipients, s.next = p.Revision, nil, 0
+	if e.Revision != s.revision {
+		s.revision, s.recipients, s.next = e.Revision, nil, 0
 	}
-	if len(s.recipients) > 0 && s.Pace.Wait(now) > maxQueueDelay {
+	if len(s.recipients) > 0 && s.Pacer.Delay(now) > maxQueueDelay {
 		s.next = (s.next + 1) % len(s.recipients)
-		return Elsewhere{Address: s.recipients[s.next]}, nil
+		return Redirect{Address: s.recipients[s.next]}, nil
 	}
 	if len(s.recipients) < maxRecipients {
 		s.recipients = append(s.recipients, addr)
 	}
-	return Copy{Packed: p, After: s.Pace.Take(len(p.Bytes), now)}, nil
+	return Copy{Encoded: e, Delay: s.Pacer.Reserve(len(e.Bytes), now)}, nil
 }
--- a/internal/fleet/document/sender_test.go
+++ b/internal/fleet/document/sender_test.go
@@ -24,9 +24,9 @@
 // node is an entry of the model. Its link sends messages in the order of the calls of
 // send.
 type node struct {
-	holder Holder
-	pace   Pace
-	sender Sender
+	versions Versions
+	pacer    Pacer
+	sender   Sender
 	// linkFreeAt is the end of the transmission of all messages so far.
 	linkFreeAt time.Time
 	// nextRequest is the time of the next request, source the index of the node that
@@ -56,13 +56,13 @@
 func newModel(entries int, base, value []byte) *model {
 	m := &model{now: time.Unix(1000, 0)}
 	for i := range entries {
-		n := &node{pace: Pace{BytesPerSecond: linkFraction * linkRate}, nextRequest: m.now}
-		n.sender = Sender{Holder: &n.holder, Pace: &n.pace}
+		n := &node{pacer: Pacer{BytesPerSecond: linkFraction * linkRate}, nextRequest: m.now}
+		n.sender = Sender{Versions: &n.versions, Pacer: &n.pacer}
 		if base != nil {
-			n.holder.Put(Version{Revision: 1, Value: base})
+			n.versions.Put(Version{Revision: 1, Value: base})
 		}
 		if i == 0 {
-			n.holder.Put(Version{Revision: 2, Value: value})
+			n.versions.Put(Version{Revision: 2, Value: value})
 			n.heldFrom = m.now
 		}
 		m.nodes = append(m.nodes, n)
@@ -83,15 +83,15 @@
 			n.source, n.nextRequest = 0, m.now.Add(retryDelay)
 			continue
 		}
-		a, err := from.sender.Ask(fmt.Sprint(i), n.holder.Newest().Revision, m.now)
+		a, err := from.sender.Answer(fmt.Sprint(i), n.versions.Newest().Revision, m.now)
 		if err != nil {
 			t.Fatal(err)
 		}
 		switch a := a.(type) {
 		case Copy:
-			n.heldFrom = from.send(len(a.Packed.Bytes), m.now.Add(a.After)).Add(hopLatency)
-			n.holder.Put(Version{Revision: 2, Value: m.nodes[0].holder.Newest().Value})
-		case Elsewhere:
+			n.heldFrom = from.send(len(a.Encoded.Bytes), m.now.Add(a.Delay)).Add(hopLatency)
+			n.versions.Put(Version{Revision: 2, Value: m.nodes[0].versions.Newest().Value})
+		case Redirect:
 			if _, err := fmt.Sscan(a.Address, &n.source); err != nil {
 				t.Fatal(err)
 			}
@@ -154,11 +154,11 @@
 // has no copy of the newest version.
 func TestSenderRedirectsInsteadOfQueueing(t *testing.T) {
 	now := time.Unix(1000, 0)
-	h := &Holder{}
-	h.Put(Version{Revision: 1, Value: document(1500, 1)})
-	s := &Sender{Holder: h, Pace: &Pace{BytesPerSecond: 100e3}}
+	vs := &Versions{}
+	vs.Put(Version{Revision: 1, Value: document(1500, 1)})
+	s := &Sender{Versions: vs, Pacer: &Pacer{BytesPerSecond: 100e3}}
 	ask := func(asker string) Answer {
-		a, err := s.Ask(asker, 0, now)
+		a, err := s.Answer(asker, 0, now)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -169,7 +169,7 @@
 	}
 	redirects := []string{}
 	for range 4 {
-		if e, ok := ask("b").(Elsewhere); ok {
+		if e, ok := ask("b").(Redirect); ok {
 			redirects = append(redirects, e.Address)
 		}
 	}
@@ -180,7 +180,7 @@
 	if _, ok := ask("b").(Copy); !ok {
 		t.Error("redirected though the link is free")
 	}
-	h.Put(Version{Revision: 2, Value: document(1500, 2)})
+	vs.Put(Version{Revision: 2, Value: document(1500, 2)})
 	if _, ok := ask("c").(Copy); !ok {
 		t.Error("redirected to a process that has the previous version")
 	}
--- a/internal/fleet/fanout/tree.go
+++ b/internal/fleet/fanout/tree.go
@@ -12,22 +12,22 @@
 const (
 	// FewEntries is the largest number of entries to which loads, and the entries'
 	// reports of their work, are sent directly.
-	FewEntries = 10
+	MaxDirectEntries = 10
 	// BunchEntries is the largest size of a bunch of entries in a larger fleet, in
 	// which one entry forwards these messages within its data centre.
-	BunchEntries = 64
+	MaxSubgroupEntries = 64
 )
 
 // Bunch is a set of processes of one data centre that are reached through one of them.
-type Bunch []fleet.Member
+type Subgroup []fleet.Member
 
 // Tree splits processes into bunches and records which of them failed as delegates.
 // Set the exported fields before the first call. It is safe for concurrent use.
 type Tree struct {
 	// Direct is the largest number of processes that are each reached directly.
-	Direct int
+	MaxDirect int
 	// Most is the largest size of a bunch.
-	Most int
+	MaxSize int
 
 	mu       sync.Mutex // guards failed
 	failedAt map[string]time.Time
@@ -36,31 +36,31 @@
 // Bunches splits processes into bunches, each within one data centre and those of a
 // data centre of about equal sizes. Up to Direct processes become bunches of one. The
 // result doesn't depend on the order of the processes.
-func (t *Tree) Bunches(processes []fleet.Member) []Bunch {
+func (t *Tree) Subgroups(processes []fleet.Member) []Subgroup {
 	sorted := slices.SortedFunc(slices.Values(processes), func(a, b fleet.Member) int {
 		return cmp.Or(cmp.Compare(a.DataCentre, b.DataCentre), cmp.Compare(a.Name, b.Name))
 	})
-	if len(sorted) <= t.Direct {
+	if len(sorted) <= t.MaxDirect {
 		return split(sorted, 1)
 	}
-	var out []Bunch
+	var out []Subgroup
 	for len(sorted) > 0 {
 		n := 1
 		for n < len(sorted) && sorted[n].DataCentre == sorted[0].DataCentre {
 			n++
 		}
-		out = append(out, split(sorted[:n], t.Most)...)
+		out = append(out, split(sorted[:n], t.MaxSize)...)
 		sorted = sorted[n:]
 	}
 	return out
 }
 
 // split returns bunches of at most maxSize members, whose sizes differ by at most one.
-func split(processes []fleet.Member, maxSize int) []Bunch {
-	bunches := (len(processes) + maxSize - 1) / maxSize
-	out := make([]Bunch, 0, bunches)
-	for i := range bunches {
-		out = append(out, processes[i*len(processes)/bunches:(i+1)*len(processes)/bunches])
+func split(processes []fleet.Member, maxSize int) []Subgroup {
+	subgroups := (len(processes) + maxSize - 1) / maxSize
+	out := make([]Subgroup, 0, subgroups)
+	for i := range subgroups {
+		out = append(out, processes[i*len(processes)/subgroups:(i+1)*len(processes)/subgroups])
 	}
 	return out
 }
@@ -72,14 +72,14 @@
 // A delegate that froze or was unreachable for some seconds is used again only after
 // all others have failed. Were it retried after a fixed time, its whole bunch would be
 // unreachable with each retry that fails.
-func (t *Tree) Delegate(b Bunch) fleet.Member {
+func (t *Tree) Delegate(s Subgroup) fleet.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.MinFunc(b, func(a, b fleet.Member) int { return t.failedAt[a.Name].Compare(t.failedAt[b.Name]) })
+	return slices.MinFunc(s, func(a, b fleet.Member) int { return t.failedAt[a.Name].Compare(t.failedAt[b.Name]) })
 }
 
 // Failed records that a delegate did not answer.
-func (t *Tree) Failed(name string, now time.Time) {
+func (t *Tree) NoteFailure(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.failedAt == nil {
--- a/internal/fleet/fanout/tree_test.go
+++ b/internal/fleet/fanout/tree_test.go
@@ -20,20 +20,20 @@
 	return out
 }
 
-func checkBunches(t *testing.T, processes []fleet.Member, bunches []Bunch, maxSize int) {
+func checkSubgroups(t *testing.T, processes []fleet.Member, subgroups []Subgroup, maxSize int) {
 	t.Helper()
 	dataCentreOf := map[string]string{}
 	for _, p := range processes {
 		dataCentreOf[p.Name] = p.DataCentre
 	}
 	seen := map[string]bool{}
-	for _, b := range bunches {
-		if len(b) == 0 || len(b) > maxSize {
-			t.Errorf("a bunch has %d members, want 1 to %d", len(b), maxSize)
+	for _, s := range subgroups {
+		if len(s) == 0 || len(s) > maxSize {
+			t.Errorf("a bunch has %d members, want 1 to %d", len(s), maxSize)
 		}
-		for _, m := range b {
-			if seen[m.Name] || dataCentreOf[m.Name] != dataCentreOf[b[0].Name] {
-				t.Errorf("%s of %s is in the bunch %v, before: %v", m.Name, dataCentreOf[m.Name], b, seen[m.Name])
+		for _, m := range s {
+			if seen[m.Name] || dataCentreOf[m.Name] != dataCentreOf[s[0].Name] {
+				t.Errorf("%s of %s is in the bunch %v, before: %v", m.Name, dataCentreOf[m.Name], s, seen[m.Name])
 			}
 			seen[m.Name] = true
 		}
@@ -45,9 +45,9 @@
 
 // Guards against a process in no bunch, which is never reached, or in two bunches, for
 // which two delegates answer, at any size of a group.
-func TestEachProcessIsInOneBunch(t *testing.T) {
-	tree := &Tree{Direct: 16, Most: 13}
-	for _, c := range []struct{ processes, dataCentres, maxSize, bunches int }{
+func TestEachProcessIsInOneSubgroup(t *testing.T) {
+	tree := &Tree{MaxDirect: 16, MaxSize: 13}
+	for _, c := range []struct{ processes, dataCentres, maxSize, subgroups int }{
 		{0, 1, 0, 0},
 		{1, 1, 1, 1},
 		{11, 3, 1, 11},
@@ -60,13 +60,13 @@
 	} {
 		t.Run(fmt.Sprintf("%d in %d", c.processes, c.dataCentres), func(t *testing.T) {
 			ps := processes(c.processes, c.dataCentres)
-			bunches := tree.Bunches(ps)
-			checkBunches(t, ps, bunches, c.maxSize)
-			if len(bunches) != c.bunches {
-				t.Errorf("%d bunches, want %d", len(bunches), c.bunches)
+			subgroups := tree.Subgroups(ps)
+			checkSubgroups(t, ps, subgroups, c.maxSize)
+			if len(subgroups) != c.subgroups {
+				t.Errorf("%d bunches, want %d", len(subgroups), c.subgroups)
 			}
 			slices.Reverse(ps)
-			if again := tree.Bunches(ps); fmt.Sprint(again) != fmt.Sprint(bunches) {
+			if again := tree.Subgroups(ps); fmt.Sprint(again) != fmt.Sprint(subgroups) {
 				t.Error("the bunches depend on the order of the processes")
 			}
 		})
@@ -76,13 +76,13 @@
 // Guards against a bunch that is repeatedly unreachable because a frozen delegate is
 // retried.
 func TestFailedDelegateComesLast(t *testing.T) {
-	tree := &Tree{Direct: 1, Most: 3}
-	b := tree.Bunches(processes(3, 1))[0]
+	tree := &Tree{MaxDirect: 1, MaxSize: 3}
+	s := tree.Subgroups(processes(3, 1))[0]
 	want := []string{"p000", "p001", "p002", "p000", "p001"}
 	for i, name := range want {
-		if d := tree.Delegate(b).Name; d != name {
+		if d := tree.Delegate(s).Name; d != name {
 			t.Fatalf("after %d failures the delegate is %s, want %s", i, d, name)
 		}
-		tree.Failed(tree.Delegate(b).Name, start.Add(time.Duration(i)*time.Second))
+		tree.NoteFailure(tree.Delegate(s).Name, start.Add(time.Duration(i)*time.Second))
 	}
 }
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -15,7 +15,7 @@
 
 // Lists caches lists of targets by name, so that messages sent several times a second
 // need not contain them. It is safe for concurrent use.
-type Lists struct {
+type TargetLists struct {
 	mu     sync.Mutex
 	byName map[uint64][]*fleetpb.Target
 }
@@ -23,7 +23,7 @@
 // Learn returns the targets of a message that names its list by id. Targets contained
 // in the message are cached under id; a message without targets gets those cached
 // under id, or nil if there are none.
-func (l *Lists) Learn(id uint64, targets []*fleetpb.Target) []*fleetpb.Target {
+func (l *TargetLists) Resolve(id uint64, targets []*fleetpb.Target) []*fleetpb.Target {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(targets) == 0 {
@@ -37,7 +37,7 @@
 }
 
 // ListName returns a hash of the targets, in their order, which names the list.
-func ListName(targets []*fleetpb.Target) uint64 {
+func TargetListHash(targets []*fleetpb.Target) uint64 {
 	h := xxhash.New()
 	writeString := func(s string) {
 		var size [4]byte
@@ -56,27 +56,27 @@
 
 // Told records the list that was last sent to each process. It is safe for concurrent
 // use.
-type Told struct {
+type SentLists struct {
 	mu    sync.Mutex
 	lists map[string]uint64
 }
 
 // Knows reports whether the list was the last one sent to a process, and records it as
 // sent.
-func (t *Told) Knows(process string, list uint64) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.lists == nil {
-		t.lists = map[string]uint64{}
+func (s *SentLists) MarkSent(process string, list uint64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.lists == nil {
+		s.lists = map[string]uint64{}
 	}
-	known, ok := t.lists[process]
-	t.lists[process] = list
+	known, ok := s.lists[process]
+	s.lists[process] = list
 	return ok && known == list
 }
 
 // Forget records that a process may not have the list that was sent to it.
-func (t *Told) Forget(process string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	delete(t.lists, process)
+func (s *SentLists) Forget(process string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.lists, process)
 }
--- a/internal/fleet/lists_test.go
+++ b/internal/fleet/lists_test.go
@@ -11,22 +11,22 @@
 func TestListsAreRememberedByName(t *testing.T) {
 	one := []*fleetpb.Target{{Agent: "a", Address: "1:1", Endpoint: "1:2"}}
 	two := []*fleetpb.Target{{Agent: "a1", Address: ":1", Endpoint: "1:2"}}
-	if ListName(one) == ListName(two) || ListName(one) != ListName(one[:1]) {
+	if TargetListHash(one) == TargetListHash(two) || TargetListHash(one) != TargetListHash(one[:1]) {
 		t.Fatal("the name of a list isn't a function of its targets")
 	}
-	l := &Lists{}
-	name := ListName(one)
-	if l.Learn(name, nil) != nil {
+	l := &TargetLists{}
+	name := TargetListHash(one)
+	if l.Resolve(name, nil) != nil {
 		t.Error("a list that was never received is found")
 	}
-	if got := l.Learn(name, one); len(got) != 1 {
+	if got := l.Resolve(name, one); len(got) != 1 {
 		t.Error("a received list isn't returned")
 	}
-	if got := l.Learn(name, nil); len(got) != 1 || got[0] != one[0] {
+	if got := l.Resolve(name, nil); len(got) != 1 || got[0] != one[0] {
 		t.Error("a list received earlier isn't found")
 	}
 	for i := range uint64(2 * maxLists) {
-		l.Learn(i, one)
+		l.Resolve(i, one)
 	}
 	if len(l.byName) > maxLists {
 		t.Errorf("%d lists are cached", len(l.byName))
@@ -36,11 +36,11 @@
 // Guards against targets that are sent with each message, or never to a process that
 // has restarted.
 func TestListsAreSentOncePerProcess(t *testing.T) {
-	told := &Told{}
-	if told.Knows("p", 0) || !told.Knows("p", 0) || told.Knows("p", 8) {
+	sent := &SentLists{}
+	if sent.MarkSent("p", 0) || !sent.MarkSent("p", 0) || sent.MarkSent("p", 8) {
 		t.Error("a list is not sent exactly once")
 	}
-	if told.Forget("p"); told.Knows("p", 8) {
+	if sent.Forget("p"); sent.MarkSent("p", 8) {
 		t.Error("a list is not sent again to a process that lacks it")
 	}
 }
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -81,7 +81,7 @@
 	// LeaseTime is the time after which a process that no longer renews its lease
 	// counts as gone. A dead process that is still listed does little harm, so the
 	// time is long and renewals cost few calls.
-	LeaseTime = 9 * time.Second
+	LeaseTTL = 9 * time.Second
 	// minRetryDelay is the delay after a failed call. It doubles with each further
 	// failure, up to maxRetryDelay.
 	minRetryDelay = 500 * time.Millisecond
@@ -96,11 +96,11 @@
 	Store  Store
 	Member Member
 	// Failed, if set, is called with the error of each failed call.
-	Failed func(error)
+	OnError func(error)
 	// Returned, if set, is called when a call succeeds after others failed.
-	Returned func()
+	OnRecovered func()
 	// Doubt is raised when leases may have expired; the lease is then renewed at once.
-	Doubt *wake.Signal
+	RenewNow *wake.Signal
 }
 
 // Run keeps the key registered until ctx ends, and then revokes its lease. It always
@@ -118,7 +118,7 @@
 	var lease platform.LeaseID
 	failed, retryDelay := false, minRetryDelay
 	for ctx.Err() == nil {
-		delay := LeaseTime / 3
+		delay := LeaseTTL / 3
 		var err error
 		if lease == 0 {
 			lease, err = r.register(ctx)
@@ -132,8 +132,8 @@
 		} else {
 			retryDelay = minRetryDelay
 		}
-		if failed && err == nil && r.Returned != nil {
-			r.Returned()
+		if failed && err == nil && r.OnRecovered != nil {
+			r.OnRecovered()
 		}
 		failed = err != nil
 		r.wait(ctx, delay)
@@ -154,15 +154,15 @@
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
-	case <-r.Doubt.Raised():
+	case <-r.RenewNow.Raised():
 	case <-t.C:
 	case <-ctx.Done():
 	}
 }
 
 func (r *Registrar) reportFailure(err error) {
-	if r.Failed != nil {
-		r.Failed(err)
+	if r.OnError != nil {
+		r.OnError(err)
 	}
 }
 
@@ -170,7 +170,7 @@
 // process of the same name. The expiry of that process's lease doesn't delete the key,
 // because a key belongs to the lease of its last write.
 func (r *Registrar) register(ctx context.Context) (platform.LeaseID, error) {
-	lease, err := r.Store.Grant(ctx, LeaseTime)
+	lease, err := r.Store.Grant(ctx, LeaseTTL)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/fleet/member_test.go
+++ b/internal/fleet/member_test.go
@@ -36,7 +36,7 @@
 	if s.lapsed.Load() {
 		return 0, platform.Refused("no such lease", true)
 	}
-	return LeaseTime, nil
+	return LeaseTTL, nil
 }
 
 func (s *fakeStore) Revoke(context.Context, platform.LeaseID) error { return nil }
@@ -46,14 +46,14 @@
 // a held step stayed held for as long.
 func TestLapsedKeyIsWrittenAgainAtOnce(t *testing.T) {
 	t.Parallel()
-	store, doubt := &fakeStore{}, &wake.Signal{}
-	r := &Registrar{Store: store, Member: Member{Kind: Agent, Name: "a"}, Doubt: doubt}
+	store, renewNow := &fakeStore{}, &wake.Signal{}
+	r := &Registrar{Store: store, Member: Member{Kind: Agent, Name: "a"}, RenewNow: renewNow}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- r.Run(ctx) }()
 	eventually(t, func() bool { return store.writes.Load() == 1 })
 	store.lapsed.Store(true)
-	doubt.Raise()
+	renewNow.Raise()
 	eventually(t, func() bool { return store.writes.Load() == 2 })
 	cancel()
 	if err := <-done; err != nil {
@@ -65,17 +65,17 @@
 // can't rely on its polls to notice, which may hang for long.
 func TestStoreRecoveryIsReported(t *testing.T) {
 	t.Parallel()
-	store, returned := &fakeStore{}, make(chan struct{}, 1)
+	store, recovered := &fakeStore{}, make(chan struct{}, 1)
 	store.lapsed.Store(true)
 	store.unreachable.Store(true)
 	r := &Registrar{
-		Store: store, Member: Member{Kind: Agent, Name: "a"}, Doubt: &wake.Signal{},
-		Returned: func() { returned <- struct{}{} }, Failed: func(error) { store.unreachable.Store(false) },
+		Store: store, Member: Member{Kind: Agent, Name: "a"}, RenewNow: &wake.Signal{},
+		OnRecovered: func() { recovered <- struct{}{} }, OnError: func(error) { store.unreachable.Store(false) },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- r.Run(ctx) }()
-	<-returned
+	<-recovered
 	cancel()
 	if err := <-done; err != nil {
 		t.Fatal(err)
@@ -92,8 +92,8 @@
 		store.unreachable.Store(true)
 		calls := 0
 		r := &Registrar{
-			Store: store, Member: Member{Kind: Agent, Name: "a"}, Doubt: &wake.Signal{},
-			Failed: func(error) { calls++ },
+			Store: store, Member: Member{Kind: Agent, Name: "a"}, RenewNow: &wake.Signal{},
+			OnError: func(error) { calls++ },
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
@@ -120,7 +120,7 @@
 // after which a process renews its lease without any signal.
 func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(LeaseTime / 3); !condition(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(LeaseTTL / 3); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the key was not written in time")
 		}
--- a/internal/fleet/readers/basis.go
+++ b/internal/fleet/readers/basis.go
@@ -25,7 +25,7 @@
 // HearWait is the longest time that a process waits for a change before it answers the
 // request of another one. A frozen process is detected a little later, well within the
 // time limit for a change of the configuration.
-const HearWait = 500 * time.Millisecond
+const FollowWait = 500 * time.Millisecond
 
 // Wait returns the wait of a poll of the store, given the time limit within which a
 // change has to be in force everywhere. A poll that is never answered is detected, and
@@ -41,9 +41,9 @@
 // Basis tracks where the state of a process comes from and whether it is current, and
 // thereby whether others may get updates from the process. Set the exported fields
 // before the first call. It is safe for concurrent use.
-type Basis struct {
+type Freshness struct {
 	// Own is the name of the process.
-	Own string
+	Self string
 	// Wait is the longest time that a poll of the store waits for a change.
 	Wait time.Duration
 
@@ -56,58 +56,58 @@
 }
 
 // Ask records a call to the store whose answer is due at a time.
-func (b *Basis) Ask(due time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.lateAt = due.Add(lateMargin)
+func (f *Freshness) NoteRequest(due time.Time) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.lateAt = due.Add(lateMargin)
 }
 
 // Late returns the time from which the pending call to the store is late, or the zero
 // time if no call is pending.
-func (b *Basis) Late() time.Time {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.lateAt
+func (f *Freshness) LateAt() time.Time {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.lateAt
 }
 
 // isLate reports whether the pending call to the store is late.
-func (b *Basis) isLate(now time.Time) bool {
-	late := b.Late()
+func (f *Freshness) isLate(now time.Time) bool {
+	late := f.LateAt()
 	return !late.IsZero() && !now.Before(late)
 }
 
 // Lose records that the store did not answer the process. It reports whether the
 // process had not lost the store before.
-func (b *Basis) Lose() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	was := b.storeLost
-	b.storeLost, b.lateAt = true, time.Time{}
+func (f *Freshness) NoteFailure() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	was := f.storeLost
+	f.storeLost, f.lateAt = true, time.Time{}
 	return !was
 }
 
 // Learn records an update that origin, the process itself or another one, got from the
 // store. It reports whether the process had lost the store before.
-func (b *Basis) Learn(origin string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	was := b.storeLost
-	b.storeLost, b.origin, b.lateAt = false, origin, time.Time{}
+func (f *Freshness) NoteUpdate(origin string) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	was := f.storeLost
+	f.storeLost, f.origin, f.lateAt = false, origin, time.Time{}
 	return was
 }
 
 // Origin returns the process that got the state of this one from the store itself.
-func (b *Basis) Origin() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.origin
+func (f *Freshness) Origin() string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.origin
 }
 
 // Lost reports whether the process gets no updates since the store did not answer it.
-func (b *Basis) Lost() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.storeLost
+func (f *Freshness) Lost() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.storeLost
 }
 
 // Answer returns the answer to a request of the process asker, given that this process
@@ -117,14 +117,14 @@
 // store, and each would take the lack of updates from the other as proof that nothing
 // has changed. A late poll proves nothing either: the connection to the store may be
 // dead for this process alone.
-func (b *Basis) Answer(asker string, asked, now time.Time) Answer {
+func (f *Freshness) Answer(asker string, asked, now time.Time) Answer {
 	switch {
-	case b.Lost():
-		return Lost
-	case b.Origin() == asker:
-		return Echo
-	case b.isLate(now), now.Sub(asked) > 2*b.Wait+ageMargin:
-		return Away
+	case f.Lost():
+		return StoreLost
+	case f.Origin() == asker:
+		return OwnState
+	case f.isLate(now), now.Sub(asked) > 2*f.Wait+ageMargin:
+		return NotCurrent
 	default:
 		return Fresh
 	}
--- a/internal/fleet/readers/choice.go
+++ b/internal/fleet/readers/choice.go
@@ -17,15 +17,15 @@
 	// awayBackoff is the time for which a process without updates is skipped, and
 	// silentBackoff that for one which did not answer: each attempt to reach it takes
 	// most of a second, in which no updates are received.
-	awayBackoff   = time.Second
-	silentBackoff = 3 * time.Second
+	notCurrentBackoff = time.Second
+	noAnswerBackoff   = 3 * time.Second
 	// echoBackoff is the time for which a process is skipped whose state comes from
 	// this process. It answers so at once.
-	echoBackoff = 2 * time.Second
+	ownStateBackoff = 2 * time.Second
 	// lostBackoff is the time for which a process is skipped that the store doesn't
 	// answer. It retries the store every second or two, and a process that returns to
 	// it meanwhile waits until that call is late.
-	lostBackoff = 8 * time.Second
+	storeLostBackoff = 8 * time.Second
 	// leavingBackoff is the time for which a process is skipped that is shutting down:
 	// longer than it takes to stop and restart.
 	leavingBackoff = 12 * time.Second
@@ -40,24 +40,24 @@
 // The outcomes of a request.
 const (
 	// Silent means that no answer came in time.
-	Silent Answer = iota
+	NoAnswer Answer = iota
 	// Away means that the process has no current state to serve.
-	Away
+	NotCurrent
 	// Lost means that the store doesn't answer the process.
-	Lost
+	StoreLost
 	// Echo means that the state of the process comes from the requesting process.
-	Echo
+	OwnState
 	// Leaving means that the process is shutting down. It answers so at once.
-	Leaving
+	ShuttingDown
 	// Fresh means that the process served the current state or its changes.
 	Fresh
 )
 
 // Choice selects the source of updates of one process. Set the exported fields before
 // the first call. It is not safe for concurrent use.
-type Choice struct {
+type SourceSelector struct {
 	// Own is the name of the process.
-	Own string
+	Self string
 
 	lastAnswers map[string]pastAnswer
 	// lastDirectPoll is the time of the last poll of the store that was made because
@@ -80,16 +80,16 @@
 	switch p.answer {
 	case Fresh:
 		return true
-	case Away:
-		return now.Sub(p.at) >= awayBackoff
-	case Lost:
-		return now.Sub(p.at) >= lostBackoff
-	case Echo:
-		return now.Sub(p.at) >= echoBackoff
-	case Leaving:
+	case NotCurrent:
+		return now.Sub(p.at) >= notCurrentBackoff
+	case StoreLost:
+		return now.Sub(p.at) >= storeLostBackoff
+	case OwnState:
+		return now.Sub(p.at) >= ownStateBackoff
+	case ShuttingDown:
 		return now.Sub(p.at) >= leavingBackoff
 	default:
-		return now.Sub(p.at) >= silentBackoff
+		return now.Sub(p.at) >= noAnswerBackoff
 	}
 }
 
@@ -100,17 +100,17 @@
 // after them, at most maxReaders: that three can't reach the store doesn't show whether
 // it answers the others. A process that may poll the store does so once if its last
 // request brought no update, as the next source may be cut off from the store as well.
-func (c *Choice) Source(others []string, now time.Time) string {
-	order := c.takeoverOrder(others, now)
-	ownIndex := slices.Index(order, c.Own)
-	usable := c.usable(order[:ownIndex], now)
+func (s *SourceSelector) Source(others []string, now time.Time) string {
+	order := s.takeoverOrder(others, now)
+	ownIndex := slices.Index(order, s.Self)
+	usable := s.usable(order[:ownIndex], now)
 	unusable := min(ownIndex-len(usable), maxReaders)
 	mayRead := ownIndex-unusable < maxReaders
 	switch {
-	case mayRead && now.Sub(c.storeFailedAt) < awayBackoff:
+	case mayRead && now.Sub(s.storeFailedAt) < notCurrentBackoff:
 		// Processes after this one may reach the store.
-		usable = c.usable(slices.Delete(order, ownIndex, ownIndex+1), now)
-	case mayRead && c.uninformed:
+		usable = s.usable(slices.Delete(order, ownIndex, ownIndex+1), now)
+	case mayRead && s.uninformed:
 		return ""
 	}
 	if len(usable) > 0 {
@@ -119,12 +119,12 @@
 	if mayRead {
 		return ""
 	}
-	if now.Sub(c.lastDirectPoll) >= directPollInterval {
-		c.lastDirectPoll = now
+	if now.Sub(s.lastDirectPoll) >= directPollInterval {
+		s.lastDirectPoll = now
 		return ""
 	}
 	for _, name := range order[:maxReaders] {
-		if a := c.lastAnswers[name].answer; a == Away || a == Lost {
+		if a := s.lastAnswers[name].answer; a == NotCurrent || a == StoreLost {
 			return name
 		}
 	}
@@ -133,10 +133,10 @@
 
 // usable returns those of the first 2*maxReaders processes, which may become readers,
 // that may have updates. It keeps their order.
-func (c *Choice) usable(all []string, now time.Time) []string {
+func (s *SourceSelector) usable(all []string, now time.Time) []string {
 	var out []string
 	for _, name := range all[:min(len(all), 2*maxReaders)] {
-		if p, ok := c.lastAnswers[name]; !ok || p.usable(now) {
+		if p, ok := s.lastAnswers[name]; !ok || p.usable(now) {
 			out = append(out, name)
 		}
 	}
@@ -148,11 +148,11 @@
 //
 // A rolling restart may stop all three readers at once. If they kept their places, the
 // others would get no updates while the readers finish their last requests.
-func (c *Choice) takeoverOrder(others []string, now time.Time) []string {
-	all := append(slices.Clone(others), c.Own)
+func (s *SourceSelector) takeoverOrder(others []string, now time.Time) []string {
+	all := append(slices.Clone(others), s.Self)
 	all = slices.DeleteFunc(all, func(name string) bool {
-		p := c.lastAnswers[name]
-		return p.answer == Leaving && !p.usable(now)
+		p := s.lastAnswers[name]
+		return p.answer == ShuttingDown && !p.usable(now)
 	})
 	slices.SortFunc(all, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
@@ -161,25 +161,25 @@
 }
 
 // NoteStore records whether the store answered this process.
-func (c *Choice) NoteStore(answered bool, now time.Time) {
-	c.storeFailedAt, c.uninformed = time.Time{}, false
+func (s *SourceSelector) NoteStore(answered bool, now time.Time) {
+	s.storeFailedAt, s.uninformed = time.Time{}, false
 	if !answered {
-		c.storeFailedAt = now
+		s.storeFailedAt = now
 	}
 }
 
 // Note records the outcome of a request to a process.
-func (c *Choice) Note(name string, a Answer, now time.Time) {
-	if c.lastAnswers == nil {
-		c.lastAnswers = map[string]pastAnswer{}
+func (s *SourceSelector) NoteAnswer(name string, a Answer, now time.Time) {
+	if s.lastAnswers == nil {
+		s.lastAnswers = map[string]pastAnswer{}
 	}
 	// Old outcomes are dropped: new processes come with new names, and the map would
 	// grow without bound.
-	for other, p := range c.lastAnswers {
+	for other, p := range s.lastAnswers {
 		if now.Sub(p.at) > time.Minute {
-			delete(c.lastAnswers, other)
+			delete(s.lastAnswers, other)
 		}
 	}
-	c.lastAnswers[name] = pastAnswer{answer: a, at: now}
-	c.uninformed = a != Fresh && a != Leaving
+	s.lastAnswers[name] = pastAnswer{answer: a, at: now}
+	s.uninformed = a != Fresh && a != ShuttingDown
 }
--- a/internal/fleet/readers/choice_test.go
+++ b/internal/fleet/readers/choice_test.go
@@ -27,7 +27,7 @@
 	} {
 		s := newSimulation(31)
 		s.run(time.Second)
-		order := s.choices["entry0"].takeoverOrder(s.names, s.now)
+		order := s.selectors["entry0"].takeoverOrder(s.names, s.now)
 		for _, name := range order[:2] {
 			fail(s, name)
 			s.run(3 * time.Second)
@@ -43,7 +43,7 @@
 	for _, n := range []int{1, maxReaders} { // each reader that leaves costs a request
 		s := newSimulation(12)
 		s.run(time.Second)
-		for _, name := range s.choices["entry0"].takeoverOrder(s.names, s.now)[:n] {
+		for _, name := range s.selectors["entry0"].takeoverOrder(s.names, s.now)[:n] {
 			s.leaving[name] = true
 		}
 		clear(s.switches)
@@ -75,7 +75,7 @@
 	const changeTime, partitionTime, maxAge, minFresh = 3 * time.Second, 12 * time.Second, 500 * time.Millisecond, 0.6
 	for _, n := range []int{2, 8} {
 		s := newLongPollSimulation(n, changeTime)
-		first := s.choices["entry0"].takeoverOrder(s.names, s.now)[0]
+		first := s.selectors["entry0"].takeoverOrder(s.names, s.now)[0]
 		s.partitioned[first] = true
 		ticks, fresh := 0, 0
 		for end := s.now.Add(partitionTime); s.now.Before(end); {
@@ -109,7 +109,7 @@
 	)
 	for _, n := range []int{2, 3, 8} {
 		s := newLongPollSimulation(n, changeTime)
-		first := s.choices["entry0"].takeoverOrder(s.names, s.now)[0]
+		first := s.selectors["entry0"].takeoverOrder(s.names, s.now)[0]
 		s.partitioned[first] = true
 		age := s.maxAge(partitionTime, first)
 		if age > changeTime-latency {
@@ -124,7 +124,7 @@
 func TestTurningBackToACutOffReaderCostsNothing(t *testing.T) {
 	const changeTime, detectionTime, maxAge = 2 * time.Second, 3 * time.Second, 3 * tick
 	s := newLongPollSimulation(2, changeTime)
-	first := s.choices["entry0"].takeoverOrder(s.names, s.now)[0]
+	first := s.selectors["entry0"].takeoverOrder(s.names, s.now)[0]
 	s.partitioned[first] = true
 	s.run(detectionTime)
 	if age := s.maxAge(30*time.Second, first); age > maxAge {
@@ -137,12 +137,12 @@
 func TestOthersPollWhenNoReaderIsAnswered(t *testing.T) {
 	s := newSimulation(31)
 	s.run(time.Second)
-	for _, name := range s.choices["entry0"].takeoverOrder(s.names, s.now)[:maxReaders] {
+	for _, name := range s.selectors["entry0"].takeoverOrder(s.names, s.now)[:maxReaders] {
 		s.rejected[name] = true
 	}
 	s.run(10 * time.Second)
 	for _, name := range s.names {
-		if age := s.now.Sub(s.knownAt[name]); age > directPollInterval+2*awayBackoff {
+		if age := s.now.Sub(s.knownAt[name]); age > directPollInterval+2*notCurrentBackoff {
 			t.Errorf("the state of %s is %v old", name, age)
 		}
 	}
@@ -173,7 +173,7 @@
 	const changeTime, latency = 2 * time.Second, 300 * time.Millisecond
 	for _, n := range []int{5, 12} {
 		s := newLongPollSimulation(n, changeTime)
-		partitioned := s.choices["entry0"].takeoverOrder(s.names, s.now)[:maxReaders]
+		partitioned := s.selectors["entry0"].takeoverOrder(s.names, s.now)[:maxReaders]
 		for _, name := range partitioned {
 			s.partitioned[name] = true
 		}
--- a/internal/fleet/readers/world_test.go
+++ b/internal/fleet/readers/world_test.go
@@ -12,8 +12,8 @@
 // simulation is a data centre whose processes each send a request to the store or to
 // one another every tick.
 type simulation struct {
-	names   []string
-	choices map[string]*Choice
+	names     []string
+	selectors map[string]*SourceSelector
 	// dead processes don't run, and calls of rejected ones fail at once at the store.
 	dead, rejected map[string]bool
 	// leaving processes are shutting down, and neither send requests nor serve others.
@@ -23,8 +23,8 @@
 	partitioned, timedOut map[string]bool
 	callEnds              map[string]time.Time
 	// waiting holds the pending request of each process to another one.
-	waiting map[string]pendingRequest
-	bases   map[string]*Basis
+	waiting   map[string]pendingRequest
+	freshness map[string]*Freshness
 	// switches counts how often each process changed its source.
 	switches   map[string]int
 	lastSource map[string]string
@@ -48,17 +48,17 @@
 
 func newSimulation(n int) *simulation {
 	s := &simulation{
-		choices: map[string]*Choice{}, dead: map[string]bool{}, rejected: map[string]bool{},
+		selectors: map[string]*SourceSelector{}, dead: map[string]bool{}, rejected: map[string]bool{},
 		leaving: map[string]bool{}, partitioned: map[string]bool{}, timedOut: map[string]bool{}, callEnds: map[string]time.Time{},
-		waiting: map[string]pendingRequest{},
-		bases:   map[string]*Basis{}, switches: map[string]int{}, lastSource: map[string]string{},
+		waiting:   map[string]pendingRequest{},
+		freshness: map[string]*Freshness{}, switches: map[string]int{}, lastSource: map[string]string{},
 		knownAt: map[string]time.Time{}, now: start,
 	}
 	for i := range n {
 		name := fmt.Sprint("entry", i)
 		s.names = append(s.names, name)
-		s.choices[name] = &Choice{Own: name}
-		s.bases[name] = &Basis{Own: name, Wait: tick / 2}
+		s.selectors[name] = &SourceSelector{Self: name}
+		s.freshness[name] = &Freshness{Self: name, Wait: tick / 2}
 		s.knownAt[name] = start
 	}
 	return s
@@ -68,8 +68,8 @@
 // be in force within the time change. It has already run for a second.
 func newLongPollSimulation(n int, change time.Duration) *simulation {
 	s := newSimulation(n)
-	for _, b := range s.bases {
-		b.Wait = Wait(change)
+	for _, f := range s.freshness {
+		f.Wait = Wait(change)
 	}
 	s.run(time.Second)
 	return s
@@ -90,22 +90,22 @@
 
 // step lets a process send a request, or continues its pending one.
 func (s *simulation) step(name string) {
-	c := s.choices[name]
+	selector := s.selectors[name]
 	if until, ok := s.callEnds[name]; ok {
 		if s.now.Before(until) {
 			return
 		}
 		delete(s.callEnds, name)
 		s.timedOut[name] = true
-		s.bases[name].Lose()
-		c.NoteStore(false, s.now)
+		s.freshness[name].NoteFailure()
+		selector.NoteStore(false, s.now)
 		return
 	}
 	if q, ok := s.waiting[name]; ok {
 		s.checkPending(name, q)
 		return
 	}
-	source := c.Source(s.names, s.now)
+	source := selector.Source(s.names, s.now)
 	if s.lastSource[name] != source {
 		s.lastSource[name] = source
 		s.switches[name]++
@@ -116,15 +116,15 @@
 	}
 	if source == "" {
 		s.calls++
-		c.NoteStore(!s.rejected[name], s.now)
+		selector.NoteStore(!s.rejected[name], s.now)
 		if !s.rejected[name] {
 			s.knownAt[name] = s.now
-			s.bases[name].Learn(name)
+			s.freshness[name].NoteUpdate(name)
 		}
 		return
 	}
 	if s.running(source) && s.answer(name, source) == Fresh && !s.knownAt[source].After(s.knownAt[name]) {
-		s.waiting[name] = pendingRequest{source: source, until: s.now.Add(HearWait)}
+		s.waiting[name] = pendingRequest{source: source, until: s.now.Add(FollowWait)}
 		return
 	}
 	s.receive(name, source)
@@ -135,14 +135,14 @@
 
 // answer returns the answer of source to a request of the process name.
 func (s *simulation) answer(name, source string) Answer {
-	return s.bases[source].Answer(name, s.knownAt[source], s.now)
+	return s.freshness[source].Answer(name, s.knownAt[source], s.now)
 }
 
 // checkPending ends a request once the source has an update, the time is over, or the
 // source's own poll is late.
 func (s *simulation) checkPending(name string, q pendingRequest) {
 	updated := s.running(q.source) && s.knownAt[q.source].After(s.knownAt[name])
-	late := s.bases[q.source].Late()
+	late := s.freshness[q.source].LateAt()
 	if !updated && s.now.Before(q.until) && (late.IsZero() || s.now.Before(late)) {
 		return
 	}
@@ -152,27 +152,27 @@
 
 // sendUnansweredPoll lets a process send a poll to the store that will time out.
 func (s *simulation) sendUnansweredPoll(name string) {
-	due := s.now.Add(s.bases[name].Wait)
-	if s.timedOut[name] || s.bases[name].Origin() != name {
+	due := s.now.Add(s.freshness[name].Wait)
+	if s.timedOut[name] || s.freshness[name].Origin() != name {
 		due = s.now.Add(retryPollWait)
 	}
-	s.bases[name].Ask(due)
+	s.freshness[name].NoteRequest(due)
 	s.callEnds[name] = due.Add(PollSlack)
 }
 
 // receive delivers the answer of source to the process name.
 func (s *simulation) receive(name, source string) {
-	a := Silent
+	a := NoAnswer
 	switch {
 	case s.leaving[source]:
-		a = Leaving
+		a = ShuttingDown
 	case !s.dead[source]:
 		a = s.answer(name, source)
 	}
-	s.choices[name].Note(source, a, s.now)
+	s.selectors[name].NoteAnswer(source, a, s.now)
 	if a == Fresh {
 		s.knownAt[name] = s.knownAt[source]
-		s.bases[name].Learn(s.bases[source].Origin())
+		s.freshness[name].NoteUpdate(s.freshness[source].Origin())
 	}
 }
 
--- a/internal/frontend/apply.go
+++ b/internal/frontend/apply.go
@@ -23,8 +23,8 @@
 
 // storeFailed records that the store did not answer a read.
 func (f *Frontend) storeFailed(err error) {
-	f.sourceChoice.NoteStore(false, boottime.Now())
-	if !f.storeStatus.Lose() {
+	f.sourceSelector.NoteStore(false, boottime.Now())
+	if !f.storeStatus.NoteFailure() {
 		return
 	}
 	f.Log.WithFields(logrus.Fields{
@@ -41,21 +41,21 @@
 func (f *Frontend) apply(u mirror.Update) {
 	now := boottime.Now()
 	recovered := now
-	if u.Neighbour {
+	if u.FromPeer {
 		recovered = f.storeRecovered
 	}
-	if !u.Neighbour && f.storeLostByPeer {
-		u.Returned, f.storeLostByPeer = true, false
+	if !u.FromPeer && f.storeLostByPeer {
+		u.Recovered, f.storeLostByPeer = true, false
 		recovered = now.Add(-peerOutageRecoveryAge)
 	}
-	if u.Returned {
-		f.state.Change(func(d *directory.Directory) { d.Returned(recovered) })
+	if u.Recovered {
+		f.state.Change(func(d *directory.Directory) { d.StoreRecovered(recovered) })
 		f.leaseSuspect.Raise()
 	}
-	if !u.Neighbour {
-		f.sourceChoice.NoteStore(true, now)
+	if !u.FromPeer {
+		f.sourceSelector.NoteStore(true, now)
 	}
-	if f.storeStatus.Learn(f.origin(u)) {
+	if f.storeStatus.NoteUpdate(f.origin(u)) {
 		f.Log.WithFields(logrus.Fields{"dependency": "store", "revision": u.Revision}).Warn("dependency regained")
 	}
 	facts := make([]platform.Fact, 0, len(u.KVs))
@@ -67,24 +67,24 @@
 	for _, key := range u.Deleted {
 		f.applyRemove(key, now)
 	}
-	if u.Whole {
+	if u.Complete {
 		f.applyListing(facts, now)
 	}
-	missing := missingDocument{entry: f.source, address: f.sourceAddress, revision: u.Apart, asOf: u.Asked}
-	u.Apart = f.documents.Newest().Revision
-	f.storeCopy.Take(u, recovered)
-	if u.Lacking {
+	missing := missingDocument{entry: f.source, address: f.sourceAddress, revision: u.SeparateRevision, asOf: u.RequestedAt}
+	u.SeparateRevision = f.documents.Newest().Revision
+	f.storeCopy.Apply(u, recovered)
+	if u.SeparateMissing {
 		f.missing.set(missing)
 		return
 	}
 	// The knowledge is as recent as the answer only now that all of the answer is in
 	// force.
-	f.advanceFreshness(u.Asked, now)
+	f.advanceFreshness(u.RequestedAt, now)
 }
 
 // origin returns the entry that received an update from the store itself.
 func (f *Frontend) origin(u mirror.Update) string {
-	if u.Neighbour {
+	if u.FromPeer {
 		return f.sourceOrigin
 	}
 	return f.Settings.Name
@@ -110,7 +110,7 @@
 	case platform.EndpointFact:
 		f.state.Change(func(d *directory.Directory) { d.Put(fact.Entry, now) })
 		f.Log.WithFields(logrus.Fields{
-			"endpoint": fact.Entry.ID, "born": fact.Entry.Born, "service": fact.Entry.Service,
+			"endpoint": fact.Entry.ID, "born": fact.Entry.StartMillis, "service": fact.Entry.Service,
 			"address": fact.Entry.Address, "inDataCentre": fact.Entry.DataCentre, "draining": fact.Entry.Draining,
 			"cold": fact.Entry.Cold.Milliseconds(), "revision": item.Revision(),
 		}).Info("endpoint entry updated")
@@ -121,7 +121,7 @@
 }
 
 func (f *Frontend) setOutOfService(fact platform.OutFact, now time.Time) {
-	f.state.Change(func(d *directory.Directory) { d.SetOut(fact.DataCentre, !fact.Removed, now) })
+	f.state.Change(func(d *directory.Directory) { d.SetOutOfService(fact.DataCentre, !fact.Removed, now) })
 	f.Log.WithFields(logrus.Fields{"outDataCentre": fact.DataCentre, "out": !fact.Removed}).Info("data centre order in force")
 }
 
@@ -182,10 +182,10 @@
 		}
 	}
 	f.state.Change(func(d *directory.Directory) {
-		d.Whole(ids, now)
-		for _, dc := range d.Outs() {
+		d.ApplyListing(ids, now)
+		for _, dc := range d.OutOfService() {
 			if !outOfService[dc] {
-				d.SetOut(dc, false, now)
+				d.SetOutOfService(dc, false, now)
 			}
 		}
 	})
--- a/internal/frontend/document.go
+++ b/internal/frontend/document.go
@@ -113,7 +113,7 @@
 		pause.For(ctx, documentRetryDelay/2+rand.N(documentRetryDelay))
 		return
 	}
-	f.storeCopy.CatchUp(doc.asOf, f.documents.Newest().Revision)
+	f.storeCopy.Advance(doc.asOf, f.documents.Newest().Revision)
 	f.advanceFreshness(doc.asOf, boottime.Now())
 	f.missing.clear(doc)
 }
@@ -157,7 +157,7 @@
 	if p.GetRevision() <= f.documents.Newest().Revision {
 		return nil
 	}
-	v, err := f.documents.Unpack(document.Packed{Revision: p.GetRevision(), Base: p.GetBase(), Bytes: p.GetPacked()})
+	v, err := f.documents.Unpack(document.Encoded{Revision: p.GetRevision(), Base: p.GetBase(), Bytes: p.GetPacked()})
 	if err != nil {
 		return err
 	}
@@ -175,16 +175,16 @@
 
 // Document implements fleetpb.EntryServer.
 func (s *service) Document(ctx context.Context, r *fleetpb.DocumentRequest) (*fleetpb.DocumentReply, error) {
-	a, err := s.frontend.documentSender.Ask(r.GetAsker(), r.GetHeld(), boottime.Now())
+	a, err := s.frontend.documentSender.Answer(r.GetAsker(), r.GetHeld(), boottime.Now())
 	if err != nil {
 		return nil, err
 	}
 	switch a := a.(type) {
-	case document.Elsewhere:
+	case document.Redirect:
 		return &fleetpb.DocumentReply{Elsewhere: a.Address}, nil
 	case document.Copy:
-		pause.For(ctx, a.After)
-		return &fleetpb.DocumentReply{Revision: a.Packed.Revision, Base: a.Packed.Base, Packed: a.Packed.Bytes}, ctx.Err()
+		pause.For(ctx, a.Delay)
+		return &fleetpb.DocumentReply{Revision: a.Encoded.Revision, Base: a.Encoded.Base, Packed: a.Encoded.Bytes}, ctx.Err()
 	default:
 		return nil, eris.Errorf("unexpected answer type %T", a)
 	}
--- a/internal/frontend/follow.go
+++ b/internal/frontend/follow.go
@@ -30,7 +30,7 @@
 	unavailable := map[string]bool{}
 	for ctx.Err() == nil {
 		local := f.members.inDataCentre(f.Settings.DataCentre)
-		name := f.sourceChoice.Source(names(local), boottime.Now())
+		name := f.sourceSelector.Source(names(local), boottime.Now())
 		f.setSource(name)
 		if name == "" {
 			return mirror.Update{}, false
@@ -40,14 +40,14 @@
 		}
 		u, answer, err := f.requestUpdate(ctx, local[name].Address, revision, known)
 		f.sourceAddress = local[name].Address
-		f.sourceChoice.Note(name, answer, boottime.Now())
+		f.sourceSelector.NoteAnswer(name, answer, boottime.Now())
 		f.sourceMetrics.countWithoutUpdate(answer)
 		switch {
 		case answer == readers.Fresh:
 			return u, true
-		case answer == readers.Leaving:
+		case answer == readers.ShuttingDown:
 			f.Log.WithFields(logrus.Fields{"entry": name}).Info("entry is shutting down")
-		case answer == readers.Echo:
+		case answer == readers.OwnState:
 			f.Log.WithFields(logrus.Fields{"entry": name}).Info("entry gets its store updates from this one")
 		case err != nil:
 			f.peerConns.DropSilent(local[name].Address)
@@ -62,19 +62,19 @@
 
 // requestUpdate requests an update from one entry.
 func (f *Frontend) requestUpdate(ctx context.Context, addr string, revision int64, known bool) (mirror.Update, readers.Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, readers.HearWait+followTimeoutMargin)
+	ctx, cancel := context.WithTimeout(ctx, readers.FollowWait+followTimeoutMargin)
 	defer cancel()
 	conn, err := f.peerConns.Get(addr)
 	if err != nil {
-		return mirror.Update{}, readers.Silent, err
+		return mirror.Update{}, readers.NoAnswer, err
 	}
 	sent := boottime.Now()
 	p, err := fleetpb.NewEntryClient(conn).Follow(ctx, &fleetpb.FollowRequest{
-		After: revision, Known: known, WaitMicros: uint64(readers.HearWait.Microseconds()), DocumentRevision: f.newestKnownDocument(),
+		After: revision, Known: known, WaitMicros: uint64(readers.FollowWait.Microseconds()), DocumentRevision: f.newestKnownDocument(),
 		Asker: f.Settings.Name,
 	})
 	if err != nil {
-		return mirror.Update{}, readers.Silent, err
+		return mirror.Update{}, readers.NoAnswer, err
 	}
 	if p.GetAway() {
 		f.storeLostByPeer = f.storeLostByPeer || p.GetStoreAway()
@@ -84,15 +84,15 @@
 	held := f.documents.Newest().Revision
 	// The other entry counts from the arrival of the request, which is after sent.
 	u := mirror.Update{
-		Whole: p.GetWhole(), Deleted: p.GetRemoved(), Revision: p.GetRevision(),
-		Asked: sent.Add(time.Duration(p.GetAskedMicros()) * time.Microsecond),
-		Apart: p.GetDocumentRevision(), Lacking: p.GetDocumentRevision() > held,
+		Complete: p.GetWhole(), Deleted: p.GetRemoved(), Revision: p.GetRevision(),
+		RequestedAt:      sent.Add(time.Duration(p.GetAskedMicros()) * time.Microsecond),
+		SeparateRevision: p.GetDocumentRevision(), SeparateMissing: p.GetDocumentRevision() > held,
 	}
 	for _, i := range p.GetItems() {
 		u.KVs = append(u.KVs, kv.NewKeyValue(i.GetKey(), i.GetValue(), i.GetRevision(), 0))
 	}
 	if ago := p.GetReturnedMicros(); ago > 0 {
-		u.Returned = f.isNewRecovery(boottime.Now().Add(-time.Duration(ago) * time.Microsecond))
+		u.Recovered = f.isNewRecovery(boottime.Now().Add(-time.Duration(ago) * time.Microsecond))
 	}
 	return u, readers.Fresh, nil
 }
@@ -101,13 +101,13 @@
 func (f *Frontend) unavailableReason(p *fleetpb.FollowReply) readers.Answer {
 	switch {
 	case p.GetLeaving():
-		return readers.Leaving
+		return readers.ShuttingDown
 	case p.GetStoreAway():
-		return readers.Lost
+		return readers.StoreLost
 	case p.GetOrigin() == f.Settings.Name:
-		return readers.Echo
+		return readers.OwnState
 	default:
-		return readers.Away
+		return readers.NotCurrent
 	}
 }
 
@@ -133,9 +133,9 @@
 	if f.stopping.Load() {
 		return &fleetpb.FollowReply{Away: true, Leaving: true}, nil
 	}
-	updated := f.storeCopy.Taken()
+	updated := f.storeCopy.Updated()
 	u, ok := f.storeCopy.Since(q.GetAfter(), q.GetKnown())
-	a := f.storeStatus.Answer(q.GetAsker(), u.Asked, arrived)
+	a := f.storeStatus.Answer(q.GetAsker(), u.RequestedAt, arrived)
 	if ok && a == readers.Fresh && !hasChanges(u, q) {
 		if err := f.awaitUpdate(ctx, updated, time.Duration(q.GetWaitMicros())*time.Microsecond, arrived); err != nil {
 			return nil, err
@@ -144,10 +144,10 @@
 	}
 	now := boottime.Now()
 	origin := f.storeStatus.Origin()
-	if a = f.storeStatus.Answer(q.GetAsker(), u.Asked, now); !ok || a != readers.Fresh {
-		return &fleetpb.FollowReply{Away: true, StoreAway: a == readers.Lost, Origin: origin}, nil
+	if a = f.storeStatus.Answer(q.GetAsker(), u.RequestedAt, now); !ok || a != readers.Fresh {
+		return &fleetpb.FollowReply{Away: true, StoreAway: a == readers.StoreLost, Origin: origin}, nil
 	}
-	p := followReply(u, f.storeCopy.Returned(), arrived, now)
+	p := followReply(u, f.storeCopy.RecoveredAt(), arrived, now)
 	p.Origin = origin
 	return p, nil
 }
@@ -155,7 +155,7 @@
 // awaitUpdate waits until updated is closed, at most for wait, and not beyond the
 // time at which the store's answer is late. It returns the error of ctx.
 func (f *Frontend) awaitUpdate(ctx context.Context, updated <-chan struct{}, wait time.Duration, now time.Time) error {
-	if late := f.storeStatus.Late(); !late.IsZero() {
+	if late := f.storeStatus.LateAt(); !late.IsZero() {
 		wait = min(wait, late.Sub(now))
 	}
 	t := time.NewTimer(wait)
@@ -171,14 +171,14 @@
 // hasChanges reports whether an update contains more for the asking entry than a
 // newer time of validity.
 func hasChanges(u mirror.Update, q *fleetpb.FollowRequest) bool {
-	return u.Whole || len(u.KVs)+len(u.Deleted) > 0 || u.Apart > q.GetDocumentRevision()
+	return u.Complete || len(u.KVs)+len(u.Deleted) > 0 || u.SeparateRevision > q.GetDocumentRevision()
 }
 
 // followReply encodes an update for an entry whose request arrived at arrived.
 func followReply(u mirror.Update, recovered, arrived, now time.Time) *fleetpb.FollowReply {
 	p := &fleetpb.FollowReply{
-		Whole: u.Whole, Removed: u.Deleted, Revision: u.Revision, AskedMicros: u.Asked.Sub(arrived).Microseconds(),
-		DocumentRevision: u.Apart,
+		Whole: u.Complete, Removed: u.Deleted, Revision: u.Revision, AskedMicros: u.RequestedAt.Sub(arrived).Microseconds(),
+		DocumentRevision: u.SeparateRevision,
 	}
 	for _, item := range u.KVs {
 		p.Items = append(p.Items, &fleetpb.Item{Key: item.Key(), Value: item.Value(), Revision: item.Revision()})
--- a/internal/frontend/follow_test.go
+++ b/internal/frontend/follow_test.go
@@ -109,7 +109,7 @@
 func TestReaderFailover(t *testing.T) {
 	s := newSystem(t, 1)
 	entries := s.startEntries(4)
-	first := (&readers.Choice{Own: "entry0"}).Source(names(entries[0].members.all()), boottime.Now())
+	first := (&readers.SourceSelector{Self: "entry0"}).Source(names(entries[0].members.all()), boottime.Now())
 	remaining := make([]*entry, 0, len(entries))
 	for i, e := range entries {
 		if name := fmt.Sprint("entry", i); name == first || first == "" && i == 0 {
@@ -188,17 +188,17 @@
 		t.Cleanup(ep.Close)
 		key, value := ep.Entry("s", "a", "ready")
 		now := boottime.Now()
-		f.apply(mirror.Update{Whole: true, Revision: 1, Asked: now, KVs: []kv.KeyValue{kv.NewKeyValue(key, value, 1, 0)}})
+		f.apply(mirror.Update{Complete: true, Revision: 1, RequestedAt: now, KVs: []kv.KeyValue{kv.NewKeyValue(key, value, 1, 0)}})
 		f.storeLostByPeer = lost
-		f.apply(mirror.Update{Deleted: []string{key}, Revision: 2, Asked: now})
+		f.apply(mirror.Update{Deleted: []string{key}, Revision: 2, RequestedAt: now})
 		if retained := f.state.Endpoints(boottime.Now()) == 1; retained != lost {
 			t.Errorf("store lost by another entry %v: endpoint retained %v", lost, retained)
 		}
 		if retained := f.state.Endpoints(now.Add(maxRetention)) == 1; retained {
 			t.Errorf("store lost by another entry %v: endpoint retained for %v", lost, maxRetention)
 		}
-		if !f.storeCopy.Returned().IsZero() != lost {
-			t.Errorf("store lost by another entry %v: recovery reported at %v", lost, f.storeCopy.Returned())
+		if !f.storeCopy.RecoveredAt().IsZero() != lost {
+			t.Errorf("store lost by another entry %v: recovery reported at %v", lost, f.storeCopy.RecoveredAt())
 		}
 	}
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -87,11 +87,11 @@
 	peerConns    *peer.Conns
 	stopping     atomic.Bool
 	bounds       atomic.Pointer[settings.Bounds]
-	storeStatus  readers.Basis
+	storeStatus  readers.Freshness
 	// documents holds the configuration in force as it is stored, documentSender passes
 	// it to other entries, and missing is a configuration that another entry holds and
 	// this one does not.
-	documents      document.Holder
+	documents      document.Versions
 	documentSender document.Sender
 	missing        missingTracker
 	members        memberSet
@@ -105,7 +105,7 @@
 	// received the source's updates from the store itself. storeRecovered is the last
 	// recovery of the store that other entries reported.
 	storeCopy      mirror.Copy
-	sourceChoice   readers.Choice
+	sourceSelector readers.SourceSelector
 	sourceMetrics  sourceMetrics
 	source         string
 	sourceAddress  string
@@ -118,7 +118,7 @@
 	// to poll the store because another one lost it has not seen the outage itself.
 	storeLostByPeer bool
 	// targetLists holds the lists of engines to which load reports refer.
-	targetLists fleet.Lists
+	targetLists fleet.TargetLists
 	// leaseSuspect is raised when leases in the store may have expired.
 	leaseSuspect wake.Signal
 }
@@ -177,16 +177,16 @@
 	f.state.Changed = f.workReporter.changed.Raise
 	f.state.Begin(now)
 	f.mirror = &mirror.Mirror{
-		Reader: f.store, Wait: pollWait, Asking: f.storeStatus.Ask, Settle: changeBatchDelay, MostSettle: maxChangeBatchDelay, StartTime: startupPeriod,
-		Now: boottime.Now, Apply: f.apply, Failed: f.storeFailed,
+		Reader: f.store, Wait: pollWait, OnRequest: f.storeStatus.NoteRequest, Settle: changeBatchDelay, MaxSettle: maxChangeBatchDelay, StartupPeriod: startupPeriod,
+		Now: boottime.Now, Apply: f.apply, OnError: f.storeFailed,
 	}
-	f.sourceChoice.Own = s.Name
-	f.storeStatus.Own, f.storeStatus.Wait = s.Name, pollWait
+	f.sourceSelector.Self = s.Name
+	f.storeStatus.Self, f.storeStatus.Wait = s.Name, pollWait
 	f.sourceMetrics = newSourceMetrics(f.Registry)
-	f.storeCopy.Apart = platform.DocumentKey
-	f.documentSender.Holder = &f.documents
-	f.documentSender.Pace = &document.Pace{BytesPerSecond: documentBandwidthShare * s.LineRate}
-	f.mirror.Neighbour = f.followPeer
+	f.storeCopy.SeparateKey = platform.DocumentKey
+	f.documentSender.Versions = &f.documents
+	f.documentSender.Pacer = &document.Pacer{BytesPerSecond: documentBandwidthShare * s.LineRate}
+	f.mirror.Peer = f.followPeer
 	f.relay = &relay.Relay{
 		Belief: f.state, Client: &direct.Client{}, Dialect: platform.Dialect{},
 		Now: boottime.Now, Log: f.Log.Logger,
@@ -198,7 +198,7 @@
 
 // Run serves until ctx is done, then drains without interrupting requests.
 func (f *Frontend) Run(ctx context.Context) error {
-	registrar := &fleet.Registrar{Store: f.store, Failed: f.callFailed, Doubt: &f.leaseSuspect, Member: fleet.Member{
+	registrar := &fleet.Registrar{Store: f.store, OnError: f.callFailed, RenewNow: &f.leaseSuspect, Member: fleet.Member{
 		Kind: fleet.Entry, Name: f.Settings.Name, DataCentre: f.Settings.DataCentre,
 		Address: f.peerServer.Address(),
 	}}
--- a/internal/frontend/hub.go
+++ b/internal/frontend/hub.go
@@ -171,8 +171,8 @@
 		return
 	}
 	q := &fleetpb.WorkRequest{Entries: works, To: fleetpb.Passing_DATA_CENTRE}
-	for _, b := range f.workReporter.tree.Bunches(f.members.outsideDataCentre(f.Settings.DataCentre)) {
-		f.workReporter.send(ctx, f.workReporter.tree.Delegate(b), q)
+	for _, subgroup := range f.workReporter.tree.Subgroups(f.members.outsideDataCentre(f.Settings.DataCentre)) {
+		f.workReporter.send(ctx, f.workReporter.tree.Delegate(subgroup), q)
 	}
 }
 
--- a/internal/frontend/limits_test.go
+++ b/internal/frontend/limits_test.go
@@ -46,7 +46,7 @@
 	f := &Frontend{state: &relay.Belief{Name: "entry0"}}
 	f.state.Begin(now)
 	for i := range endpoints {
-		ep := directory.Endpoint{Entry: directory.Entry{ID: fmt.Sprintf("i-%010x", i*7919), Born: uint64(now.UnixMilli())}}
+		ep := directory.Endpoint{Entry: directory.Entry{ID: fmt.Sprintf("i-%010x", i*7919), StartMillis: uint64(now.UnixMilli())}}
 		f.state.Limited(relay.Place{Endpoint: ep}, 1.25, now.Add(time.Duration(i)*time.Millisecond))
 	}
 	limits := f.ownLimits(now.Add(time.Second))
--- a/internal/frontend/source.go
+++ b/internal/frontend/source.go
@@ -27,9 +27,9 @@
 		changes: counter("turns"),
 		age:     metrics.GetOrRegisterTimer("relay.source.age", r),
 		withoutUpdate: map[readers.Answer]metrics.Counter{
-			readers.Silent: counter("silent"), readers.Away: counter("away"),
-			readers.Lost: counter("lost"), readers.Echo: counter("echo"),
-			readers.Leaving: counter("leaving"),
+			readers.NoAnswer: counter("silent"), readers.NotCurrent: counter("away"),
+			readers.StoreLost: counter("lost"), readers.OwnState: counter("echo"),
+			readers.ShuttingDown: counter("leaving"),
 		},
 	}
 }
--- a/internal/frontend/work.go
+++ b/internal/frontend/work.go
@@ -43,10 +43,10 @@
 // would grow with the square of the fleet. One entry of each data centre then
 // receives the reports and forwards them, see hub.
 type workReporter struct {
-	frontend *Frontend
-	born     uint64
-	changed  wake.Signal
-	sequence uint64
+	frontend    *Frontend
+	incarnation uint64
+	changed     wake.Signal
+	sequence    uint64
 	// tree selects the entry of the data centre that receives the reports.
 	tree fanout.Tree
 
@@ -57,8 +57,8 @@
 
 func newWorkReporter(f *Frontend) *workReporter {
 	return &workReporter{
-		frontend: f, born: uint64(boottime.Now().UnixNano()),
-		tree: fanout.Tree{Direct: 1, Most: fanout.BunchEntries}, inFlight: map[string]bool{},
+		frontend: f, incarnation: uint64(boottime.Now().UnixNano()),
+		tree: fanout.Tree{MaxDirect: 1, MaxSize: fanout.MaxSubgroupEntries}, inFlight: map[string]bool{},
 	}
 }
 
@@ -83,7 +83,7 @@
 func (r *workReporter) ownWork(now time.Time) *fleetpb.EntryWork {
 	f := r.frontend
 	r.sequence++
-	w := &fleetpb.EntryWork{Name: f.Settings.Name, Born: r.born, Number: r.sequence, Waiting: f.state.Waiting(), Limits: f.ownLimits(now)}
+	w := &fleetpb.EntryWork{Name: f.Settings.Name, Born: r.incarnation, Number: r.sequence, Waiting: f.state.Waiting(), Limits: f.ownLimits(now)}
 	for id, n := range f.state.Own() {
 		w.Works = append(w.Works, &fleetpb.Work{Endpoint: id, Running: uint32(n)})
 	}
@@ -93,7 +93,7 @@
 func (r *workReporter) report(ctx context.Context, now time.Time) {
 	f := r.frontend
 	own := r.ownWork(now)
-	if f.members.count() <= fanout.FewEntries {
+	if f.members.count() <= fanout.MaxDirectEntries {
 		for _, m := range f.members.all() {
 			r.send(ctx, m, &fleetpb.WorkRequest{Entries: []*fleetpb.EntryWork{own}})
 		}
@@ -112,7 +112,7 @@
 	f := r.frontend
 	local := f.members.inDataCentre(f.Settings.DataCentre)
 	local[f.Settings.Name] = fleet.Member{Name: f.Settings.Name, DataCentre: f.Settings.DataCentre}
-	return r.tree.Delegate(r.tree.Bunches(slices.Collect(maps.Values(local)))[0])
+	return r.tree.Delegate(r.tree.Subgroups(slices.Collect(maps.Values(local)))[0])
 }
 
 // send delivers a message to one entry in the background, unless another one to it is
@@ -156,7 +156,7 @@
 		return
 	}
 	f.Log.WithFields(logrus.Fields{"entry": m.Name, "cause": err.Error()}).Debug("work report not delivered")
-	r.tree.Failed(m.Name, boottime.Now())
+	r.tree.NoteFailure(m.Name, boottime.Now())
 	if status.Code(err) == codes.DeadlineExceeded {
 		f.peerConns.DropSilent(m.Address)
 	}
--- a/internal/frontend/work_test.go
+++ b/internal/frontend/work_test.go
@@ -27,7 +27,7 @@
 			t.Errorf("a hub sends %.0f messages per second to %d entries, want at most %.0f", perSecond, near, want)
 		}
 	}
-	if forwardInterval(fanout.BunchEntries) > maxReportInterval {
+	if forwardInterval(fanout.MaxSubgroupEntries) > maxReportInterval {
 		t.Error("other entries would consider this one gone")
 	}
 }
@@ -91,8 +91,8 @@
 		m := fleet.Member{Kind: fleet.Entry, Name: name}
 		return kv.NewKeyValue(m.Key(), []byte(`{"address":"127.0.0.1:2"}`), 1, 0)
 	}
-	f.apply(mirror.Update{Whole: true, KVs: []kv.KeyValue{key("a"), key("b"), key("c")}})
-	f.apply(mirror.Update{Whole: true, KVs: []kv.KeyValue{key("b")}})
+	f.apply(mirror.Update{Complete: true, KVs: []kv.KeyValue{key("a"), key("b"), key("c")}})
+	f.apply(mirror.Update{Complete: true, KVs: []kv.KeyValue{key("b")}})
 	if _, ok := f.members.all()["c"]; ok || f.members.count() != 1 {
 		t.Errorf("the known entries are %v", f.members.all())
 	}
--- a/internal/platform/mirror/copy.go
+++ b/internal/platform/mirror/copy.go
@@ -21,7 +21,7 @@
 type Copy struct {
 	// Apart is a key left out of the copy because its large value is transferred
 	// separately.
-	Apart string
+	SeparateKey string
 
 	mu    sync.Mutex // guards all below
 	items map[string]platform.KeyValue
@@ -46,23 +46,23 @@
 // Take applies an update. Updates must come in the order in which Mirror.Apply gets
 // them. If u.Returned is set, recoveredAt is the time at which the service became
 // reachable again.
-func (c *Copy) Take(u Update, recoveredAt time.Time) {
+func (c *Copy) Apply(u Update, recoveredAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if u.Whole {
+	if u.Complete {
 		c.items, c.events, c.compacted = map[string]platform.KeyValue{}, nil, u.Revision
 	}
 	for _, item := range u.KVs {
-		if item.Key() == c.Apart {
+		if item.Key() == c.SeparateKey {
 			continue
 		}
 		c.items[item.Key()] = item
-		if !u.Whole {
+		if !u.Complete {
 			c.events = append(c.events, event{item: item, revision: item.Revision()})
 		}
 	}
 	for _, key := range u.Deleted {
-		if key == c.Apart {
+		if key == c.SeparateKey {
 			continue
 		}
 		delete(c.items, key)
@@ -70,18 +70,18 @@
 	}
 	c.compact()
 	c.revision = max(c.revision, u.Revision)
-	if u.Returned {
+	if u.Recovered {
 		c.recoveredAt = recoveredAt
 	}
-	if u.Lacking {
-		u.Asked = time.Time{}
+	if u.SeparateMissing {
+		u.RequestedAt = time.Time{}
 	}
-	c.advance(u.Asked, u.Apart)
+	c.advance(u.RequestedAt, u.SeparateRevision)
 }
 
 // CatchUp records that the process holds the value of Apart at a revision and
 // therefore knows every change made before knownAt.
-func (c *Copy) CatchUp(knownAt time.Time, separateRevision int64) {
+func (c *Copy) Advance(knownAt time.Time, separateRevision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.advance(knownAt, separateRevision)
@@ -118,9 +118,9 @@
 	if c.items == nil {
 		return Update{}, false
 	}
-	u := Update{Revision: c.revision, Asked: c.knownAt, Apart: c.separateRevision}
+	u := Update{Revision: c.revision, RequestedAt: c.knownAt, SeparateRevision: c.separateRevision}
 	if !known || after < c.compacted {
-		u.Whole = true
+		u.Complete = true
 		for _, item := range c.items {
 			u.KVs = append(u.KVs, item)
 		}
@@ -138,14 +138,14 @@
 
 // Returned returns the time at which the service last became reachable again after
 // failed calls, or the zero time.
-func (c *Copy) Returned() time.Time {
+func (c *Copy) RecoveredAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.recoveredAt
 }
 
 // Taken returns a channel that is closed by the next call of Take or CatchUp.
-func (c *Copy) Taken() <-chan struct{} {
+func (c *Copy) Updated() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.updated == nil {
--- a/internal/platform/mirror/copy_test.go
+++ b/internal/platform/mirror/copy_test.go
@@ -45,7 +45,7 @@
 
 // since returns the answer of the service to a poll, or to a list if known is false.
 func (h *history) since(after int64, known bool, now time.Time) Update {
-	u := Update{Whole: !known, Revision: h.revision(), Asked: now}
+	u := Update{Complete: !known, Revision: h.revision(), RequestedAt: now}
 	if !known {
 		after = 0
 	}
@@ -69,7 +69,7 @@
 }
 
 func (f *follower) apply(u Update, now time.Time) {
-	if u.Whole {
+	if u.Complete {
 		f.state = map[string]string{}
 	}
 	for _, item := range u.KVs {
@@ -80,10 +80,10 @@
 	}
 	u.Revision = max(u.Revision, f.revision)
 	f.revision, f.known = u.Revision, true
-	if u.Asked.After(f.knownAt) {
-		f.knownAt = u.Asked
+	if u.RequestedAt.After(f.knownAt) {
+		f.knownAt = u.RequestedAt
 	}
-	f.copy.Take(u, now)
+	f.copy.Apply(u, now)
 }
 
 // check verifies that the state of the follower is that of its revision, and that it
@@ -140,31 +140,31 @@
 		t.Fatal("an empty copy returns an update")
 	}
 	now := time.Unix(1000, 0)
-	c.Take(Update{Whole: true, Revision: 1}, now)
+	c.Apply(Update{Complete: true, Revision: 1}, now)
 	for r := int64(2); r < 3*maxEvents; r++ {
-		c.Take(Update{KVs: []platform.KeyValue{platform.NewKeyValue(fmt.Sprint(r%7), nil, r, 0)}, Revision: r}, now)
+		c.Apply(Update{KVs: []platform.KeyValue{platform.NewKeyValue(fmt.Sprint(r%7), nil, r, 0)}, Revision: r}, now)
 	}
 	if len(c.events) > maxEvents {
 		t.Errorf("%d changes are kept", len(c.events))
 	}
-	if u, ok := c.Since(1, true); !ok || !u.Whole || len(u.KVs) != 7 {
-		t.Errorf("a reader far behind gets whole %v, %d items", u.Whole, len(u.KVs))
+	if u, ok := c.Since(1, true); !ok || !u.Complete || len(u.KVs) != 7 {
+		t.Errorf("a reader far behind gets whole %v, %d items", u.Complete, len(u.KVs))
 	}
-	if u, ok := c.Since(3*maxEvents-2, true); !ok || u.Whole || len(u.KVs) != 1 {
-		t.Errorf("a reader that lacks one change gets whole %v, %d items", u.Whole, len(u.KVs))
+	if u, ok := c.Since(3*maxEvents-2, true); !ok || u.Complete || len(u.KVs) != 1 {
+		t.Errorf("a reader that lacks one change gets whole %v, %d items", u.Complete, len(u.KVs))
 	}
 }
 
 // Guards against a request that keeps waiting although an update has arrived.
-func TestUpdateClosesTakenChannel(t *testing.T) {
+func TestUpdateClosesUpdatedChannel(t *testing.T) {
 	c := &Copy{}
-	taken := c.Taken()
-	if again := c.Taken(); again != taken {
+	updated := c.Updated()
+	if again := c.Updated(); again != updated {
 		t.Error("two waiters get different channels")
 	}
-	c.Take(Update{Whole: true, Revision: 1}, time.Unix(1000, 0))
+	c.Apply(Update{Complete: true, Revision: 1}, time.Unix(1000, 0))
 	select {
-	case <-taken:
+	case <-updated:
 	default:
 		t.Error("the channel was not closed")
 	}
@@ -198,7 +198,7 @@
 type separateFollower struct {
 	follower
 
-	lacking         bool
+	separateMissing bool
 	pendingKnownAt  time.Time // of the update that announced pendingRevision
 	pendingRevision int64
 	heldRevision    int64
@@ -206,33 +206,33 @@
 
 // receive applies an update, which contains no value of Copy.Apart.
 func (f *separateFollower) receive(u Update, now time.Time) {
-	u.Lacking = u.Apart > f.heldRevision
-	if u.Lacking {
-		f.lacking, f.pendingKnownAt, f.pendingRevision = true, u.Asked, u.Apart
+	u.SeparateMissing = u.SeparateRevision > f.heldRevision
+	if u.SeparateMissing {
+		f.separateMissing, f.pendingKnownAt, f.pendingRevision = true, u.RequestedAt, u.SeparateRevision
 	}
-	u.Apart = f.heldRevision
+	u.SeparateRevision = f.heldRevision
 	accepted := u
-	if u.Lacking {
-		accepted.Asked = time.Time{}
+	if u.SeparateMissing {
+		accepted.RequestedAt = time.Time{}
 	}
-	f.copy.Take(u, now)
+	f.copy.Apply(u, now)
 	f.revision, f.known = max(f.revision, u.Revision), true
-	if accepted.Asked.After(f.follower.knownAt) {
-		f.follower.knownAt = accepted.Asked
+	if accepted.RequestedAt.After(f.follower.knownAt) {
+		f.follower.knownAt = accepted.RequestedAt
 	}
 }
 
 // transferFrom copies the value of Copy.Apart from another follower.
 func (f *separateFollower) transferFrom(from *separateFollower) {
 	f.heldRevision = max(f.heldRevision, from.heldRevision)
-	if !f.lacking || f.heldRevision < f.pendingRevision {
+	if !f.separateMissing || f.heldRevision < f.pendingRevision {
 		return
 	}
-	f.lacking = false
+	f.separateMissing = false
 	if f.pendingKnownAt.After(f.follower.knownAt) {
 		f.follower.knownAt = f.pendingKnownAt
 	}
-	f.copy.CatchUp(f.pendingKnownAt, f.heldRevision)
+	f.copy.Advance(f.pendingKnownAt, f.heldRevision)
 }
 
 // A large value is transferred separately and later, also by processes that are behind.
@@ -244,7 +244,7 @@
 		h := &history{}
 		followers := []*separateFollower{{}, {}, {}, {}}
 		for _, f := range followers {
-			f.copy.Apart = "key0"
+			f.copy.SeparateKey = "key0"
 		}
 		now := time.Unix(1000, 0)
 		for range 400 {
@@ -261,7 +261,7 @@
 							f.heldRevision = max(f.heldRevision, item.Revision())
 						}
 					}
-					u.Apart = f.heldRevision
+					u.SeparateRevision = f.heldRevision
 					f.receive(u, now)
 				}
 			case 2:
@@ -301,15 +301,15 @@
 func TestServiceIsAskedFromWhereNothingLacked(t *testing.T) {
 	var polled []int64
 	updates := []Update{
-		{Whole: true, Revision: 10},
-		{Revision: 20, Lacking: true},
+		{Complete: true, Revision: 10},
+		{Revision: 20, SeparateMissing: true},
 		{Revision: 15}, // from another neighbour, which is behind
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	m := &Mirror{
 		Reader: pollRecorder{polled: &polled, end: cancel}, Wait: time.Second, Now: time.Now, Apply: func(Update) {},
-		Neighbour: func(context.Context, int64, bool) (Update, bool) {
+		Peer: func(context.Context, int64, bool) (Update, bool) {
 			if len(updates) == 0 {
 				return Update{}, false
 			}
--- a/internal/platform/mirror/mirror.go
+++ b/internal/platform/mirror/mirror.go
@@ -38,25 +38,25 @@
 // Update holds the content of one answer of the service or of a neighbour.
 type Update struct {
 	// Whole reports that KVs is the complete state and Deleted is empty.
-	Whole    bool
+	Complete bool
 	KVs      []platform.KeyValue
 	Deleted  []string
 	Revision int64
 	// Asked is the time at which the request was sent. After the update the process
 	// knows every change made before it.
-	Asked time.Time
+	RequestedAt time.Time
 	// Returned reports that calls to the service failed before this answer.
-	Returned bool
+	Recovered bool
 	// Neighbour reports that the update comes from another process instead of the
 	// service.
-	Neighbour bool
+	FromPeer bool
 	// Apart is the revision of the value of Copy.Apart, which is transferred
 	// separately: the revision that the process holds or, in an update from a
 	// neighbour, that the neighbour holds.
-	Apart int64
+	SeparateRevision int64
 	// Lacking reports that the process doesn't hold that value yet. Only once it
 	// does, it knows every change made before Asked.
-	Lacking bool
+	SeparateMissing bool
 }
 
 // position is the revision up to which a process knows all changes. If known is
@@ -86,7 +86,7 @@
 	// MostSettle is the limit up to which the pause doubles with each consecutive
 	// answer with changes, during the first StartTime of Run. If it is 0, the
 	// pause is always Settle.
-	MostSettle, StartTime time.Duration
+	MaxSettle, StartupPeriod time.Duration
 	// Doubt, if set, aborts the pending poll and sends it again when raised. Raise
 	// it when other calls show that the service is reachable again.
 	//
@@ -94,7 +94,7 @@
 	// answered. Where few keys change under the prefix, this shows only at the end
 	// of its wait: after an outage of 6 s a group of ranks had no leader for 5 s
 	// more, since no process saw that the last leader's lease had expired.
-	Doubt *wake.Signal
+	Repoll *wake.Signal
 	// Neighbour, if set, is called before the service. It returns the changes that
 	// another process received from the service after a revision, or the complete
 	// state if known is false, and sets Returned of the update itself. If it
@@ -102,16 +102,16 @@
 	//
 	// The service is polled from the last update that wasn't Lacking. Otherwise a
 	// value that a neighbour announced but did not transfer would never arrive.
-	Neighbour func(ctx context.Context, revision int64, known bool) (Update, bool)
+	Peer func(ctx context.Context, revision int64, known bool) (Update, bool)
 	// Asking, if set, is called before each call to the service with the time at
 	// which the answer is due.
-	Asking func(due time.Time)
+	OnRequest func(due time.Time)
 	// Now returns the current time.
 	Now func() time.Time
 	// Apply is called with each update, in order, from one goroutine.
 	Apply func(Update)
 	// Failed, if set, is called with the error of each failed call.
-	Failed func(error)
+	OnError func(error)
 }
 
 // Run follows the prefix until ctx ends. It always returns nil.
@@ -124,25 +124,25 @@
 	// that the service did not answer the last call, or that the last update came
 	// from a neighbour.
 	knownAt, unconfirmed := time.Time{}, false
-	startEnd := m.Now().Add(m.StartTime)
+	startEnd := m.Now().Add(m.StartupPeriod)
 	for ctx.Err() == nil {
 		u, err := m.fetch(ctx, received, complete, m.pollWait(m.Now().Sub(knownAt), unconfirmed))
 		switch {
 		case err == nil:
-			if !u.Neighbour {
-				u.Returned = failed
+			if !u.FromPeer {
+				u.Recovered = failed
 			}
-			unconfirmed = u.Neighbour
+			unconfirmed = u.FromPeer
 			failed, retryDelay = false, minRetryDelay
 			received.advance(u.Revision)
-			if !u.Lacking {
+			if !u.SeparateMissing {
 				complete.advance(u.Revision)
 			}
-			if u.Asked.After(knownAt) && !u.Lacking {
-				knownAt = u.Asked
+			if u.RequestedAt.After(knownAt) && !u.SeparateMissing {
+				knownAt = u.RequestedAt
 			}
 			m.Apply(u)
-			if u.Neighbour {
+			if u.FromPeer {
 				settle = m.Settle
 				continue // the neighbour has already coalesced changes
 			}
@@ -151,7 +151,7 @@
 				continue
 			}
 			pause.For(ctx, settle)
-			if settle = max(settle, min(2*settle, m.MostSettle)); m.Now().After(startEnd) {
+			if settle = max(settle, min(2*settle, m.MaxSettle)); m.Now().After(startEnd) {
 				settle = m.Settle
 			}
 		case errors.Is(err, ErrCompacted):
@@ -187,15 +187,15 @@
 }
 
 func (m *Mirror) reportFailure(ctx context.Context, err error) {
-	if m.Failed != nil && ctx.Err() == nil {
-		m.Failed(err)
+	if m.OnError != nil && ctx.Err() == nil {
+		m.OnError(err)
 	}
 }
 
 func (m *Mirror) fetch(ctx context.Context, received, complete position, wait time.Duration) (Update, error) {
-	if m.Neighbour != nil {
-		if u, ok := m.Neighbour(ctx, received.revision, received.known); ok {
-			u.Neighbour = true
+	if m.Peer != nil {
+		if u, ok := m.Peer(ctx, received.revision, received.known); ok {
+			u.FromPeer = true
 			return u, nil
 		}
 	}
@@ -203,7 +203,7 @@
 	if !complete.known {
 		m.reportRequest(sentAt)
 		u, err := m.list(ctx)
-		u.Asked = sentAt
+		u.RequestedAt = sentAt
 		return u, err
 	}
 	m.reportRequest(sentAt.Add(wait))
@@ -213,12 +213,12 @@
 	}
 	// A reordered answer carries an older revision, and polling from there would
 	// repeat changes.
-	return Update{KVs: c.KVs, Deleted: c.Deleted, Revision: max(c.Revision, complete.revision), Asked: sentAt}, nil
+	return Update{KVs: c.KVs, Deleted: c.Deleted, Revision: max(c.Revision, complete.revision), RequestedAt: sentAt}, nil
 }
 
 func (m *Mirror) reportRequest(due time.Time) {
-	if m.Asking != nil {
-		m.Asking(due)
+	if m.OnRequest != nil {
+		m.OnRequest(due)
 	}
 }
 
@@ -227,7 +227,7 @@
 
 // poll polls the service until it answers or Doubt is raised.
 func (m *Mirror) poll(ctx context.Context, revision int64, wait time.Duration) (platform.Changed, error) {
-	if m.Doubt == nil {
+	if m.Repoll == nil {
 		return m.Reader.Poll(ctx, m.Prefix, revision, wait)
 	}
 	pollCtx, cancel := context.WithCancelCause(ctx)
@@ -235,7 +235,7 @@
 	go func() {
 		defer close(watcherDone)
 		select {
-		case <-m.Doubt.Raised():
+		case <-m.Repoll.Raised():
 			cancel(errPollAborted)
 		case <-pollCtx.Done():
 		}
@@ -253,7 +253,7 @@
 // page. The pages aren't one snapshot: polling from that revision repeats changes
 // that later pages already contained, and delivers those that they missed.
 func (m *Mirror) list(ctx context.Context) (Update, error) {
-	u := Update{Whole: true}
+	u := Update{Complete: true}
 	after := ""
 	for {
 		page, err := m.Reader.List(ctx, m.Prefix, after, pageLimit)
--- a/internal/platform/mirror/mirror_test.go
+++ b/internal/platform/mirror/mirror_test.go
@@ -80,7 +80,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var last atomic.Int64
 		m := &Mirror{
-			Reader: s, Wait: 1500 * time.Millisecond, Settle: settle, MostSettle: maxSettle, StartTime: 6 * time.Second, Now: time.Now,
+			Reader: s, Wait: 1500 * time.Millisecond, Settle: settle, MaxSettle: maxSettle, StartupPeriod: 6 * time.Second, Now: time.Now,
 			Apply: func(u Update) {
 				if missed := s.revision() - last.Load(); last.Load() > 0 && time.Duration(missed)*changeInterval > maxSettle+2*changeInterval {
 					t.Errorf("%v: a change was received %v late", time.Since(began), time.Duration(missed)*changeInterval)
@@ -142,11 +142,11 @@
 func TestDoubtedPollIsAskedAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &stalledService{polls: make(chan struct{}, 1000)}
-		var doubt wake.Signal
+		var repoll wake.Signal
 		updates := make(chan Update, 1000)
 		ctx, cancel := context.WithCancel(t.Context())
 		m := &Mirror{
-			Reader: s, Wait: time.Hour, Settle: time.Second, Doubt: &doubt, Now: time.Now,
+			Reader: s, Wait: time.Hour, Settle: time.Second, Repoll: &repoll, Now: time.Now,
 			Apply: func(u Update) { updates <- u },
 		}
 		done := make(chan error, 1)
@@ -154,8 +154,8 @@
 		<-updates // of the list
 		synctest.Wait()
 		began := time.Now()
-		doubt.Raise()
-		if u := <-updates; len(u.Deleted) != 1 || !u.Returned {
+		repoll.Raise()
+		if u := <-updates; len(u.Deleted) != 1 || !u.Recovered {
 			t.Errorf("told %+v", u)
 		}
 		if d := time.Since(began); d > time.Second {
--- a/internal/ranker/delegate.go
+++ b/internal/ranker/delegate.go
@@ -28,7 +28,7 @@
 type delegate struct {
 	poller poller
 	// targetLists holds the target lists that leaders have sent.
-	targetLists fleet.Lists
+	targetLists fleet.TargetLists
 }
 
 func newDelegate(r *Ranker) *delegate {
@@ -39,7 +39,7 @@
 func (s *service) Gather(ctx context.Context, req *fleetpb.GatherRequest) (*fleetpb.GatherReply, error) {
 	d := s.ranker.delegate
 	s.ranker.noteLeader(req.GetLeader(), boottime.Now())
-	targets := d.targetLists.Learn(req.GetList(), req.GetTargets())
+	targets := d.targetLists.Resolve(req.GetList(), req.GetTargets())
 	if targets == nil {
 		return &fleetpb.GatherReply{UnknownList: true}, nil
 	}
--- a/internal/ranker/gather.go
+++ b/internal/ranker/gather.go
@@ -20,7 +20,7 @@
 // leader's own link is congested or cut. Other delegates would not be reached either,
 // and each of them needs new connections first, so these failures are not held
 // against any delegate.
-func (t *term) pollSubgroups(ctx context.Context, subgroups []fanout.Bunch, opts []pollOptions) []rankReport {
+func (t *term) pollSubgroups(ctx context.Context, subgroups []fanout.Subgroup, opts []pollOptions) []rankReport {
 	reports := make([][]rankReport, len(subgroups))
 	errs := make([]error, len(subgroups))
 	delegates := make([]fleet.Member, len(subgroups))
@@ -38,7 +38,7 @@
 	}
 	if 2*len(failed) <= len(subgroups) {
 		for _, i := range failed {
-			t.tree.Failed(delegates[i].Name, boottime.Now())
+			t.tree.NoteFailure(delegates[i].Name, boottime.Now())
 			t.ranker.conns.DropSilent(delegates[i].Address)
 		}
 		parallel(len(failed), func(n int) { poll(failed[n]) })
@@ -52,7 +52,7 @@
 }
 
 // gather has a delegate poll the engines of some agents.
-func (t *term) gather(ctx context.Context, delegate *fleet.Member, targets fanout.Bunch, opts pollOptions) ([]rankReport, error) {
+func (t *term) gather(ctx context.Context, delegate *fleet.Member, targets fanout.Subgroup, opts pollOptions) ([]rankReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, agentCallTimeout)
 	defer cancel()
 	conn, err := t.ranker.conns.Get(delegate.Address)
@@ -63,7 +63,7 @@
 	req.Lists, req.Leader = opts.lists, opts.leader
 	req.Experts = uint32(opts.experts)
 	allTargets := req.Targets
-	if t.knownLists.Knows(delegate.Name, req.List) {
+	if t.sentLists.MarkSent(delegate.Name, req.List) {
 		req.Targets = nil
 	}
 	polledAt := boottime.Now()
@@ -74,7 +74,7 @@
 		resp, err = agent.Gather(ctx, req)
 	}
 	if err != nil {
-		t.knownLists.Forget(delegate.Name)
+		t.sentLists.Forget(delegate.Name)
 		return nil, err
 	}
 	t.addSums(resp.GetSums())
@@ -82,18 +82,18 @@
 }
 
 // gatherRequestProto returns a request for the states of targets.
-func gatherRequestProto(targets fanout.Bunch) *fleetpb.GatherRequest {
+func gatherRequestProto(targets fanout.Subgroup) *fleetpb.GatherRequest {
 	req := &fleetpb.GatherRequest{}
 	for i := range targets {
 		req.Targets = append(req.Targets, targetProto(&targets[i]))
 	}
-	req.List = fleet.ListName(req.Targets)
+	req.List = fleet.TargetListHash(req.Targets)
 	return req
 }
 
 // reportsFromDelegate decodes the reports in a delegate's reply and logs which
 // targets have none.
-func (t *term) reportsFromDelegate(delegate *fleet.Member, targets fanout.Bunch, resp *fleetpb.GatherReply, polledAt time.Time) []rankReport {
+func (t *term) reportsFromDelegate(delegate *fleet.Member, targets fanout.Subgroup, resp *fleetpb.GatherReply, polledAt time.Time) []rankReport {
 	reports := make([]rankReport, 0, len(targets))
 	seen := make([]bool, len(targets))
 	for _, gathered := range resp.GetGathered() {
--- a/internal/ranker/loads.go
+++ b/internal/ranker/loads.go
@@ -32,11 +32,11 @@
 	lastSent   time.Time
 	lastClosed bool
 	// knownLists records which list of engines each entry has received.
-	knownLists fleet.Told
+	sentLists fleet.SentLists
 }
 
 func newLoadReporter() loadReporter {
-	return loadReporter{tree: fanout.Tree{Direct: fanout.FewEntries, Most: fanout.BunchEntries}}
+	return loadReporter{tree: fanout.Tree{MaxDirect: fanout.MaxDirectEntries, MaxSize: fanout.MaxSubgroupEntries}}
 }
 
 // due reports whether a report is due now. A change between open and closed is
@@ -66,7 +66,7 @@
 	if !slow {
 		req.Pace = nil
 	}
-	req.List = fleet.ListName(req.Targets)
+	req.List = fleet.TargetListHash(req.Targets)
 	return req
 }
 
@@ -82,8 +82,8 @@
 		return
 	}
 	req := loadsRequestProto(reports, complete)
-	for _, b := range t.loads.tree.Bunches(entries) {
-		go t.reportLoadsTo(ctx, t.loads.tree.Delegate(b), req, len(b) > 1)
+	for _, subgroup := range t.loads.tree.Subgroups(entries) {
+		go t.reportLoadsTo(ctx, t.loads.tree.Delegate(subgroup), req, len(subgroup) > 1)
 	}
 }
 
@@ -100,17 +100,17 @@
 		List: loads.List, Targets: loads.Targets, Running: loads.Running, Queued: loads.Queued,
 		Pace: loads.Pace, Closed: loads.Closed, Forming: loads.Forming, Forward: forward,
 	}
-	if t.loads.knownLists.Knows(m.Name, req.List) {
+	if t.loads.sentLists.MarkSent(m.Name, req.List) {
 		req.Targets = nil
 	}
 	resp, err := fleetpb.NewEntryClient(conn).Loads(ctx, req)
 	switch {
 	case err != nil:
-		t.loads.knownLists.Forget(m.Name)
-		t.loads.tree.Failed(m.Name, boottime.Now())
+		t.loads.sentLists.Forget(m.Name)
+		t.loads.tree.NoteFailure(m.Name, boottime.Now())
 		t.ranker.conns.DropSilent(m.Address)
 		t.ranker.Log.WithFields(logrus.Fields{"entry": m.Name, "cause": err.Error()}).Debug("cannot report loads to entry")
 	case resp.GetUnknownList():
-		t.loads.knownLists.Forget(m.Name)
+		t.loads.sentLists.Forget(m.Name)
 	}
 }
--- a/internal/ranker/looks.go
+++ b/internal/ranker/looks.go
@@ -68,7 +68,7 @@
 			others = append(others, agents[i])
 		}
 	}
-	subgroups := t.tree.Bunches(others)
+	subgroups := t.tree.Subgroups(others)
 	var reports []rankReport
 	if len(subgroups) == len(others) {
 		reports = t.pollEach(ctx, agents, opts)
@@ -111,7 +111,7 @@
 
 // pollThroughDelegates polls subgroups through their delegates, and concurrently the
 // engine of own, unless own is nil.
-func (t *term) pollThroughDelegates(ctx context.Context, subgroups []fanout.Bunch, own *fleet.Member, opts pollOptions, now time.Time) []rankReport {
+func (t *term) pollThroughDelegates(ctx context.Context, subgroups []fanout.Subgroup, own *fleet.Member, opts pollOptions, now time.Time) []rankReport {
 	experts, summed := 0, 0
 	if opts.counts {
 		n, pause := sumBudget(t.engine.Experts, len(subgroups))
--- a/internal/ranker/members.go
+++ b/internal/ranker/members.go
@@ -45,12 +45,12 @@
 	ready := make(chan struct{})
 	var once sync.Once
 	m := &mirror.Mirror{
-		Reader: r.store, Prefix: fleet.Prefix, Wait: memberPollWait, Settle: memberPollSettle, Doubt: &r.storeReturned, Now: boottime.Now,
+		Reader: r.store, Prefix: fleet.Prefix, Wait: memberPollWait, Settle: memberPollSettle, Repoll: &r.storeReturned, Now: boottime.Now,
 		Apply: func(u mirror.Update) {
 			r.applyMembers(u)
 			once.Do(func() { close(ready) })
 		},
-		Failed: r.logStoreFailure,
+		OnError: r.logStoreFailure,
 	}
 	done := make(chan error, 1)
 	go func() { done <- m.Run(ctx) }()
@@ -74,7 +74,7 @@
 	now := boottime.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if u.Whole {
+	if u.Complete {
 		for name := range r.agents {
 			r.markLapsed(name, now)
 		}
--- a/internal/ranker/orders.go
+++ b/internal/ranker/orders.go
@@ -86,7 +86,7 @@
 	}
 	replies, err := t.callSpread(ctx, delegate, req)
 	if err != nil {
-		t.tree.Failed(delegate.Name, boottime.Now())
+		t.tree.NoteFailure(delegate.Name, boottime.Now())
 		t.logDelegateFailure(delegate.Name, err)
 		return
 	}
--- a/internal/ranker/ranker.go
+++ b/internal/ranker/ranker.go
@@ -171,7 +171,7 @@
 	if group == "" {
 		return nil
 	}
-	registrar := &fleet.Registrar{Store: r.store, Failed: r.logStoreFailure, Doubt: &r.leaseInDoubt, Returned: r.storeReturned.Raise, Member: fleet.Member{
+	registrar := &fleet.Registrar{Store: r.store, OnError: r.logStoreFailure, RenewNow: &r.leaseInDoubt, OnRecovered: r.storeReturned.Raise, Member: fleet.Member{
 		Kind: fleet.Agent, Name: r.Settings.Name, DataCentre: r.Settings.DataCentre,
 		Address: r.peers.Address(), Endpoint: r.Settings.EndpointAddress.String(), Group: group,
 	}}
@@ -249,7 +249,7 @@
 	if known && previous.name != r.Settings.Name {
 		t.leader.Before = &previous.Predecessor
 		t.poller.expectSilent(previous.name, now)
-		t.tree.Failed(previous.name, now)
+		t.tree.NoteFailure(previous.name, now)
 	}
 	stopMembers := r.watchMembers(ctx)
 	t.run(ctx)
--- a/internal/ranker/sums_test.go
+++ b/internal/ranker/sums_test.go
@@ -120,7 +120,7 @@
 
 // A delegate answers for 12 other agents. Guards against counts that fill its link at
 // each poll, so that all its ranks count as unreachable.
-func TestDelegateLineBearsTheCountsOfItsBunch(t *testing.T) {
+func TestDelegateLineBearsTheCountsOfItsSubgroup(t *testing.T) {
 	const bandwidth = 6e6 / 8 // bytes a second
 	sums := &fleetpb.LookReply{Sums: sumsProto(slices.Repeat([]float64{1}, 16*258), 258, rankLevelBits)}
 	if took := float64((maxSubgroupAgents-1)*proto.Size(sums)) / bandwidth; took > delegateAgentTimeout.Seconds()/2 {
@@ -153,7 +153,7 @@
 	const sets, experts, dataCentres, overhead = 16, 258, 5, 80
 	subgroups := max(dataCentres, (ranks+maxSubgroupAgents-1)/maxSubgroupAgents)
 	perSubgroup := (ranks + subgroups - 1) / subgroups
-	var subgroup fanout.Bunch
+	var subgroup fanout.Subgroup
 	resp := &fleetpb.GatherReply{}
 	for i := range perSubgroup {
 		subgroup = append(subgroup, fleet.Member{Name: "side-alm-a-12", Address: "10.1.10.140:7340", Endpoint: "10.1.64.140:8029"})
@@ -220,7 +220,7 @@
 
 // benchSubgroup decodes the reports of n ranks from a delegate.
 func benchSubgroup(lead *term, first, n int, now time.Time) []rankReport {
-	members := make(fanout.Bunch, 0, n)
+	members := make(fanout.Subgroup, 0, n)
 	resp := &fleetpb.GatherReply{}
 	for i := range n {
 		members = append(members, fleet.Member{Name: "agent", Endpoint: "10.1.64.140:8029"})
--- a/internal/ranker/term.go
+++ b/internal/ranker/term.go
@@ -50,7 +50,7 @@
 	// tree selects the delegates through which agents are reached.
 	tree fanout.Tree
 	// knownLists records which target lists delegates have received.
-	knownLists fleet.Told
+	sentLists fleet.SentLists
 	// sumsPolledAt is when delegates were last asked for sums of counts. countsPolled
 	// reports whether the last poll asked for counts.
 	sumsPolledAt time.Time
@@ -83,7 +83,7 @@
 		ranker: r, lease: lease, group: s.Group, size: s.Size, token: token, leaseUntil: until,
 		leader: lockstep.Leader{Own: s.Rank, Holder: (s.Rank + 1) % s.Size, Token: token},
 		poller: newPoller(r, agentCallTimeout, engineTimeout),
-		tree:   fanout.Tree{Direct: maxDirectAgents, Most: maxSubgroupAgents},
+		tree:   fanout.Tree{MaxDirect: maxDirectAgents, MaxSize: maxSubgroupAgents},
 		loads:  newLoadReporter(), rankByAgent: map[string]int{},
 		renewals: make(chan renewal, 1), retries: remoteRetries,
 	}
--- a/internal/relay/belief.go
+++ b/internal/relay/belief.go
@@ -136,7 +136,7 @@
 
 // Begin initialises b. The time now counts as the start of the process.
 func (b *Belief) Begin(now time.Time) {
-	b.dir.LapseHold = lapseHold
+	b.dir.RetentionAfterOutage = lapseHold
 	b.dir.ColdStart = b.coldStart
 	b.selector = placement.Picture{DataCentre: b.DataCentre, Seed: b.Seed, Entries: 1}
 	b.retryBudgets = map[string]*admission.RetryBudget{}
@@ -307,12 +307,12 @@
 
 // Turned records how long an endpoint reports that it will stay cold.
 func (b *Belief) Turned(id string, cold time.Duration, now time.Time) {
-	b.Change(func(d *directory.Directory) { d.Turned(id, cold, now) })
+	b.Change(func(d *directory.Directory) { d.ExtendColdStart(id, cold, now) })
 }
 
 // Misdirected records that another endpoint answered at the address of a place.
 func (b *Belief) Misdirected(p Place) {
-	b.Change(func(d *directory.Directory) { d.Misdirected(p.Endpoint.ID, p.Endpoint.Born) })
+	b.Change(func(d *directory.Directory) { d.MarkMisdirected(p.Endpoint.ID, p.Endpoint.StartMillis) })
 }
 
 // Endpoints returns the number of endpoints that may be sent new requests.
--- a/internal/relay/belief_test.go
+++ b/internal/relay/belief_test.go
@@ -46,7 +46,7 @@
 	b.Change(func(d *directory.Directory) {
 		for i := range n {
 			d.Put(directory.Entry{
-				ID: fmt.Sprintf("e%d", i), Born: 1, Service: service, Address: fmt.Sprintf("10.0.0.%d:1", i),
+				ID: fmt.Sprintf("e%d", i), StartMillis: 1, Service: service, Address: fmt.Sprintf("10.0.0.%d:1", i),
 				DataCentre: "a", Slots: 12,
 			}, start)
 		}
--- a/internal/relay/lapse_test.go
+++ b/internal/relay/lapse_test.go
@@ -17,7 +17,7 @@
 	b := newBelief("me", s)
 	listEndpoints(b, 1, "quotes")
 	b.Change(func(d *directory.Directory) {
-		d.Returned(start)
+		d.StoreRecovered(start)
 		d.Remove("e0", start)
 	})
 	held := start.Add(lapseHold - time.Millisecond)
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -68,7 +68,7 @@
 	if none && (!ok || !assignedAt.After(old.At)) {
 		return false
 	}
-	reported := Limit{Endpoint: ep.ID, Born: ep.Born, PerSecond: max(0, perSecond), None: none, At: now}
+	reported := Limit{Endpoint: ep.ID, Born: ep.StartMillis, PerSecond: max(0, perSecond), None: none, At: now}
 	if l.own == nil {
 		l.own = map[string]Limit{}
 	}
@@ -100,7 +100,7 @@
 // lookup returns the current limit of an endpoint, or false if there is none.
 func (l *limits) lookup(ep directory.Endpoint, now time.Time) (Limit, bool) {
 	known, ok := l.newest[ep.ID]
-	if !ok || known.None || known.Born != ep.Born || now.Sub(known.At) > limitTTL {
+	if !ok || known.None || known.Born != ep.StartMillis || now.Sub(known.At) > limitTTL {
 		return Limit{}, false
 	}
 	return known, true
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -157,7 +157,7 @@
 
 // refresh updates endpoints, addresses and the selector from the directory.
 func (b *Belief) refresh(now time.Time) {
-	if !b.dirty && now.Sub(b.refreshedAt) < reportInterval && !b.dir.Lapsed(now) {
+	if !b.dirty && now.Sub(b.refreshedAt) < reportInterval && !b.dir.RetentionExpired(now) {
 		return
 	}
 	b.dirty, b.refreshedAt = false, now
@@ -184,7 +184,7 @@
 // updateReport gives the selector a load report for one endpoint.
 func (b *Belief) updateReport(ep directory.Endpoint, now time.Time) {
 	r := placement.Report{
-		Endpoint: ep.ID, Incarnation: ep.Born, DataCentre: ep.DataCentre, Routes: []string{ep.Service},
+		Endpoint: ep.ID, Incarnation: ep.StartMillis, DataCentre: ep.DataCentre, Routes: []string{ep.Service},
 	}
 	r.Allowance, r.Capacity = b.endpointCapacity(ep)
 	r.Running, r.At = b.running(ep, now)
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -169,7 +169,7 @@
 // logLimit logs a limit that an endpoint reports, or, if it is negative, that it reports none any
 // more.
 func (j *job) logLimit(p Place, perSecond float64) {
-	fields := logrus.Fields{"endpoint": p.Endpoint.ID, "born": p.Endpoint.Born, "service": p.Endpoint.Service, "request": j.facts.ID}
+	fields := logrus.Fields{"endpoint": p.Endpoint.ID, "born": p.Endpoint.StartMillis, "service": p.Endpoint.Service, "request": j.facts.ID}
 	if perSecond < 0 {
 		j.relay.Log.WithFields(fields).Info("endpoint names no limit any more")
 		return
