--- a/internal/caller/admission/controller.go
+++ b/internal/caller/admission/controller.go
@@ -8,10 +8,10 @@
 
 // Defaults of the exported fields of Controller.
 const (
-	DefaultMaxWaiting = 1024
-	DefaultFairPart   = 0.25
-	DefaultRun        = time.Second
-	DefaultMaxWait    = 30 * time.Second
+	DefaultMaxWaiting   = 1024
+	DefaultFairFraction = 0.25
+	DefaultRunTime      = time.Second
+	DefaultDeadline     = 30 * time.Second
 )
 
 // Controller decides about the requests of one entry. The exported fields must
@@ -23,13 +23,13 @@
 	MaxWaiting int
 	// FairPart is the fraction of the running time, between 0 and 1, that is
 	// allocated by fair share alone.
-	FairPart float64
+	FairFraction float64
 	// Run is the assumed running time of a request if neither an estimate nor a
 	// measurement exists.
-	Run time.Duration
+	DefaultRunTime time.Duration
 	// MaxWait is the time from arrival to the deadline for a request without
 	// one.
-	MaxWait time.Duration
+	DefaultDeadline time.Duration
 
 	accounts      map[string]*account
 	routes        map[string]*route
@@ -57,14 +57,14 @@
 	if c.MaxWaiting <= 0 {
 		c.MaxWaiting = DefaultMaxWaiting
 	}
-	if c.FairPart <= 0 || c.FairPart > 1 {
-		c.FairPart = DefaultFairPart
+	if c.FairFraction <= 0 || c.FairFraction > 1 {
+		c.FairFraction = DefaultFairFraction
 	}
-	if c.Run <= 0 {
-		c.Run = DefaultRun
+	if c.DefaultRunTime <= 0 {
+		c.DefaultRunTime = DefaultRunTime
 	}
-	if c.MaxWait <= 0 {
-		c.MaxWait = DefaultMaxWait
+	if c.DefaultDeadline <= 0 {
+		c.DefaultDeadline = DefaultDeadline
 	}
 }
 
@@ -80,7 +80,7 @@
 			return err
 		}
 		if listed[l.Account] {
-			return ErrTwice
+			return ErrDuplicateAccount
 		}
 		listed[l.Account] = true
 	}
@@ -144,7 +144,7 @@
 	c.init()
 	a, code := c.validate(&req)
 	if code != result.OK {
-		return Refuse{Code: code, RetryAfter: c.shutdownRetryAfter(code, req.ID)}
+		return Refused{Code: code, RetryAfter: c.shutdownRetryAfter(code, req.ID)}
 	}
 	r := c.routeFor(req.Route)
 	r.drain.advance(now, r.waiting > 0)
@@ -186,7 +186,7 @@
 	if code != result.ShuttingDown {
 		return 0
 	}
-	return MinComeBack + time.Duration(hashFraction(id)*float64(MinComeBack))
+	return MinRetryAfter + time.Duration(hashFraction(id)*float64(MinRetryAfter))
 }
 
 func (c *Controller) routeFor(name string) *route {
@@ -204,7 +204,7 @@
 		req.Worth = a.limits.Worth
 	}
 	if req.Deadline.IsZero() {
-		req.Deadline = now.Add(c.MaxWait)
+		req.Deadline = now.Add(c.DefaultDeadline)
 	}
 	c.seq++
 	it := &item{req: req, account: a, seq: c.seq, arrivedAt: now, flow: r.flowFor(a, c.seq)}
@@ -215,13 +215,13 @@
 }
 
 func (c *Controller) expectedWork(req Request, r *route) float64 {
-	if req.ExpectedRun > 0 {
-		return req.ExpectedRun.Seconds()
+	if req.ExpectedRunTime > 0 {
+		return req.ExpectedRunTime.Seconds()
 	}
 	if r.runTimes.meanRun > 0 {
 		return r.runTimes.meanRun
 	}
-	return c.Run.Seconds()
+	return c.DefaultRunTime.Seconds()
 }
 
 // admit counts the request as open and takes a rate token for it.
@@ -237,7 +237,7 @@
 	it.startedAt = now
 	c.running++
 	r.running++
-	r.charge(it, c.FairPart, fair, queued)
+	r.charge(it, c.FairFraction, fair, queued)
 	if queued {
 		r.drain.work += it.work
 	}
@@ -246,7 +246,7 @@
 // Rest advances the drain meter of a route to now without counting the elapsed
 // time as time with requests waiting. It is for periods in which no request
 // could have started, however fast the endpoints are.
-func (c *Controller) Rest(name string, now time.Time) {
+func (c *Controller) SkipDrainTime(name string, now time.Time) {
 	c.init()
 	c.routeFor(name).drain.advance(now, false)
 }
@@ -267,7 +267,7 @@
 		return
 	}
 	actual := now.Sub(it.startedAt).Seconds()
-	r.runTimes.observe(actual, it.work, it.req.ExpectedRun > 0, now)
+	r.runTimes.observe(actual, it.work, it.req.ExpectedRunTime > 0, now)
 	r.correctCharge(it, actual)
 	c.removeItem(it, r)
 }
--- a/internal/caller/admission/controller_test.go
+++ b/internal/caller/admission/controller_test.go
@@ -46,13 +46,13 @@
 	switch d := d.(type) {
 	case Wait:
 		h.recordRefusals(d.Displaced)
-	case Refuse:
+	case Refused:
 		h.outcomes[r.ID] = d.Code
 	}
 	return d
 }
 
-func (h *harness) recordRefusals(refusals []Refusal) {
+func (h *harness) recordRefusals(refusals []QueuedRefusal) {
 	for _, r := range refusals {
 		if r.Code.Effect() != result.NotRun {
 			h.t.Errorf("%s refused with %v, whose effect is not NotRun", r.ID, r.Code)
@@ -90,7 +90,7 @@
 }
 
 func (h *harness) newRequest(id, account string, run, deadline time.Duration) Request {
-	return Request{ID: id, Account: account, Route: "model", ExpectedRun: run, Deadline: h.now.Add(deadline)}
+	return Request{ID: id, Account: account, Route: "model", ExpectedRunTime: run, Deadline: h.now.Add(deadline)}
 }
 
 // fifoMeetsAllDeadlines simulates an unbounded FIFO queue and reports whether
@@ -155,7 +155,7 @@
 	h := newHarness(t, 4, &Controller{}, Limits{Account: "a"})
 	for i := range 200 {
 		d := h.arrive(h.newRequest(fmt.Sprint(i), "a", time.Second, 8*time.Second), time.Hour)
-		if r, ok := d.(Refuse); ok {
+		if r, ok := d.(Refused); ok {
 			t.Fatalf("request %d was refused with %v", i, r.Code)
 		}
 		if i < 16 {
@@ -211,7 +211,7 @@
 	refused := 0
 	for i := range 2000 {
 		d := h.arrive(h.newRequest(fmt.Sprint(i), "a", time.Second, 3*time.Second), time.Second)
-		if r, ok := d.(Refuse); ok {
+		if r, ok := d.(Refused); ok {
 			refused++
 			retriesBySecond[int(r.RetryAfter/time.Second)]++
 		}
--- a/internal/caller/admission/example_test.go
+++ b/internal/caller/admission/example_test.go
@@ -15,14 +15,14 @@
 	noSlot := func(*Request) bool { return false }
 	freeSlot := func(*Request) bool { return true }
 	req := Request{
-		ID: "1", Account: "tazalyk", Route: "model", ExpectedRun: time.Second, Deadline: now.Add(3 * time.Second),
+		ID: "1", Account: "tazalyk", Route: "model", ExpectedRunTime: time.Second, Deadline: now.Add(3 * time.Second),
 	}
 	fmt.Printf("%T\n", c.Arrive(req, now, noSlot))
 	started, _ := c.Next(now.Add(time.Second), freeSlot)
 	fmt.Println("started", len(started))
 	c.Done("1", now.Add(2*time.Second))
 	req.ID, req.Deadline = "2", now
-	fmt.Println(c.Arrive(req, now, freeSlot).(Refuse).Code)
+	fmt.Println(c.Arrive(req, now, freeSlot).(Refused).Code)
 	// Output:
 	// admission.Wait
 	// started 1
@@ -58,7 +58,7 @@
 		now = now.Add(time.Millisecond)
 		c.Arrive(Request{
 			ID: ids[i], Account: limits[i%accounts].Account, Route: "model", Worth: float64(1 + i%7),
-			ExpectedRun: time.Millisecond, Deadline: now.Add(time.Hour),
+			ExpectedRunTime: time.Millisecond, Deadline: now.Add(time.Hour),
 		}, now, noSlot)
 		i++
 	}
--- a/internal/caller/admission/fairness_test.go
+++ b/internal/caller/admission/fairness_test.go
@@ -76,7 +76,7 @@
 // Guards against an account that returns from an idle period and then occupies
 // all slots until it has caught up with the others.
 func TestIdleAccountEarnsNoClaim(t *testing.T) {
-	h := newHarness(t, 4, &Controller{FairPart: 1}, Limits{Account: "busy"}, Limits{Account: "idle"})
+	h := newHarness(t, 4, &Controller{FairFraction: 1}, Limits{Account: "busy"}, Limits{Account: "idle"})
 	send := func(account string, i int) {
 		h.arrive(h.newRequest(fmt.Sprint(account, ".", i), account, time.Second, 30*time.Second), time.Second)
 	}
--- a/internal/caller/admission/holder.go
+++ b/internal/caller/admission/holder.go
@@ -17,11 +17,11 @@
 	Entries int
 	// Lapse is how long a deposit lasts. It must be the same at all entries;
 	// zero means DefaultLapse.
-	Lapse time.Duration
+	DepositTTL time.Duration
 	// Number is the sequence number of the last report. It must start above
 	// those of earlier starts of the entry, for example at the wall clock time
 	// in nanoseconds.
-	Number uint64
+	Sequence uint64
 
 	startedAt time.Time
 	accounts  map[string]*holderAccount
@@ -62,19 +62,19 @@
 	h.startedAt = now
 	h.accounts = make(map[string]*holderAccount)
 	h.lenders = make(map[string]*lenderState)
-	if h.Lapse <= 0 {
-		h.Lapse = DefaultLapse
+	if h.DepositTTL <= 0 {
+		h.DepositTTL = DefaultDepositTTL
 	}
 }
 
 // ReportEvery returns the interval between reports to each lender. The caller
 // should also report at once when an account without a usable share comes into
 // demand.
-func (h *ShareHolder) ReportEvery() time.Duration {
-	if h.Lapse <= 0 {
-		return DefaultLapse / reportsPerLapse
+func (h *ShareHolder) ReportInterval() time.Duration {
+	if h.DepositTTL <= 0 {
+		return DefaultDepositTTL / reportsPerTTL
 	}
-	return h.Lapse / reportsPerLapse
+	return h.DepositTTL / reportsPerTTL
 }
 
 // Configure sets the accounts and their limits. Deposits of accounts that
@@ -112,7 +112,7 @@
 	if a.limits.Concurrency > 0 {
 		fraction = math.Max(fraction, float64(open)/float64(a.limits.Concurrency))
 	}
-	a.want = int64(math.Ceil(math.Min(fraction, 1) * WholeShare))
+	a.want = int64(math.Ceil(math.Min(fraction, 1) * ShareUnits))
 }
 
 // quantum returns the units that correspond to one open request.
@@ -121,7 +121,7 @@
 		return 1
 	}
 	n := int64(a.limits.Concurrency)
-	return (WholeShare + n - 1) / n
+	return (ShareUnits + n - 1) / n
 }
 
 // reserve returns the units that an entry retains when it deposits what it does
@@ -188,7 +188,7 @@
 	}
 	entitled := entitlement(h.Entries)
 	usable := max(0, entitled-a.deposited(deposit{}, now))
-	if now.Sub(h.startedAt) < h.Lapse {
+	if now.Sub(h.startedAt) < h.DepositTTL {
 		usable = min(usable, a.reserve(entitled))
 	}
 	if a.loan.until.After(now) {
@@ -206,9 +206,9 @@
 		l = &lenderState{}
 		h.lenders[lender] = l
 	}
-	h.Number++
-	l.number, l.sentAt = h.Number, now
-	r := ShareReport{Holder: h.Entry, Number: h.Number, Echo: l.echo}
+	h.Sequence++
+	l.number, l.sentAt = h.Sequence, now
+	r := ShareReport{Holder: h.Entry, Number: h.Sequence, Echo: l.echo}
 	for name, a := range h.accounts {
 		// lenderOf computes one hash per entry, so it is called last: with
 		// 12,000 accounts, only some are in demand.
@@ -233,10 +233,10 @@
 		// deposit all of them and borrow whole slots.
 		d.Want = a.want
 	}
-	if echo.Incarnation == 0 || now.Sub(h.startedAt) < h.Lapse {
+	if echo.Incarnation == 0 || now.Sub(h.startedAt) < h.DepositTTL {
 		return d
 	}
-	newDeposit := deposit{lender: lender, incarnation: echo.Incarnation, until: now.Add(h.Lapse)}
+	newDeposit := deposit{lender: lender, incarnation: echo.Incarnation, until: now.Add(h.DepositTTL)}
 	spare := entitled - max(a.reserve(entitled), a.want)
 	if d.Want > entitled {
 		spare = entitled
@@ -260,7 +260,7 @@
 	l.wanted = r.Wanted
 	for _, g := range r.Grants {
 		if a := h.accounts[g.Account]; a != nil {
-			a.loan = loan{g.Units, l.sentAt.Add(g.For)}
+			a.loan = loan{g.Units, l.sentAt.Add(g.Term)}
 		}
 	}
 }
--- a/internal/caller/admission/lender.go
+++ b/internal/caller/admission/lender.go
@@ -12,7 +12,7 @@
 	Incarnation uint64
 	// Lapse is how long a deposit lasts. It must be the same at all entries;
 	// zero means DefaultLapse.
-	Lapse time.Duration
+	DepositTTL time.Duration
 
 	epoch    time.Time
 	holders  map[string]*holderState
@@ -64,8 +64,8 @@
 	l.epoch = now
 	l.holders = make(map[string]*holderState)
 	l.accounts = make(map[string]*accountShares)
-	if l.Lapse <= 0 {
-		l.Lapse = DefaultLapse
+	if l.DepositTTL <= 0 {
+		l.DepositTTL = DefaultDepositTTL
 	}
 }
 
@@ -108,7 +108,7 @@
 	if echo.Incarnation != l.Incarnation {
 		return time.Time{}
 	}
-	return l.epoch.Add(time.Duration(echo.At)).Add(l.Lapse)
+	return l.epoch.Add(time.Duration(echo.At)).Add(l.DepositTTL)
 }
 
 // recordDemand replaces the deposits and demand of a holder. Accounts missing
@@ -143,7 +143,7 @@
 	if s.want <= 0 {
 		return ShareGrant{}, false
 	}
-	term := l.Lapse / loansPerLapse
+	term := l.DepositTTL / loansPerTTL
 	deposited, wanted, lentToOthers := l.totals(shares, holder, now.Add(term), now)
 	free := deposited - lentToOthers
 	units := min(s.want, free)
@@ -155,7 +155,7 @@
 	}
 	s.lastGrant = now
 	s.loans = append(s.loans, loan{units, now.Add(term)})
-	return ShareGrant{Account: name, Units: units, For: term}, true
+	return ShareGrant{Account: name, Units: units, Term: term}, true
 }
 
 // accountsInDemand returns the accounts of which holders that reported within
@@ -164,7 +164,7 @@
 	var names []string
 	for account, shares := range l.accounts {
 		for holder, s := range *shares {
-			if s.want > 0 && now.Sub(l.holders[holder].lastReport) < l.Lapse {
+			if s.want > 0 && now.Sub(l.holders[holder].lastReport) < l.DepositTTL {
 				names = append(names, account)
 				break
 			}
@@ -183,7 +183,7 @@
 		if !h.depositsUntil.Before(end) {
 			deposited += s.deposit
 		}
-		if now.Sub(h.lastReport) < l.Lapse {
+		if now.Sub(h.lastReport) < l.DepositTTL {
 			wanted += s.want
 		}
 		if name != holder {
@@ -206,7 +206,7 @@
 		return min(units, free)
 	}
 	for name, other := range shares {
-		waiting := other.want > 0 && now.Sub(l.holders[name].lastReport) < l.Lapse
+		waiting := other.want > 0 && now.Sub(l.holders[name].lastReport) < l.DepositTTL
 		if name != holder && waiting && other.outstanding(now) == 0 && other.lastGrant.Before(s.lastGrant) {
 			return 0
 		}
@@ -217,7 +217,7 @@
 // Forget removes holders that have not reported for twice Lapse.
 func (l *ShareLender) Forget(now time.Time) {
 	for name, h := range l.holders {
-		if now.Sub(h.lastReport) < 2*l.Lapse {
+		if now.Sub(h.lastReport) < 2*l.DepositTTL {
 			continue
 		}
 		delete(l.holders, name)
--- a/internal/caller/admission/limits.go
+++ b/internal/caller/admission/limits.go
@@ -8,9 +8,9 @@
 
 // Errors returned by Controller.Configure.
 var (
-	ErrNoAccount     = errors.New("admission: limits have no account name")
-	ErrNegativeLimit = errors.New("admission: limit is negative, NaN or infinite")
-	ErrTwice         = errors.New("admission: duplicate account in limits")
+	ErrNoAccount        = errors.New("admission: limits have no account name")
+	ErrInvalidLimit     = errors.New("admission: limit is negative, NaN or infinite")
+	ErrDuplicateAccount = errors.New("admission: duplicate account in limits")
 )
 
 // Limits are the limits of one account in the preset in force.
@@ -36,7 +36,7 @@
 	}
 	for _, x := range [...]float64{l.Rate, l.Burst, float64(l.Concurrency), l.Weight, l.Worth} {
 		if x < 0 || math.IsNaN(x) || math.IsInf(x, 0) {
-			return ErrNegativeLimit
+			return ErrInvalidLimit
 		}
 	}
 	return nil
--- a/internal/caller/admission/meters.go
+++ b/internal/caller/admission/meters.go
@@ -24,8 +24,8 @@
 // the cause of the refusal persists; a longer one would leave recovered
 // capacity idle.
 const (
-	MinComeBack = 100 * time.Millisecond
-	MaxComeBack = 30 * time.Second
+	MinRetryAfter = 100 * time.Millisecond
+	MaxRetryAfter = 30 * time.Second
 )
 
 // drainMeter measures the work per second that leaves a queue while requests
@@ -168,13 +168,13 @@
 		t.updatedAt = now
 	}
 	t.recent++
-	window := 2 * MinComeBack.Seconds()
+	window := 2 * MinRetryAfter.Seconds()
 	if perSecond > 0 {
 		window = math.Max(window, t.recent/perSecond)
 	}
-	window = math.Min(window, MaxComeBack.Seconds())
+	window = math.Min(window, MaxRetryAfter.Seconds())
 	delay := minDelay + toDuration(window*hashFraction(id))
-	return min(max(delay, MinComeBack), MaxComeBack)
+	return min(max(delay, MinRetryAfter), MaxRetryAfter)
 }
 
 // hashFraction maps id to [0, 1) by hashing.
--- a/internal/caller/admission/queue.go
+++ b/internal/caller/admission/queue.go
@@ -28,51 +28,51 @@
 // checkDeadline refuses a request that cannot complete by its deadline. During
 // a backlog, holding such a request would only delay the refusal and take the
 // place of a request that can still be served.
-func (c *Controller) checkDeadline(it *item, r *route, now time.Time) (Refuse, bool) {
+func (c *Controller) checkDeadline(it *item, r *route, now time.Time) (Refused, bool) {
 	if !now.Before(it.req.Deadline) {
-		return Refuse{Code: result.DeadlinePassed}, false
+		return Refused{Code: result.DeadlinePassed}, false
 	}
 	slack := it.latestStart.Sub(now)
 	expectedWait := time.Duration(0)
 	if r.waiting > 0 {
-		expectedWait = r.estimateWait(it.flow, it.band, c.FairPart)
+		expectedWait = r.estimateWait(it.flow, it.band, c.FairFraction)
 	}
 	if time.Duration(waitDiscount*float64(expectedWait)) <= slack && slack >= 0 {
-		return Refuse{}, true
+		return Refused{}, true
 	}
 	return c.refuse(it, r, result.DeadlineUnmeetable, expectedWait-max(slack, 0), now), false
 }
 
 // checkLimits applies the account's own limits.
-func (c *Controller) checkLimits(it *item, now time.Time) (Refuse, bool) {
+func (c *Controller) checkLimits(it *item, now time.Time) (Refused, bool) {
 	a := it.account
 	if a.open >= a.concurrencyLimit() {
 		serviceRate := float64(a.open) / it.work
 		retryAfter := a.refusals.retryAfter(it.req.ID, 0, serviceRate, now)
-		return Refuse{Code: result.AccountConcurrency, RetryAfter: retryAfter}, false
+		return Refused{Code: result.AccountConcurrency, RetryAfter: retryAfter}, false
 	}
 	ok, untilReady := a.bucket.ready(now)
 	if !ok {
 		retryAfter := a.refusals.retryAfter(it.req.ID, untilReady, a.bucket.rate, now)
-		return Refuse{Code: result.AccountRate, RetryAfter: retryAfter}, false
+		return Refused{Code: result.AccountRate, RetryAfter: retryAfter}, false
 	}
-	return Refuse{}, true
+	return Refused{}, true
 }
 
 // refuse returns a refusal with a retry delay derived from the drain rate.
-func (c *Controller) refuse(it *item, r *route, code result.Code, minDelay time.Duration, now time.Time) Refuse {
+func (c *Controller) refuse(it *item, r *route, code result.Code, minDelay time.Duration, now time.Time) Refused {
 	serviceRate := r.drain.rate(r.running) / it.work
 	retryAfter := r.refusals.retryAfter(it.req.ID, minDelay, serviceRate, now)
-	return Refuse{Code: code, RetryAfter: retryAfter}
+	return Refused{Code: code, RetryAfter: retryAfter}
 }
 
 // enqueue puts the item into the queue. If the queue is full, it displaces
 // another item or refuses this one.
 func (c *Controller) enqueue(it *item, r *route, now time.Time) Decision {
-	expectedWait := r.estimateWait(it.flow, it.band, c.FairPart)
+	expectedWait := r.estimateWait(it.flow, it.band, c.FairFraction)
 	it.protected = c.mayProtect(it.account, r)
 	it.weightedDepth = float64(it.account.waiting+1) / it.account.limits.Weight
-	var displaced []Refusal
+	var displaced []QueuedRefusal
 	if c.waiting >= c.MaxWaiting {
 		victim := c.displaceable.head()
 		if victim == nil || !(it.protected || displacedBefore(victim, it)) {
@@ -96,7 +96,7 @@
 	if a.waiting == 0 {
 		weight += a.limits.Weight
 	}
-	protectedSlots := c.FairPart * float64(c.MaxWaiting)
+	protectedSlots := c.FairFraction * float64(c.MaxWaiting)
 	accountSlots := math.Max(1, protectedSlots*a.limits.Weight/math.Max(weight, a.limits.Weight))
 	return float64(a.protected+1) <= accountSlots && c.protected < c.MaxWaiting/2
 }
@@ -130,10 +130,10 @@
 }
 
 // evict removes a waiting item from the queue and refuses it.
-func (c *Controller) evict(it *item, code result.Code, now time.Time) Refusal {
+func (c *Controller) evict(it *item, code result.Code, now time.Time) QueuedRefusal {
 	r := c.routeFor(it.req.Route)
-	expectedWait := r.estimateWait(it.flow, it.band, c.FairPart)
-	refusal := Refusal{ID: it.req.ID, Refuse: c.refuse(it, r, code, expectedWait, now)}
+	expectedWait := r.estimateWait(it.flow, it.band, c.FairFraction)
+	refusal := QueuedRefusal{ID: it.req.ID, Refused: c.refuse(it, r, code, expectedWait, now)}
 	c.dequeue(it, r)
 	c.removeItem(it, r)
 	return refusal
@@ -144,7 +144,7 @@
 // Arrive and Requeue, when a load report shows free slots, and at the time that
 // NextRefusal returns. The route that is served first rotates, because routes
 // may share endpoints.
-func (c *Controller) Next(now time.Time, place Placer) (started []Request, refused []Refusal) {
+func (c *Controller) Next(now time.Time, place Placer) (started []Request, refused []QueuedRefusal) {
 	c.init()
 	refused = c.expire(now)
 	for i := range c.routeOrder {
@@ -174,8 +174,8 @@
 // expire refuses each waiting request as soon as it can no longer start in
 // time, so that no caller waits for an answer that cannot arrive by its
 // deadline.
-func (c *Controller) expire(now time.Time) []Refusal {
-	var refused []Refusal
+func (c *Controller) expire(now time.Time) []QueuedRefusal {
+	var refused []QueuedRefusal
 	for {
 		it := c.byLatestStart.head()
 		if it == nil || it.latestStart.After(now) {
@@ -205,7 +205,7 @@
 func (c *Controller) Requeue(id string, now time.Time) Decision {
 	it := c.items[id]
 	if it == nil || !it.running {
-		return Refuse{Code: result.MalformedRequest}
+		return Refused{Code: result.MalformedRequest}
 	}
 	r := c.routeFor(it.req.Route)
 	r.drain.advance(now, r.waiting > 0)
@@ -218,7 +218,7 @@
 		c.removeItem(it, r)
 		return c.refuse(it, r, result.DeadlineUnmeetable, 0, now)
 	}
-	expectedWait := r.estimateWait(it.flow, it.band, c.FairPart)
+	expectedWait := r.estimateWait(it.flow, it.band, c.FairFraction)
 	it.protected = true
 	c.insert(it, r)
 	return Wait{Expected: expectedWait}
--- a/internal/caller/admission/request.go
+++ b/internal/caller/admission/request.go
@@ -25,7 +25,7 @@
 	Deadline time.Time
 	// ExpectedRun is the estimated running time at an endpoint. Zero or less
 	// means the mean running time of the route.
-	ExpectedRun time.Duration
+	ExpectedRunTime time.Duration
 	// RunOnce marks a request that must not be run more than once.
 	RunOnce bool
 	// Tokens is the number of prompt tokens plus expected output tokens. The
@@ -52,11 +52,11 @@
 	Expected time.Duration
 	// Displaced lists the waiting requests that were removed to make room for
 	// this one.
-	Displaced []Refusal
+	Displaced []QueuedRefusal
 }
 
 // Refuse means that the request has not been run and will not be.
-type Refuse struct {
+type Refused struct {
 	// Code is a result code whose effect is result.NotRun.
 	Code result.Code
 	// RetryAfter is the delay after which the caller should retry. It is zero
@@ -64,12 +64,12 @@
 	RetryAfter time.Duration
 }
 
-func (Start) decision()  {}
-func (Wait) decision()   {}
-func (Refuse) decision() {}
+func (Start) decision()   {}
+func (Wait) decision()    {}
+func (Refused) decision() {}
 
 // Refusal is the refusal of a request that was waiting.
-type Refusal struct {
+type QueuedRefusal struct {
 	ID string
-	Refuse
+	Refused
 }
--- a/internal/caller/admission/retry.go
+++ b/internal/caller/admission/retry.go
@@ -21,7 +21,7 @@
 	Burst float64
 	// PerSecond is the number of retries added per second, for entries with few
 	// requests; zero means 1.
-	PerSecond float64
+	RetriesPerSecond float64
 
 	tokens      float64
 	updatedAt   time.Time
@@ -49,24 +49,24 @@
 	if dt > 0 {
 		b.updatedAt = now
 	}
-	b.tokens = math.Min(burst, b.tokens+dt*orDefault(b.PerSecond, 1)+added)
+	b.tokens = math.Min(burst, b.tokens+dt*orDefault(b.RetriesPerSecond, 1)+added)
 }
 
 // First records a first attempt.
-func (b *RetryBudget) First(now time.Time) {
+func (b *RetryBudget) RecordFirstAttempt(now time.Time) {
 	b.refill(now, b.Percent/100)
 }
 
 // May reports whether the budget allows a retry, without spending it.
-func (b *RetryBudget) May(now time.Time) bool {
+func (b *RetryBudget) CanRetry(now time.Time) bool {
 	b.refill(now, 0)
 	return b.tokens >= 1 && b.Percent > 0
 }
 
 // Take spends one retry if the budget allows it, and reports whether it did. If
 // not, the caller answers the request with result.RetryBudget.
-func (b *RetryBudget) Take(now time.Time) bool {
-	if !b.May(now) {
+func (b *RetryBudget) TrySpend(now time.Time) bool {
+	if !b.CanRetry(now) {
 		return false
 	}
 	b.tokens--
--- a/internal/caller/admission/retry_test.go
+++ b/internal/caller/admission/retry_test.go
@@ -10,9 +10,9 @@
 	now, retries := epoch, 0
 	for range 10000 {
 		now = now.Add(time.Millisecond)
-		b.First(now)
+		b.RecordFirstAttempt(now)
 		for range 5 {
-			if b.Take(now) {
+			if b.TrySpend(now) {
 				retries++
 			}
 		}
@@ -22,7 +22,7 @@
 		t.Errorf("%d retries for 10000 first attempts, want 1000 to %d", retries, maxRetries)
 	}
 	b.Percent = 0
-	if b.Take(now.Add(time.Hour)) {
+	if b.TrySpend(now.Add(time.Hour)) {
 		t.Error("a zero budget allowed a retry")
 	}
 }
--- a/internal/caller/admission/route.go
+++ b/internal/caller/admission/route.go
@@ -218,7 +218,7 @@
 }
 
 // charge accounts for the start of an item, which must have left the queue.
-func (r *route) charge(it *item, fairPart float64, fair, queued bool) {
+func (r *route) charge(it *item, fairFraction float64, fair, queued bool) {
 	f := it.flow
 	if f.queue.Len() == 0 {
 		f.virtualTime = math.Max(f.virtualTime, r.virtualTime)
@@ -232,7 +232,7 @@
 	if !queued {
 		return
 	}
-	r.fairCredit += fairPart * it.work
+	r.fairCredit += fairFraction * it.work
 	if fair {
 		r.fairCredit -= it.work
 	}
@@ -272,7 +272,7 @@
 // By fair share, the account's own waiting work goes first, except its next
 // request: that one is served when the account has the least virtual time,
 // however many other requests are waiting.
-func (r *route) estimateWait(f *flow, minBand int, fairPart float64) time.Duration {
+func (r *route) estimateWait(f *flow, minBand int, fairFraction float64) time.Duration {
 	rate := r.drain.rate(r.running)
 	if rate <= 0 {
 		return 0
@@ -290,6 +290,6 @@
 	if h := f.queue.head(); h != nil {
 		accountWork -= h.work
 	}
-	fairWork := accountWork * weight / (f.account.limits.Weight * fairPart)
+	fairWork := accountWork * weight / (f.account.limits.Weight * fairFraction)
 	return toDuration(math.Min(workAhead, fairWork) / rate)
 }
--- a/internal/caller/admission/share.go
+++ b/internal/caller/admission/share.go
@@ -25,19 +25,19 @@
 
 // WholeShare is the number of units in an account's whole limit. It has many
 // divisors, so that small concurrency limits divide without a remainder.
-const WholeShare = 720720
+const ShareUnits = 720720
 
 // DefaultLapse is the default duration of a deposit. A shorter one frees the
 // shares held by a lost lender sooner; a longer one needs fewer reports.
-const DefaultLapse = 3 * time.Second
+const DefaultDepositTTL = 3 * time.Second
 
 const (
 	// reportsPerLapse is the number of reports that a holder sends per Lapse. A
 	// loan lasts for three report intervals, so that two reports in a row may
 	// be lost.
-	reportsPerLapse = 6
+	reportsPerTTL = 6
 	// loansPerLapse is the number of loan terms per Lapse.
-	loansPerLapse = 2
+	loansPerTTL = 2
 	// listAllMax is the maximum number of accounts for which a report lists all
 	// accounts. With more accounts, an idle account is listed only after its
 	// lender has asked for it, so that reports grow with the accounts in use
@@ -83,7 +83,7 @@
 	Units   int64
 	// For is the term of the loan, counted from the sending of the report that
 	// the reply answers.
-	For time.Duration
+	Term time.Duration
 }
 
 // ShareReply is a lender's reply to a report.
@@ -98,7 +98,7 @@
 
 // Lender selects the entry that lends the shares of an account, by rendezvous
 // hashing. It returns the empty string if there are no entries.
-func Lender(account string, entries []string) string {
+func SelectLender(account string, entries []string) string {
 	var lender string
 	var highest uint64
 	for _, e := range entries {
@@ -111,4 +111,4 @@
 }
 
 // entitlement returns the units of a limit that each of n entries owns.
-func entitlement(n int) int64 { return WholeShare / int64(max(1, n)) }
+func entitlement(n int) int64 { return ShareUnits / int64(max(1, n)) }
--- a/internal/caller/admission/share_test.go
+++ b/internal/caller/admission/share_test.go
@@ -46,7 +46,7 @@
 
 func (n *shareNetwork) restart(i int, limits []Limits, entries int) {
 	n.holders[i] = &ShareHolder{
-		Entry: entryName(i), Entries: entries, Number: uint64(n.now.Sub(epoch)),
+		Entry: entryName(i), Entries: entries, Sequence: uint64(n.now.Sub(epoch)),
 	}
 	n.holders[i].Configure(limits, n.localTime(i))
 	n.lenders[i] = &ShareLender{Incarnation: n.rng.Uint64()}
@@ -133,8 +133,8 @@
 		}
 		n.deliver(delay)
 		for _, l := range limits {
-			if sum := n.totalUsable(l.Account); sum > WholeShare {
-				t.Fatalf("step %d: %s: sum of shares %d exceeds %d", step, l.Account, sum, WholeShare)
+			if sum := n.totalUsable(l.Account); sum > ShareUnits {
+				t.Fatalf("step %d: %s: sum of shares %d exceeds %d", step, l.Account, sum, ShareUnits)
 			}
 		}
 	}
@@ -172,14 +172,14 @@
 	h.Configure([]Limits{{Account: "a", Rate: 1}}, epoch)
 	deposited := int64(0)
 	for i, lender := range []string{"first", "second"} {
-		at := epoch.Add(DefaultLapse + time.Duration(i)*time.Second)
+		at := epoch.Add(DefaultDepositTTL + time.Duration(i)*time.Second)
 		lenderOf := func(string) string { return lender }
 		r := h.Report(lender, lenderOf, at)
 		h.Reply(lender, ShareReply{Number: r.Number, Stamp: ShareStamp{Incarnation: 1}})
 		deposited += h.Report(lender, lenderOf, at).Accounts[0].Deposit
 	}
 	entitled := entitlement(4)
-	if usable := h.Usable("a", epoch.Add(DefaultLapse+2*time.Second)); deposited == 0 || deposited+usable > entitled {
+	if usable := h.Usable("a", epoch.Add(DefaultDepositTTL+2*time.Second)); deposited == 0 || deposited+usable > entitled {
 		t.Errorf("deposited %d units and may use %d of %d", deposited, usable, entitled)
 	}
 }
@@ -187,7 +187,7 @@
 // exchangeReports runs the report exchange at its normal interval without
 // faults.
 func (n *shareNetwork) exchangeReports(d time.Duration) {
-	for end := n.now.Add(d); n.now.Before(end); n.now = n.now.Add(n.holders[0].ReportEvery()) {
+	for end := n.now.Add(d); n.now.Before(end); n.now = n.now.Add(n.holders[0].ReportInterval()) {
 		for i := range n.holders {
 			n.sendReport(i, 0)
 			n.deliver(func() time.Duration { return 0 })
@@ -216,7 +216,7 @@
 	n := newShareNetwork(9, limits, 1)
 	n.holders[4].Demand("a", 0, 90)
 	n.exchangeReports(8 * time.Second)
-	n.now = n.now.Add(DefaultLapse)
+	n.now = n.now.Add(DefaultDepositTTL)
 	for i := range n.holders {
 		assertUsableConcurrency(t, n, i, "a", 90, 10)
 	}
@@ -225,7 +225,7 @@
 func assertUsableConcurrency(t *testing.T, n *shareNetwork, i int, account string, limit, minimum int) {
 	t.Helper()
 	units := n.holders[i].Usable(account, n.localTime(i))
-	if got := int(units * int64(limit) / WholeShare); got < minimum {
+	if got := int(units * int64(limit) / ShareUnits); got < minimum {
 		t.Errorf("%s may open %d requests of %s, want at least %d", entryName(i), got, account, minimum)
 	}
 }
@@ -234,10 +234,10 @@
 	entries := []string{"a", "b", "c", "d", "e", "f", "g"}
 	for i := range 200 {
 		account := fmt.Sprint("account", i)
-		original := Lender(account, entries)
+		original := SelectLender(account, entries)
 		for j, removed := range entries {
 			remaining := append(append([]string(nil), entries[:j]...), entries[j+1:]...)
-			if got := Lender(account, remaining); removed != original && got != original {
+			if got := SelectLender(account, remaining); removed != original && got != original {
 				t.Fatalf("%s: lender changed from %s to %s when %s left", account, original, got, removed)
 			}
 		}
--- a/internal/capacity/accounts.go
+++ b/internal/capacity/accounts.go
@@ -127,7 +127,7 @@
 	for i := range entriesOfDataCentre {
 		names = append(names, fmt.Sprintf("entry-%d", i))
 	}
-	return names, func(account string) string { return admission.Lender(account, names) }
+	return names, func(account string) string { return admission.SelectLender(account, names) }
 }
 
 func reportAll(h *admission.ShareHolder, names []string, lenderOf func(string) string, now time.Time) {
@@ -138,7 +138,7 @@
 
 func setShares(c *admission.Controller, h *admission.ShareHolder, limits []admission.Limits, now time.Time) {
 	for _, l := range limits {
-		c.SetShare(l.Account, float64(h.Usable(l.Account, now))/admission.WholeShare, now)
+		c.SetShare(l.Account, float64(h.Usable(l.Account, now))/admission.ShareUnits, now)
 	}
 }
 
--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -103,7 +103,7 @@
 	defer s.mu.Unlock()
 	s.jobs[j.id] = j
 	s.arrived(j.request.Account)
-	s.budget.First(now)
+	s.budget.RecordFirstAttempt(now)
 	d := s.admission.Arrive(j.request, now, s.placer(now))
 	s.decided(j, d, now)
 }
@@ -126,7 +126,7 @@
 	defer s.mu.Unlock()
 	s.picture.Failed(j.attempt, now)
 	s.release(j, false, 0, now)
-	if !s.budget.Take(now) {
+	if !s.budget.TrySpend(now) {
 		s.drop(j, result.New(result.RetryBudget, "").WithRetryAfter(absentRetry), now)
 		return
 	}
@@ -167,7 +167,7 @@
 			s.drop(j, result.New(j.why, "").WithRetryAfter(absentRetry), now)
 		}
 		s.nudge()
-	case admission.Refuse:
+	case admission.Refused:
 		delete(s.jobs, j.id)
 		j.verdict <- result.New(d.Code, "").WithRetryAfter(d.RetryAfter)
 	}
@@ -189,7 +189,7 @@
 	j.verdict <- e
 }
 
-func (s *scheduler) refuse(r admission.Refusal) {
+func (s *scheduler) refuse(r admission.QueuedRefusal) {
 	j, ok := s.jobs[r.ID]
 	if !ok {
 		return
--- a/internal/entry/sharemessages.go
+++ b/internal/entry/sharemessages.go
@@ -46,7 +46,7 @@
 	}
 	for _, g := range r.Grants {
 		m.Grants = append(m.Grants, &peerpb.ShareGrant{
-			Account: g.Account, Units: g.Units, ForMicros: g.For.Microseconds(),
+			Account: g.Account, Units: g.Units, ForMicros: g.Term.Microseconds(),
 		})
 	}
 	return m
@@ -60,7 +60,7 @@
 	}
 	for _, g := range m.GetGrants() {
 		r.Grants = append(r.Grants, admission.ShareGrant{
-			Account: g.GetAccount(), Units: g.GetUnits(), For: time.Duration(g.GetForMicros()) * time.Microsecond,
+			Account: g.GetAccount(), Units: g.GetUnits(), Term: time.Duration(g.GetForMicros()) * time.Microsecond,
 		})
 	}
 	return r
--- a/internal/entry/shares.go
+++ b/internal/entry/shares.go
@@ -44,13 +44,13 @@
 func (s *shares) init() {
 	now := s.entry.now()
 	s.holder.Entry = s.entry.Settings.Name
-	s.holder.Number = uint64(now.UnixNano())
+	s.holder.Sequence = uint64(now.UnixNano())
 	s.lender.Incarnation = uint64(now.UnixNano())
 }
 
 // run reports demand and takes shares in until ctx ends.
 func (s *shares) run(ctx context.Context) error {
-	return process.Every(ctx, s.holder.ReportEvery(), s.round)
+	return process.Every(ctx, s.holder.ReportInterval(), s.round)
 }
 
 // round reports to each lender of the data centre and puts the shares into
@@ -90,7 +90,7 @@
 
 // reports makes this round's report for each lender.
 func (s *shares) reports(v *view, names []string, now time.Time) map[string]admission.ShareReport {
-	demand := s.entry.scheduler.demand(s.holder.ReportEvery())
+	demand := s.entry.scheduler.demand(s.holder.ReportInterval())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(names) >= s.most || now.Sub(s.mostAt) > shrinkAfter {
@@ -101,7 +101,7 @@
 	for account, d := range demand {
 		s.holder.Demand(account, d.rate, d.open)
 	}
-	lenderOf := func(account string) string { return admission.Lender(account, names) }
+	lenderOf := func(account string) string { return admission.SelectLender(account, names) }
 	all := map[string]admission.ShareReport{}
 	for _, n := range names {
 		if r := s.holder.Report(n, lenderOf, now); len(r.Accounts) > 0 {
@@ -157,7 +157,7 @@
 		case !s.known:
 			share = 1.0 / unknownEntries
 		case s.most > 1:
-			share = float64(s.holder.Usable(a.Name(), now)) / admission.WholeShare
+			share = float64(s.holder.Usable(a.Name(), now)) / admission.ShareUnits
 		}
 		s.entry.scheduler.admission.SetShare(a.Name(), share*part, now)
 	}
--- a/internal/measure/fairness.go
+++ b/internal/measure/fairness.go
@@ -37,7 +37,7 @@
 func withFairPart(part float64) func(w *world, i int) entry {
 	return func(w *world, i int) entry {
 		o := makeOurs(bothLoads, w, i)
-		o.ctl.FairPart = part
+		o.ctl.FairFraction = part
 		return o
 	}
 }
--- a/internal/measure/ours.go
+++ b/internal/measure/ours.go
@@ -54,22 +54,22 @@
 	j.tries++
 	id := strconv.Itoa(j.id)
 	o.open[id] = j
-	o.budget.First(clock(now))
+	o.budget.RecordFirstAttempt(clock(now))
 	d := o.ctl.Arrive(admission.Request{
 		ID: id, Account: accountName(j.account), Route: route, Worth: j.worth,
-		Deadline: clock(j.deadline), ExpectedRun: j.estimate, Tokens: j.tokens,
+		Deadline: clock(j.deadline), ExpectedRunTime: j.estimate, Tokens: j.tokens,
 	}, clock(now), o.placeOne)
 	switch d := d.(type) {
 	case admission.Start:
 	case admission.Wait:
 		o.refuseAll(d.Displaced, now)
-	case admission.Refuse:
+	case admission.Refused:
 		o.refuse(j, d, now)
 	}
 }
 
 // refuse tells the caller, who comes back when that can help.
-func (o *ours) refuse(j *job, r admission.Refuse, now time.Duration) {
+func (o *ours) refuse(j *job, r admission.Refused, now time.Duration) {
 	delete(o.open, strconv.Itoa(j.id))
 	o.w.tell(j)
 	back := now + r.RetryAfter
@@ -80,9 +80,9 @@
 	o.w.at(back, func() { o.arrive(j, o.w.now) })
 }
 
-func (o *ours) refuseAll(rs []admission.Refusal, now time.Duration) {
+func (o *ours) refuseAll(rs []admission.QueuedRefusal, now time.Duration) {
 	for _, r := range rs {
-		o.refuse(o.open[r.ID], r.Refuse, now)
+		o.refuse(o.open[r.ID], r.Refused, now)
 	}
 }
 
@@ -141,11 +141,11 @@
 		o.pic.Failed(o.attempt[j], clock(now))
 	}
 	delete(o.attempt, j)
-	if whole || j.outcome != pending || !o.budget.Take(clock(now)) {
+	if whole || j.outcome != pending || !o.budget.TrySpend(clock(now)) {
 		o.finish(j, id, now)
 		return
 	}
-	if d, ok := o.ctl.Requeue(id, clock(now)).(admission.Refuse); ok {
+	if d, ok := o.ctl.Requeue(id, clock(now)).(admission.Refused); ok {
 		o.refuse(j, d, now)
 	}
 }
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -132,7 +132,7 @@
 				w.refusal = w.placeErr
 			}
 			return false
-		case admission.Refuse:
+		case admission.Refused:
 			if !w.markLate(d.Code) {
 				w.refusal = b.queueRefusal(w, d, now)
 				return false
@@ -194,7 +194,7 @@
 	first := max(b.latencies.quick(a.Service.Name, a.TargetTime, now), minFirstPartTime)
 	r := admission.Request{
 		ID: a.ID, Account: a.Account, Route: a.Service.Name, Worth: 1, Priority: -a.Priority,
-		Deadline: a.Target, ExpectedRun: first,
+		Deadline: a.Target, ExpectedRunTime: first,
 	}
 	if w.late {
 		r.Route, r.Worth, r.Deadline = a.Service.Name+lateRouteSuffix, lateWeight, b.latestStart(a, now).Add(first)
@@ -259,7 +259,7 @@
 
 // queueRefusal returns the refusal, with a retry time, for a request that the queue refused. While
 // the group is closed, the drain rate measured before does not predict when it opens.
-func (b *Belief) queueRefusal(w *waiter, r admission.Refuse, now time.Time) *result.Error {
+func (b *Belief) queueRefusal(w *waiter, r admission.Refused, now time.Time) *result.Error {
 	if _, closed := b.groupState(w.ask.Service, now); closed {
 		return b.refusal(w.ask.Service.Name, result.GroupClosed, now)
 	}
@@ -269,8 +269,8 @@
 // excludeFromDrainRate keeps the time up to now out of the drain rate that the queue measures for a
 // service.
 func (b *Belief) excludeFromDrainRate(s *routing.Service, now time.Time) {
-	b.queue.Rest(s.Name, now)
-	b.queue.Rest(s.Name+lateRouteSuffix, now)
+	b.queue.SkipDrainTime(s.Name, now)
+	b.queue.SkipDrainTime(s.Name+lateRouteSuffix, now)
 }
 
 // excludeClosedGroups keeps the time for which groups are closed out of the drain rate that the
@@ -291,14 +291,14 @@
 
 // handleRefusals ends the wait of requests that the queue has refused, or lets them wait on as late
 // requests.
-func (b *Belief) handleRefusals(refused []admission.Refusal, now time.Time) {
+func (b *Belief) handleRefusals(refused []admission.QueuedRefusal, now time.Time) {
 	for _, r := range refused {
 		w := b.waiters[r.ID]
 		if w == nil {
 			continue
 		}
 		if !w.markLate(r.Code) {
-			w.refusal = b.queueRefusal(w, r.Refuse, now)
+			w.refusal = b.queueRefusal(w, r.Refused, now)
 		} else if b.enqueue(w, now) {
 			w.queued = false
 			w.done <- nil
--- a/internal/relay/late_test.go
+++ b/internal/relay/late_test.go
@@ -319,7 +319,7 @@
 		now, places := start, 0
 		place := func(*admission.Request) bool { places--; return places >= 0 }
 		ask := func(id string) admission.Decision {
-			r := admission.Request{ID: id, Account: "a", Route: "r", Worth: 1, Deadline: now.Add(time.Minute), ExpectedRun: 200 * time.Millisecond}
+			r := admission.Request{ID: id, Account: "a", Route: "r", Worth: 1, Deadline: now.Add(time.Minute), ExpectedRunTime: 200 * time.Millisecond}
 			return c.Arrive(r, now, place)
 		}
 		for i := range 20 { // the queue learns a rate of ten starts per second while others wait
@@ -334,7 +334,7 @@
 		for range 60 { // then none start for 6 s
 			now, places = now.Add(100*time.Millisecond), 0
 			if excludeClosed {
-				c.Rest("r", now)
+				c.SkipDrainTime("r", now)
 			}
 			c.Next(now, place)
 		}
@@ -349,6 +349,6 @@
 	}
 }
 
-func startedOnly(started []admission.Request, _ []admission.Refusal) []admission.Request {
+func startedOnly(started []admission.Request, _ []admission.QueuedRefusal) []admission.Request {
 	return started
 }
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -131,14 +131,14 @@
 	if r.deadline.Sub(now) < minTimeToMove {
 		return true
 	}
-	if !b.budget(r.service.Name, now).May(now) {
+	if !b.budget(r.service.Name, now).CanRetry(now) {
 		return false
 	}
 	p, e := b.choose(r.service, r.query, now)
 	if e != nil {
 		return false
 	}
-	b.budget(r.service.Name, now).Take(now)
+	b.budget(r.service.Name, now).TrySpend(now)
 	r.next, r.moved = p, true
 	r.cancel(errMoved)
 	return true
