--- a/cmd/hyssoprelay/roles.go
+++ b/cmd/hyssoprelay/roles.go
@@ -53,7 +53,7 @@
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
 	f := &frontend.Frontend{
-		Settings: s, Log: process.NewBoundedLog(s.Name, s.DataCentre), Reload: reload, Hangup: hangup,
+		Settings: s, Log: process.NewBoundedLog(s.Name, s.DataCentre), Reload: reload, ReloadSignal: hangup,
 	}
 	if err := f.Listen(); err != nil {
 		return err
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -49,7 +49,7 @@
 // reply before it returns; ctx ends when the caller leaves. The header and the
 // body belong to Pass.
 type Passer interface {
-	Pass(ctx context.Context, r *Raw, w *Reply)
+	Forward(ctx context.Context, r *Raw, w *Reply)
 }
 
 // Raw is a request as it came.
@@ -284,7 +284,7 @@
 			w.Fail(result.Of(err))
 			return
 		}
-		s.Passer.Pass(ctx, raw, w)
+		s.Passer.Forward(ctx, raw, w)
 	})
 }
 
--- a/internal/endpoint/batch/batch.go
+++ b/internal/endpoint/batch/batch.go
@@ -29,7 +29,7 @@
 // when the most loaded rank has skew times the mean load of experts.
 func Pass(e *routing.Engine, writers int, skew float64) time.Duration {
 	context := float64(e.MeanPrompt+e.MeanOutput) / 1000
-	each := float64(e.PerSequence) + context*float64(e.PerThousand)
+	each := float64(e.PerSequence) + context*float64(e.PerThousandTokens)
 	step := float64(e.Step) + float64(writers)*each
 	share := e.Experts.Share
 	return time.Duration(float64(e.Stride) * step * (1 - share + share*skew))
--- a/internal/endpoint/batch/batch_test.go
+++ b/internal/endpoint/batch/batch_test.go
@@ -11,7 +11,7 @@
 func engine() *routing.Engine {
 	return &routing.Engine{
 		Slots: 12, Stride: 4, Step: 4550 * time.Microsecond, PerSequence: 905 * time.Microsecond,
-		PerThousand: 18 * time.Microsecond, MeanPrompt: 835, MeanOutput: 97, Experts: routing.Experts{Share: 0.85},
+		PerThousandTokens: 18 * time.Microsecond, MeanPrompt: 835, MeanOutput: 97, Experts: routing.Experts{Share: 0.85},
 	}
 }
 
--- a/internal/frontend/apply.go
+++ b/internal/frontend/apply.go
@@ -49,7 +49,7 @@
 		recovered = now.Add(-peerOutageRecoveryAge)
 	}
 	if u.Recovered {
-		f.state.Change(func(d *directory.Directory) { d.StoreRecovered(recovered) })
+		f.state.UpdateDirectory(func(d *directory.Directory) { d.StoreRecovered(recovered) })
 		f.leaseSuspect.Raise()
 	}
 	if !u.FromPeer {
@@ -108,7 +108,7 @@
 	case platform.OutFact:
 		f.setOutOfService(fact, now)
 	case platform.EndpointFact:
-		f.state.Change(func(d *directory.Directory) { d.Put(fact.Entry, now) })
+		f.state.UpdateDirectory(func(d *directory.Directory) { d.Put(fact.Entry, now) })
 		f.Log.WithFields(logrus.Fields{
 			"endpoint": fact.Entry.ID, "born": fact.Entry.StartMillis, "service": fact.Entry.Service,
 			"address": fact.Entry.Address, "inDataCentre": fact.Entry.DataCentre, "draining": fact.Entry.Draining,
@@ -121,7 +121,7 @@
 }
 
 func (f *Frontend) setOutOfService(fact platform.OutFact, now time.Time) {
-	f.state.Change(func(d *directory.Directory) { d.SetOutOfService(fact.DataCentre, !fact.Removed, now) })
+	f.state.UpdateDirectory(func(d *directory.Directory) { d.SetOutOfService(fact.DataCentre, !fact.Removed, now) })
 	f.Log.WithFields(logrus.Fields{"outDataCentre": fact.DataCentre, "out": !fact.Removed}).Info("data centre order in force")
 }
 
@@ -142,7 +142,7 @@
 	case platform.OutFact:
 		f.setOutOfService(fact, now)
 	case platform.EndpointFact:
-		f.state.Change(func(d *directory.Directory) { d.Remove(fact.Entry.ID, now) })
+		f.state.UpdateDirectory(func(d *directory.Directory) { d.Remove(fact.Entry.ID, now) })
 		f.Log.WithField("endpoint", fact.Entry.ID).Info("endpoint entry removed")
 	case platform.OwnFact:
 		if kind, name, ok := fleet.KeyOf(key); ok && kind == fleet.Entry {
@@ -181,7 +181,7 @@
 			f.removeMember(name, now)
 		}
 	}
-	f.state.Change(func(d *directory.Directory) {
+	f.state.UpdateDirectory(func(d *directory.Directory) {
 		d.ApplyListing(ids, now)
 		for _, dc := range d.OutOfService() {
 			if !outOfService[dc] {
@@ -189,6 +189,6 @@
 			}
 		}
 	})
-	f.state.Listed()
+	f.state.EndpointsListed()
 	f.Log.WithFields(logrus.Fields{"endpoints": len(ids), "facts": len(facts)}).Info("full store listing applied")
 }
--- a/internal/frontend/follow_test.go
+++ b/internal/frontend/follow_test.go
@@ -87,7 +87,7 @@
 	hub := entries[0].workReporter.hub().Name
 	remaining := make([]*entry, 0, n)
 	for _, e := range entries {
-		s.eventually("each entry has reports of all others", func() bool { return e.state.Informers() == n-1 })
+		s.eventually("each entry has reports of all others", func() bool { return e.state.ReportingEntries() == n-1 })
 		if e.Settings.Name != hub {
 			remaining = append(remaining, e)
 		}
@@ -98,7 +98,7 @@
 		}
 	}
 	for _, e := range remaining {
-		s.eventually("the reports arrive without the hub", func() bool { return e.state.Informers() == n-2 })
+		s.eventually("the reports arrive without the hub", func() bool { return e.state.ReportingEntries() == n-2 })
 	}
 }
 
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -74,11 +74,11 @@
 	// Reload loads the settings again; nil means that they never change.
 	Reload func() (*settings.Relay, error)
 	// Hangup receives a value when the settings may have changed.
-	Hangup <-chan os.Signal
+	ReloadSignal <-chan os.Signal
 
 	store        *platform.Store
 	mirror       *mirror.Mirror
-	state        *relay.Belief
+	state        *relay.State
 	freshness    relay.Freshness
 	relay        *relay.Relay
 	callerServer *caller.Server
@@ -170,12 +170,12 @@
 		Budget: kv.Budget{PerSecond: storeCallsPerSecond}, Metrics: f.Registry,
 	}
 	f.store.Open()
-	f.state = &relay.Belief{
-		DataCentre: s.DataCentre, Name: s.Name, Seed: xxhash.Sum64String(s.Name), Fresh: &f.freshness,
+	f.state = &relay.State{
+		DataCentre: s.DataCentre, Name: s.Name, Seed: xxhash.Sum64String(s.Name), Freshness: &f.freshness,
 	}
 	f.workReporter = newWorkReporter(f)
-	f.state.Changed = f.workReporter.changed.Raise
-	f.state.Begin(now)
+	f.state.OnChange = f.workReporter.changed.Raise
+	f.state.Init(now)
 	f.mirror = &mirror.Mirror{
 		Reader: f.store, Wait: pollWait, OnRequest: f.storeStatus.NoteRequest, Settle: changeBatchDelay, MaxSettle: maxChangeBatchDelay, StartupPeriod: startupPeriod,
 		Now: boottime.Now, Apply: f.apply, OnError: f.storeFailed,
@@ -188,11 +188,11 @@
 	f.documentSender.Pacer = &document.Pacer{BytesPerSecond: documentBandwidthShare * s.LineRate}
 	f.mirror.Peer = f.followPeer
 	f.relay = &relay.Relay{
-		Belief: f.state, Client: &direct.Client{}, Dialect: platform.Dialect{},
+		State: f.state, Client: &direct.Client{}, HeaderCodec: platform.Dialect{},
 		Now: boottime.Now, Log: f.Log.Logger,
 		Metrics: relay.NewMetrics(f.Registry),
 	}
-	f.relay.Metrics.Watch(f.state, boottime.Now)
+	f.relay.Metrics.RegisterGauges(f.state, boottime.Now)
 	f.applyBounds(s.Bounds)
 }
 
@@ -203,7 +203,7 @@
 		Address: f.peerServer.Address(),
 	}}
 	parts := []process.Part{
-		f.mirror.Run, registrar.Run, f.workReporter.run, f.forwardWork, f.refreshFromPeers, f.fetchDocuments, f.watchSettings, f.peerServer.Run, f.relay.Sweep,
+		f.mirror.Run, registrar.Run, f.workReporter.run, f.forwardWork, f.refreshFromPeers, f.fetchDocuments, f.watchSettings, f.peerServer.Run, f.relay.CloseIdleConns,
 		func(ctx context.Context) error { return f.Log.Run(ctx, f.Output) },
 		f.runServers,
 	}
@@ -230,7 +230,7 @@
 type readiness struct{ frontend *Frontend }
 
 // Pass implements caller.Passer.
-func (r readiness) Pass(_ context.Context, raw *caller.Raw, w *caller.Reply) {
+func (r readiness) Forward(_ context.Context, raw *caller.Raw, w *caller.Reply) {
 	status := http.StatusServiceUnavailable
 	switch {
 	case raw.Path != platform.ReadyPath:
@@ -247,7 +247,7 @@
 // by an entry that has no configuration yet, is about to stop, or would refuse all
 // keys because it is cut off from the store.
 func (f *Frontend) isReady(now time.Time) bool {
-	if f.stopping.Load() || !f.state.Known() {
+	if f.stopping.Load() || !f.state.Ready() {
 		return false
 	}
 	return f.freshness.Age(now) <= f.relay.KeyAge()
--- a/internal/frontend/hub.go
+++ b/internal/frontend/hub.go
@@ -180,25 +180,25 @@
 func (s *service) Work(_ context.Context, q *fleetpb.WorkRequest) (*fleetpb.WorkReply, error) {
 	f := s.frontend
 	now := boottime.Now()
-	works := make([]relay.Work, 0, len(q.GetEntries()))
+	entryLoads := make([]relay.EntryLoad, 0, len(q.GetEntries()))
 	for _, e := range q.GetEntries() {
 		f.hub.add(e, q.GetTo(), now)
 		if e.GetName() != f.Settings.Name {
 			f.receiveLimits(e, now)
-			works = append(works, decodeWork(e, now))
+			entryLoads = append(entryLoads, decodeEntryLoad(e, now))
 		}
 	}
-	f.state.SetWorks(works, now)
+	f.state.SetEntryLoads(entryLoads, now)
 	return &fleetpb.WorkReply{}, nil
 }
 
-func decodeWork(e *fleetpb.EntryWork, now time.Time) relay.Work {
-	w := relay.Work{
-		Entry: e.GetName(), Born: e.GetBorn(), Number: e.GetNumber(), Running: map[string]int{}, Waiting: e.GetWaiting(),
+func decodeEntryLoad(e *fleetpb.EntryWork, now time.Time) relay.EntryLoad {
+	l := relay.EntryLoad{
+		Entry: e.GetName(), Incarnation: e.GetBorn(), Sequence: e.GetNumber(), Running: map[string]int{}, Waiting: e.GetWaiting(),
 		At: now.Add(-time.Duration(e.GetAgeMicros()) * time.Microsecond),
 	}
 	for _, work := range e.GetWorks() {
-		w.Running[work.GetEndpoint()] = int(work.GetRunning())
+		l.Running[work.GetEndpoint()] = int(work.GetRunning())
 	}
-	return w
+	return l
 }
--- a/internal/frontend/leave.go
+++ b/internal/frontend/leave.go
@@ -35,7 +35,7 @@
 			idleSince = now
 		}
 		if now.Sub(start) > drainAcceptTime {
-			f.relay.Refuse()
+			f.relay.StopAccepting()
 			f.callerServer.CloseIdle()
 			if !idleSince.IsZero() && now.Sub(idleSince) > minIdleTime {
 				break
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -12,11 +12,11 @@
 // ownLimits returns the limits that endpoints have reported to this entry, for the
 // other entries.
 func (f *Frontend) ownLimits(now time.Time) []*fleetpb.Limit {
-	own := f.state.OwnLimits(now)
+	own := f.state.RecentOwnLimits(now)
 	out := make([]*fleetpb.Limit, 0, len(own))
 	for _, l := range own {
 		out = append(out, &fleetpb.Limit{
-			Endpoint: l.Endpoint, Born: l.Born, PerSecond: l.PerSecond, None: l.None,
+			Endpoint: l.Endpoint, Born: l.Incarnation, PerSecond: l.PerSecond, None: l.Unlimited,
 			AgeMicros: uint64(max(0, now.Sub(l.At).Microseconds())),
 		})
 	}
@@ -29,16 +29,16 @@
 		return
 	}
 	sent := now.Add(-time.Duration(e.GetAgeMicros()) * time.Microsecond)
-	limits := make([]relay.Limit, 0, len(e.GetLimits()))
+	limits := make([]relay.RateLimit, 0, len(e.GetLimits()))
 	for _, l := range e.GetLimits() {
-		limits = append(limits, relay.Limit{
-			Endpoint: l.GetEndpoint(), Born: l.GetBorn(), PerSecond: l.GetPerSecond(), None: l.GetNone(),
+		limits = append(limits, relay.RateLimit{
+			Endpoint: l.GetEndpoint(), Incarnation: l.GetBorn(), PerSecond: l.GetPerSecond(), Unlimited: l.GetNone(),
 			At: sent.Add(-time.Duration(l.GetAgeMicros()) * time.Microsecond),
 		})
 	}
-	for _, l := range f.state.HearLimits(limits) {
+	for _, l := range f.state.MergeLimits(limits) {
 		f.Log.WithFields(logrus.Fields{
-			"endpoint": l.Endpoint, "born": l.Born, "perSecond": l.PerSecond, "none": l.None,
+			"endpoint": l.Endpoint, "born": l.Incarnation, "perSecond": l.PerSecond, "none": l.Unlimited,
 			"entry": e.GetName(), "age": now.Sub(l.At).Milliseconds(),
 		}).Info("endpoint limit received from another entry")
 	}
--- a/internal/frontend/limits_test.go
+++ b/internal/frontend/limits_test.go
@@ -43,11 +43,11 @@
 func TestFewBytesTellOfManyLimits(t *testing.T) {
 	const endpoints, mostBytes = 1000, 16 * 48
 	now := boottime.Now()
-	f := &Frontend{state: &relay.Belief{Name: "entry0"}}
-	f.state.Begin(now)
+	f := &Frontend{state: &relay.State{Name: "entry0"}}
+	f.state.Init(now)
 	for i := range endpoints {
 		ep := directory.Endpoint{Entry: directory.Entry{ID: fmt.Sprintf("i-%010x", i*7919), StartMillis: uint64(now.UnixMilli())}}
-		f.state.Limited(relay.Place{Endpoint: ep}, 1.25, now.Add(time.Duration(i)*time.Millisecond))
+		f.state.RecordLimit(relay.Assignment{Endpoint: ep}, 1.25, now.Add(time.Duration(i)*time.Millisecond))
 	}
 	limits := f.ownLimits(now.Add(time.Second))
 	if n := proto.Size(&fleetpb.EntryWork{Limits: limits}); n > mostBytes || len(limits) == 0 {
--- a/internal/frontend/loads.go
+++ b/internal/frontend/loads.go
@@ -30,14 +30,14 @@
 
 // loadsFrom decodes the loads of engines. Missing counts are taken as zero and a
 // missing pace as normal.
-func loadsFrom(q *fleetpb.LoadsRequest, targets []*fleetpb.Target, now time.Time) []relay.Load {
+func loadsFrom(q *fleetpb.LoadsRequest, targets []*fleetpb.Target, now time.Time) []relay.EndpointLoad {
 	at := now.Add(-time.Duration(q.GetAgeMicros()) * time.Microsecond)
-	loads := make([]relay.Load, 0, len(targets))
+	loads := make([]relay.EndpointLoad, 0, len(targets))
 	for i, target := range targets {
-		l := relay.Load{Address: target.GetEndpoint(), Pace: 1, Closed: q.GetClosed(), Forming: q.GetForming(), At: at}
+		l := relay.EndpointLoad{Address: target.GetEndpoint(), Slowdown: 1, Closed: q.GetClosed(), Forming: q.GetForming(), At: at}
 		l.Running = int(valueOr(q.GetRunning(), i, 0))
 		l.Queued = int(valueOr(q.GetQueued(), i, 0))
-		l.Pace = float64(valueOr(q.GetPace(), i, 100)) / 100
+		l.Slowdown = float64(valueOr(q.GetPace(), i, 100)) / 100
 		loads = append(loads, l)
 	}
 	return loads
--- a/internal/frontend/prove.go
+++ b/internal/frontend/prove.go
@@ -39,7 +39,7 @@
 			return nil
 		case <-t.C:
 		}
-		if f.freshness.Age(boottime.Now()) > 2*f.storeStatus.Wait+freshnessQueryMargin && f.state.Known() {
+		if f.freshness.Age(boottime.Now()) > 2*f.storeStatus.Wait+freshnessQueryMargin && f.state.Ready() {
 			round++
 			f.queryPeers(ctx, round)
 		}
@@ -85,7 +85,7 @@
 	}
 	now := boottime.Now()
 	before := f.freshness.Age(now)
-	f.freshness.Learn(sent.Add(-time.Duration(p.GetAgeMicros()) * time.Microsecond))
+	f.freshness.Advance(sent.Add(-time.Duration(p.GetAgeMicros()) * time.Microsecond))
 	if after := f.freshness.Age(now); after < before {
 		f.Log.WithFields(logrus.Fields{
 			"entry": name, "version": p.GetVersion(), "age": after.Milliseconds(), "ageBefore": before.Milliseconds(),
--- a/internal/frontend/reload.go
+++ b/internal/frontend/reload.go
@@ -25,7 +25,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-f.Hangup:
+		case <-f.ReloadSignal:
 			signal = true
 		case <-t.C:
 		}
@@ -58,6 +58,6 @@
 // applyBounds puts bounds into force.
 func (f *Frontend) applyBounds(b settings.Bounds) {
 	f.bounds.Store(&b)
-	f.relay.SetKeyAge(b.KeyRevoke - keyRevokeMargin)
-	f.state.SetRetry(relay.Budget{Share: b.RetryShare, Slack: b.RetrySlack, Window: b.RetryWindow})
+	f.relay.SetMaxKeyAge(b.KeyRevoke - keyRevokeMargin)
+	f.state.SetRetry(relay.RetryBudget{Share: b.RetryShare, Slack: b.RetrySlack, Window: b.RetryWindow})
 }
--- a/internal/frontend/source.go
+++ b/internal/frontend/source.go
@@ -46,7 +46,7 @@
 	if f.freshness.Known() {
 		f.sourceMetrics.age.Update(f.freshness.Age(now))
 	}
-	f.freshness.Learn(asOf)
+	f.freshness.Advance(asOf)
 }
 
 // setSource records the source from which store updates are now requested, and logs
--- a/internal/ranker/planner.go
+++ b/internal/ranker/planner.go
@@ -60,7 +60,7 @@
 		}
 		sets = append(sets, s)
 	}
-	limits := evenmap.Limits{PerRank: p.copiesPerRank(), PerSet: experts.Spare, Slow: slowdowns, MinGain: minCopyGain}
+	limits := evenmap.Limits{PerRank: p.copiesPerRank(), PerSet: experts.SpareSlots, Slow: slowdowns, MinGain: minCopyGain}
 	minGain := minMapGain
 	if p.hasShortPasses(sets, loads, maxRunning) {
 		limits.MinGain *= shortPassGainFactor
--- a/internal/ranker/planner_test.go
+++ b/internal/ranker/planner_test.go
@@ -26,7 +26,7 @@
 func TestOneChangeCoversJumpInAllSets(t *testing.T) {
 	const ranks, sets, experts = 129, 16, 258
 	p := planner{ranks: ranks, engine: &routing.Engine{Experts: routing.Experts{
-		Sets: sets, Count: experts, Slots: 3, Spare: 2, Bytes: 150e6, LinkRate: 22.5e9,
+		Sets: sets, Count: experts, Slots: 3, SpareSlots: 2, Bytes: 150e6, LinkRate: 22.5e9,
 	}}}
 	current := make([][][]int, sets)
 	loads := make([][]float64, sets)
--- a/internal/ranker/term.go
+++ b/internal/ranker/term.go
@@ -152,5 +152,5 @@
 	}
 	t.engine = s.Engine
 	t.pop = newPopularity(s.Engine.Experts.Sets, s.Engine.Experts.Count)
-	t.planner = planner{engine: s.Engine, ranks: t.size, maxGap: table.Gaps()[s.Name]}
+	t.planner = planner{engine: s.Engine, ranks: t.size, maxGap: table.MaxGaps()[s.Name]}
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -17,7 +17,7 @@
 const maxAnswerBytes = 8 << 20
 
 // Whole is a complete buffered answer.
-type Whole struct {
+type BufferedAnswer struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -32,22 +32,22 @@
 )
 
 // attempt sends the request to one endpoint and forwards its answer.
-func (j *job) attempt(ctx context.Context, p Place) Outcome {
+func (j *job) attempt(ctx context.Context, assigned Assignment) Outcome {
 	r := j.relay
-	req := j.endpointRequest(p)
-	a, err := r.Client.Do(ctx, p.Endpoint.Address, req)
+	req := j.endpointRequest(assigned)
+	a, err := r.Client.Do(ctx, assigned.Endpoint.Address, req)
 	if err != nil {
 		return j.lostOutcome(err)
 	}
 	defer a.Close()
-	info := r.Dialect.ReadAnswer(a.Status, a.Header)
+	info := r.HeaderCodec.ReadAnswer(a.Status, a.Header)
 	if info.Cold > 0 {
-		r.Belief.Turned(p.Endpoint.ID, info.Cold, r.Now())
+		r.State.SetCold(assigned.Endpoint.ID, info.Cold, r.Now())
 	}
-	if info.Wrong {
-		r.Belief.Misdirected(p)
+	if info.Misdirected {
+		r.State.Misdirected(assigned)
 	} else {
-		j.recordLimit(p, info)
+		j.recordLimit(assigned, info)
 	}
 	if info.NotRun {
 		_, _ = io.Copy(io.Discard, a)
@@ -57,34 +57,34 @@
 		return Unknown{Cause: err}
 	}
 	if j.route.Repeat == routing.Stream && a.Status == http.StatusOK {
-		return j.forwardStream(ctx, p, a)
+		return j.forwardStream(ctx, assigned, a)
 	}
-	return j.forwardWhole(ctx, p, a)
+	return j.forwardBuffered(ctx, assigned, a)
 }
 
 // recordLimit records the request rate that the endpoint accepts according to its answer. An answer
 // that has neither a limit nor the endpoint's signature says nothing about limits.
-func (j *job) recordLimit(p Place, info Told) {
+func (j *job) recordLimit(assigned Assignment, info AnswerInfo) {
 	if info.Limit < 0 && !info.Signed {
 		return
 	}
 	now := j.relay.Now()
-	if j.relay.Belief.Limited(p, info.Limit, now) {
-		j.logLimit(p, info.Limit)
+	if j.relay.State.RecordLimit(assigned, info.Limit, now) {
+		j.logLimit(assigned, info.Limit)
 	}
 }
 
 // endpointRequest returns the caller's request as it is sent to the endpoint.
-func (j *job) endpointRequest(p Place) *direct.Request {
+func (j *job) endpointRequest(assigned Assignment) *direct.Request {
 	h := caller.EndToEnd(j.raw.Header)
-	s := Stamp{Endpoint: p.Endpoint.ID, Left: j.deadline.Sub(j.relay.Now()), Urgency: j.urgency()}
+	info := EndpointInfo{Endpoint: assigned.Endpoint.ID, TimeLeft: j.deadline.Sub(j.relay.Now()), Urgency: j.urgency()}
 	if j.account != nil {
-		s.Account = j.account.Name
+		info.Account = j.account.Name
 	}
 	if j.headSent {
-		s.Resume = formatEventID(j.lastEventID)
+		info.Resume = formatEventID(j.lastEventID)
 	}
-	j.relay.Dialect.WriteRequest(h, s)
+	j.relay.HeaderCodec.WriteRequest(h, info)
 	return &direct.Request{
 		Method: j.raw.Method, Target: j.raw.Target, Host: j.raw.Host, Header: h, Body: j.raw.Body,
 		Mine:  j.isOwnAnswer,
@@ -94,8 +94,8 @@
 
 // isOwnAnswer reports whether an answer carries this request's ID, or none.
 func (j *job) isOwnAnswer(h http.Header) bool {
-	id := j.relay.Dialect.ReadAnswer(http.StatusOK, h).ID
-	return id == "" || id == j.facts.ID
+	id := j.relay.HeaderCodec.ReadAnswer(http.StatusOK, h).ID
+	return id == "" || id == j.info.ID
 }
 
 // maxUrgency is the least urgent value that endpoints accept.
@@ -115,26 +115,26 @@
 	case direct.IsNotSent(err):
 		return NotRun{Code: result.EndpointDown, Cause: err}
 	case j.headSent:
-		return j.brokenOutcome(err)
+		return j.interruptedOutcome(err)
 	case errors.Is(err, context.Canceled):
-		return Gone{Cause: err}
+		return Disconnected{Cause: err}
 	default:
 		return Unknown{Cause: err}
 	}
 }
 
 // brokenOutcome returns the outcome of a stream that failed after a part of it was forwarded.
-func (j *job) brokenOutcome(err error) Outcome {
+func (j *job) interruptedOutcome(err error) Outcome {
 	if errors.Is(err, context.Canceled) {
-		return Gone{Cause: err}
+		return Disconnected{Cause: err}
 	}
-	return Broken{Cause: err}
+	return Interrupted{Cause: err}
 }
 
 // notRunCode returns the result code for a request that an endpoint did not run.
-func notRunCode(t Told, status int) result.Code {
+func notRunCode(info AnswerInfo, status int) result.Code {
 	switch {
-	case t.Wrong:
+	case info.Misdirected:
 		return result.NoEndpoint
 	case status == http.StatusTooManyRequests, status == http.StatusServiceUnavailable:
 		return result.EndpointBusy
@@ -144,15 +144,15 @@
 }
 
 // checkAnswer rejects encoded bodies, and successes that are unsigned or answer another request.
-func (j *job) checkAnswer(a *direct.Answer, t Told) error {
+func (j *job) checkAnswer(a *direct.Answer, info AnswerInfo) error {
 	switch {
 	case a.Header.Get("Content-Encoding") != "":
 		return errEncoded
 	case a.Status/100 != 2:
 		return nil
-	case !t.Signed:
+	case !info.Signed:
 		return errUnsigned
-	case t.ID != j.facts.ID:
+	case info.ID != j.info.ID:
 		return errRequestIDMismatch
 	}
 	return nil
@@ -160,7 +160,7 @@
 
 // forwardWhole reads the complete answer before it forwards any of it, so that the request can
 // still be sent to another endpoint if the answer is cut off.
-func (j *job) forwardWhole(ctx context.Context, p Place, a *direct.Answer) Outcome {
+func (j *job) forwardBuffered(ctx context.Context, assigned Assignment, a *direct.Answer) Outcome {
 	body, err := io.ReadAll(io.LimitReader(a, maxAnswerBytes+1))
 	if err == nil && len(body) > maxAnswerBytes {
 		err = errAnswerTooLarge
@@ -169,14 +169,14 @@
 		return j.readErrorOutcome(ctx, err)
 	}
 	now := j.relay.Now()
-	j.relay.Belief.Heard(p, now)
-	answer := &Whole{Status: a.Status, Header: caller.EndToEnd(a.Header), Body: body}
+	j.relay.State.PartReceived(assigned, now)
+	answer := &BufferedAnswer{Status: a.Status, Header: caller.EndToEnd(a.Header), Body: body}
 	if a.Status >= http.StatusInternalServerError {
 		return Failed{Answer: answer}
 	}
 	j.firstPartAt = now
 	if err := j.reply.AnswerRaw(answer.Status, answer.Header, body); err != nil {
-		return Gone{Cause: err}
+		return Disconnected{Cause: err}
 	}
 	return Delivered{}
 }
@@ -191,7 +191,7 @@
 
 // forwardStream forwards events as they arrive. The header is sent to the caller with the first
 // event, so that another endpoint can take over if this one fails before that.
-func (j *job) forwardStream(ctx context.Context, p Place, a *direct.Answer) Outcome {
+func (j *job) forwardStream(ctx context.Context, assigned Assignment, a *direct.Answer) Outcome {
 	events := direct.NewEvents(a)
 	for {
 		ev, err := events.Next()
@@ -207,15 +207,15 @@
 		if ev.HasID && ev.ID != j.lastEventID+1 {
 			return j.readErrorOutcome(ctx, errEventOrder)
 		}
-		if err := j.forwardEvent(p, a, ev); err != nil {
-			return Gone{Cause: err}
+		if err := j.forwardEvent(assigned, a, ev); err != nil {
+			return Disconnected{Cause: err}
 		}
 	}
 }
 
-func (j *job) forwardEvent(p Place, a *direct.Answer, ev direct.Event) error {
+func (j *job) forwardEvent(assigned Assignment, a *direct.Answer, ev direct.Event) error {
 	now := j.relay.Now()
-	j.relay.Belief.Heard(p, now)
+	j.relay.State.PartReceived(assigned, now)
 	if pause := now.Sub(j.lastPartAt); j.headSent && pause > j.longestPause {
 		j.longestPause, j.pauseEndedAt = pause, now
 	}
@@ -235,18 +235,18 @@
 func (j *job) endStream(a *direct.Answer) Outcome {
 	if !j.headSent {
 		if err := j.reply.BeginRaw(a.Status, caller.EndToEnd(a.Header)); err != nil {
-			return Gone{Cause: err}
+			return Disconnected{Cause: err}
 		}
 		j.headSent = true
 	}
 	if err := j.reply.End(); err != nil {
-		return Gone{Cause: err}
+		return Disconnected{Cause: err}
 	}
 	return Delivered{}
 }
 
 // Sweep closes idle connections once a second until ctx ends.
-func (r *Relay) Sweep(ctx context.Context) error {
+func (r *Relay) CloseIdleConns(ctx context.Context) error {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	for {
--- a/internal/relay/belief.go
+++ b/internal/relay/belief.go
@@ -17,7 +17,7 @@
 const (
 	// lapseHold is how long, after the store comes back, endpoints whose entries vanished while it
 	// was away are kept. Running endpoints write their entries again within about two seconds.
-	lapseHold = 2 * time.Second
+	retentionAfterOutage = 2 * time.Second
 	// startupHold is how long after its start the process holds requests that arrive before it
 	// knows a configuration.
 	startupHold = time.Second
@@ -31,7 +31,7 @@
 	maxLoadAge = 1500 * time.Millisecond
 	// maxWorkAge is the age from which another entry's report of its work is ignored. Entries
 	// report at least once a second.
-	maxWorkAge = 2500 * time.Millisecond
+	maxEntryLoadAge = 2500 * time.Millisecond
 	// failureThreshold is the number of reported failures in a row after which an endpoint gets no
 	// requests for a while.
 	failureThreshold = 2
@@ -42,7 +42,7 @@
 )
 
 // Budget is the retry budget of the whole fleet.
-type Budget struct {
+type RetryBudget struct {
 	// Share is the fraction of requests that may be retried. Slack is the number of further retries
 	// allowed in each Window.
 	Share, Slack float64
@@ -50,12 +50,12 @@
 }
 
 // Load is one endpoint's load as reported by a process beside it.
-type Load struct {
+type EndpointLoad struct {
 	// Address is the endpoint's IP:port.
 	Address         string
 	Running, Queued int
 	// Pace is the slowdown factor of the endpoint relative to its usual speed; zero means unknown.
-	Pace float64
+	Slowdown float64
 	// Closed means that the endpoint's group accepts no requests, and Forming that the group is
 	// about to accept them.
 	Closed, Forming bool
@@ -64,10 +64,10 @@
 }
 
 // Work is what another entry reports of its requests at endpoints.
-type Work struct {
+type EntryLoad struct {
 	// Entry is the entry's name. Born and Number order its messages.
-	Entry        string
-	Born, Number uint64
+	Entry                 string
+	Incarnation, Sequence uint64
 	// Running holds the number of running requests by endpoint ID.
 	Running map[string]int
 	// Waiting lists the services with waiting requests.
@@ -79,30 +79,30 @@
 // Belief is an entry's view of the configuration, the endpoints and their load, and its queue of
 // waiting requests. Set the exported fields, then call Begin before any other method. It is safe
 // for concurrent use.
-type Belief struct {
+type State struct {
 	DataCentre string
 	// Name is the entry's own name.
 	Name string
 	Seed uint64
 	// Fresh tracks how old the known configuration and keys are.
-	Fresh *Freshness
+	Freshness *Freshness
 	// Changed, if set, is called when this entry's own work or a limit reported to it changes, with
 	// an internal lock held. It must not block and must not call methods of the Belief.
-	Changed func()
+	OnChange func()
 
 	mu           sync.Mutex // guards the fields below
-	retry        Budget
+	retry        RetryBudget
 	table        *routing.Table
 	dir          directory.Directory
 	selector     placement.Picture
-	coldShares   Shares
-	limitShares  Shares
+	coldShares   RateShares
+	limitShares  RateShares
 	retryBudgets map[string]*admission.RetryBudget
 	entries      map[string]time.Time // when the entry was delisted; zero while listed
 	endpoints    map[string]directory.Endpoint
 	addresses    map[string]directory.Endpoint
-	loads        map[string]Load
-	works        map[string]Work
+	loads        map[string]EndpointLoad
+	entryLoads   map[string]EntryLoad
 	// othersRunning is the sum of the running requests in works, by endpoint.
 	othersRunning   map[string]int
 	queue           admission.Controller
@@ -135,43 +135,43 @@
 }
 
 // Begin initialises b. The time now counts as the start of the process.
-func (b *Belief) Begin(now time.Time) {
-	b.dir.RetentionAfterOutage = lapseHold
-	b.dir.ColdStart = b.coldStart
-	b.selector = placement.Picture{DataCentre: b.DataCentre, Seed: b.Seed, Entries: 1}
-	b.retryBudgets = map[string]*admission.RetryBudget{}
-	b.entries = map[string]time.Time{}
-	b.endpoints = map[string]directory.Endpoint{}
-	b.loads = map[string]Load{}
-	b.works = map[string]Work{}
-	b.othersRunning = map[string]int{}
-	b.waiters = map[string]*waiter{}
-	b.longestTimeLeft = map[string]time.Duration{}
-	b.queue.MaxWaiting = maxWaiting
-	b.ownRunning = map[string]int{}
-	b.failures = map[string]int{}
-	b.lastProbe = map[string]time.Time{}
-	b.arrivals = map[string]*arrivalRate{}
-	b.lateRunning = map[string]int{}
-	b.ready = make(chan struct{})
-	b.coldShares.Name, b.limitShares.Name = b.Name, b.Name
-	b.startedAt = now
+func (st *State) Init(now time.Time) {
+	st.dir.RetentionAfterOutage = retentionAfterOutage
+	st.dir.ColdStart = st.coldStart
+	st.selector = placement.Picture{DataCentre: st.DataCentre, Seed: st.Seed, Entries: 1}
+	st.retryBudgets = map[string]*admission.RetryBudget{}
+	st.entries = map[string]time.Time{}
+	st.endpoints = map[string]directory.Endpoint{}
+	st.loads = map[string]EndpointLoad{}
+	st.entryLoads = map[string]EntryLoad{}
+	st.othersRunning = map[string]int{}
+	st.waiters = map[string]*waiter{}
+	st.longestTimeLeft = map[string]time.Duration{}
+	st.queue.MaxWaiting = maxWaiting
+	st.ownRunning = map[string]int{}
+	st.failures = map[string]int{}
+	st.lastProbe = map[string]time.Time{}
+	st.arrivals = map[string]*arrivalRate{}
+	st.lateRunning = map[string]int{}
+	st.ready = make(chan struct{})
+	st.coldShares.Name, st.limitShares.Name = st.Name, st.Name
+	st.startedAt = now
 }
 
 // SetRetry sets the fleet's retry budget, of which this entry uses its share.
-func (b *Belief) SetRetry(r Budget) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.retry = r
+func (st *State) SetRetry(r RetryBudget) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.retry = r
 }
 
 // coldStart returns how long a starting endpoint of a service is cold. The directory calls it with
 // mu held.
-func (b *Belief) coldStart(service string) time.Duration {
-	if b.table == nil {
+func (st *State) coldStart(service string) time.Duration {
+	if st.table == nil {
 		return 0
 	}
-	s := b.table.Service(service)
+	s := st.table.Service(service)
 	if s == nil || s.ColdRate <= 0 {
 		return 0
 	}
@@ -179,26 +179,26 @@
 }
 
 // Table returns the current configuration, or nil if there is none yet.
-func (b *Belief) Table() *routing.Table {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.table
+func (st *State) Table() *routing.Table {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.table
 }
 
 // SetTable replaces the configuration and reports whether t is newer than the current one. It
 // ignores any other table: a repeated or delayed answer of the store must not bring back routes and
 // keys that operators have removed. Versions only increase.
-func (b *Belief) SetTable(t *routing.Table, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.table != nil && t.Version() <= b.table.Version() {
+func (st *State) SetTable(t *routing.Table, now time.Time) bool {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	if st.table != nil && t.Version() <= st.table.Version() {
 		return false
 	}
-	b.table = t
-	b.signalReady()
-	b.dirty = true
-	b.maxPauses = t.Gaps()
-	if err := b.queue.Configure(accountLimits(t), now); err != nil {
+	st.table = t
+	st.signalReady()
+	st.dirty = true
+	st.maxPauses = t.MaxGaps()
+	if err := st.queue.Configure(accountLimits(t), now); err != nil {
 		// Only the account names are configured, and they are distinct.
 		panic(err)
 	}
@@ -220,25 +220,25 @@
 const anonymousAccount = "no account"
 
 // Change calls f with the directory. f must not call methods of b.
-func (b *Belief) Change(f func(*directory.Directory)) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	f(&b.dir)
-	b.dirty = true
+func (st *State) UpdateDirectory(f func(*directory.Directory)) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	f(&st.dir)
+	st.dirty = true
 }
 
 // Listed records that all endpoints have been read once.
-func (b *Belief) Listed() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.endpointsListed = true
-	b.signalReady()
+func (st *State) EndpointsListed() {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.endpointsListed = true
+	st.signalReady()
 }
 
 // signalReady closes ready once the configuration and the endpoints are known. mu must be held.
-func (b *Belief) signalReady() {
-	if b.table != nil && b.endpointsListed && !b.Known() {
-		close(b.ready)
+func (st *State) signalReady() {
+	if st.table != nil && st.endpointsListed && !st.Ready() {
+		close(st.ready)
 	}
 }
 
@@ -248,24 +248,24 @@
 // When a whole fleet restarts, callers arrive a few tenths of a second before the store has
 // delivered the configuration. If they were refused, most of them would have used up their last
 // attempt. After startupHold requests are refused at once, as the store may be away for long.
-func (b *Belief) AwaitKnown(ctx context.Context, now time.Time) {
-	left := startupHold - now.Sub(b.startedAt)
+func (st *State) AwaitReady(ctx context.Context, now time.Time) {
+	left := startupHold - now.Sub(st.startedAt)
 	if left <= 0 {
 		return
 	}
 	t := time.NewTimer(left)
 	defer t.Stop()
 	select {
-	case <-b.ready:
+	case <-st.ready:
 	case <-t.C:
 	case <-ctx.Done():
 	}
 }
 
 // Known reports whether a configuration and the endpoints are known.
-func (b *Belief) Known() bool {
+func (st *State) Ready() bool {
 	select {
-	case <-b.ready:
+	case <-st.ready:
 		return true
 	default:
 		return false
@@ -274,60 +274,60 @@
 
 // LongestLeft records the time that a caller of the route has left and returns the largest value
 // recorded for the route.
-func (b *Belief) LongestLeft(route string, left time.Duration) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.longestTimeLeft[route] = max(b.longestTimeLeft[route], left)
-	return b.longestTimeLeft[route]
+func (st *State) MaxTimeLeft(route string, left time.Duration) time.Duration {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.longestTimeLeft[route] = max(st.longestTimeLeft[route], left)
+	return st.longestTimeLeft[route]
 }
 
 // Waiting returns the services with waiting requests that can meet their target. Late requests
 // claim no share of the slots.
-func (b *Belief) Waiting() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (st *State) WaitingServices() []string {
+	st.mu.Lock()
+	defer st.mu.Unlock()
 	var out []string
-	if b.queue.Waiting() == 0 {
+	if st.queue.Waiting() == 0 {
 		return out
 	}
-	for _, w := range b.waiters {
-		if w.queued && !w.late && !slices.Contains(out, w.ask.Service.Name) {
-			out = append(out, w.ask.Service.Name)
+	for _, w := range st.waiters {
+		if w.queued && !w.late && !slices.Contains(out, w.req.Service.Name) {
+			out = append(out, w.req.Service.Name)
 		}
 	}
 	return out
 }
 
 // Own returns the number of this entry's running requests by endpoint ID.
-func (b *Belief) Own() map[string]int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return maps.Clone(b.ownRunning)
+func (st *State) OwnRunning() map[string]int {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return maps.Clone(st.ownRunning)
 }
 
 // Turned records how long an endpoint reports that it will stay cold.
-func (b *Belief) Turned(id string, cold time.Duration, now time.Time) {
-	b.Change(func(d *directory.Directory) { d.ExtendColdStart(id, cold, now) })
+func (st *State) SetCold(id string, cold time.Duration, now time.Time) {
+	st.UpdateDirectory(func(d *directory.Directory) { d.ExtendColdStart(id, cold, now) })
 }
 
 // Misdirected records that another endpoint answered at the address of a place.
-func (b *Belief) Misdirected(p Place) {
-	b.Change(func(d *directory.Directory) { d.MarkMisdirected(p.Endpoint.ID, p.Endpoint.StartMillis) })
+func (st *State) Misdirected(assigned Assignment) {
+	st.UpdateDirectory(func(d *directory.Directory) { d.MarkMisdirected(assigned.Endpoint.ID, assigned.Endpoint.StartMillis) })
 }
 
 // Endpoints returns the number of endpoints that may be sent new requests.
-func (b *Belief) Endpoints(now time.Time) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.dir.Endpoints(now))
+func (st *State) Endpoints(now time.Time) int {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return len(st.dir.Endpoints(now))
 }
 
 // LoadAge returns the age of the most recent load report, or zero if there is none.
-func (b *Belief) LoadAge(now time.Time) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (st *State) LoadAge(now time.Time) time.Duration {
+	st.mu.Lock()
+	defer st.mu.Unlock()
 	var newest time.Time
-	for _, l := range b.loads {
+	for _, l := range st.loads {
 		if l.At.After(newest) {
 			newest = l.At
 		}
@@ -339,13 +339,13 @@
 }
 
 // Refusal returns the refusal of a request for a service, with a retry time.
-func (b *Belief) Refusal(service string, code result.Code, now time.Time) *result.Error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.refusal(service, code, now)
+func (st *State) Refusal(service string, code result.Code, now time.Time) *result.Error {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.refusal(service, code, now)
 }
 
 // refusal is Refusal with mu held.
-func (b *Belief) refusal(service string, code result.Code, now time.Time) *result.Error {
-	return result.New(code, "").WithRetryAfter(b.outages.retryAfter(service, retryAfterFor(code), now))
+func (st *State) refusal(service string, code result.Code, now time.Time) *result.Error {
+	return result.New(code, "").WithRetryAfter(st.outages.retryAfter(service, retryAfterFor(code), now))
 }
--- a/internal/relay/belief_test.go
+++ b/internal/relay/belief_test.go
@@ -19,7 +19,7 @@
 func testEngine() *routing.Engine {
 	return &routing.Engine{
 		Slots: 12, Stride: 4, Step: 4550 * time.Microsecond, PerSequence: 905 * time.Microsecond,
-		PerThousand: 18 * time.Microsecond, MeanPrompt: 835, MeanOutput: 97,
+		PerThousandTokens: 18 * time.Microsecond, MeanPrompt: 835, MeanOutput: 97,
 		Experts: routing.Experts{Share: 0.85},
 	}
 }
@@ -28,22 +28,22 @@
 	var routes []*routing.Route
 	for _, s := range services {
 		routes = append(routes, &routing.Route{
-			Name: s.Name, Host: "h", Prefix: "/" + s.Name + "/", MaxAttempts: 2, Target: 500 * time.Millisecond,
-			Gap: 120 * time.Millisecond, Splits: []routing.Split{{Service: s.Name, Weight: 1}},
+			Name: s.Name, Host: "h", Prefix: "/" + s.Name + "/", MaxAttempts: 2, TargetLatency: 500 * time.Millisecond,
+			MaxGap: 120 * time.Millisecond, Splits: []routing.Split{{Service: s.Name, Weight: 1}},
 		})
 	}
 	return routing.NewTable(version, routes, services, nil, routing.Limits{})
 }
 
-func newBelief(name string, services ...*routing.Service) *Belief {
-	b := &Belief{Name: name, DataCentre: "a", Seed: 1, Fresh: &Freshness{}}
-	b.Begin(start)
-	b.SetTable(newTable(1, services...), start)
-	return b
+func newState(name string, services ...*routing.Service) *State {
+	st := &State{Name: name, DataCentre: "a", Seed: 1, Freshness: &Freshness{}}
+	st.Init(start)
+	st.SetTable(newTable(1, services...), start)
+	return st
 }
 
-func listEndpoints(b *Belief, n int, service string) {
-	b.Change(func(d *directory.Directory) {
+func listEndpoints(st *State, n int, service string) {
+	st.UpdateDirectory(func(d *directory.Directory) {
 		for i := range n {
 			d.Put(directory.Entry{
 				ID: fmt.Sprintf("e%d", i), StartMillis: 1, Service: service, Address: fmt.Sprintf("10.0.0.%d:1", i),
@@ -51,17 +51,17 @@
 			}, start)
 		}
 	})
-	b.Listed()
+	st.EndpointsListed()
 }
 
 // Guards against a delayed answer of the store that brings back an older configuration, with a key
 // that has been revoked since.
 func TestOlderConfigurationDoesNotComeBack(t *testing.T) {
-	b := newBelief("me", &routing.Service{Name: "quotes"})
-	if !b.SetTable(newTable(9), start) || b.SetTable(newTable(8), start) || b.SetTable(newTable(9), start) {
+	st := newState("me", &routing.Service{Name: "quotes"})
+	if !st.SetTable(newTable(9), start) || st.SetTable(newTable(8), start) || st.SetTable(newTable(9), start) {
 		t.Fatal("a table that is not newer was accepted")
 	}
-	if v := b.Table().Version(); v != 9 {
+	if v := st.Table().Version(); v != 9 {
 		t.Fatalf("version %d", v)
 	}
 }
@@ -74,9 +74,9 @@
 	const entries, engines, rate, lasts = 9, 12, 56.0, 1300 * time.Millisecond
 	for seed := range uint64(5) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		fleet := make([]*Belief, entries)
+		fleet := make([]*State, entries)
 		for i := range fleet {
-			fleet[i] = newBelief(fmt.Sprintf("entry%d", i), &routing.Service{Name: "quotes", Engine: testEngine()})
+			fleet[i] = newState(fmt.Sprintf("entry%d", i), &routing.Service{Name: "quotes", Engine: testEngine()})
 			listEndpoints(fleet[i], engines, "quotes")
 		}
 		w := &fleetModel{fleet: fleet, engines: engines}
@@ -101,7 +101,7 @@
 
 // fleetModel simulates entries and engines without a network.
 type fleetModel struct {
-	fleet     []*Belief
+	fleet     []*State
 	engines   int
 	open      []openRequest
 	number    uint64
@@ -110,16 +110,16 @@
 }
 
 type openRequest struct {
-	entry int
-	place Place
-	until time.Time
+	entry    int
+	assigned Assignment
+	until    time.Time
 }
 
 func (w *fleetModel) place(i int, now time.Time, lasts time.Duration) {
-	b := w.fleet[i]
-	p, e := b.Choose(b.Table().Service("quotes"), placement.Query{Tokens: 900}, now)
+	st := w.fleet[i]
+	assigned, e := st.Choose(st.Table().Service("quotes"), placement.Query{Tokens: 900}, now)
 	if e == nil {
-		w.open = append(w.open, openRequest{entry: i, place: p, until: now.Add(lasts)})
+		w.open = append(w.open, openRequest{entry: i, assigned: assigned, until: now.Add(lasts)})
 	}
 }
 
@@ -130,27 +130,27 @@
 			remaining = append(remaining, o)
 			continue
 		}
-		w.fleet[o.entry].Heard(o.place, now)
-		w.fleet[o.entry].Ended(o.place, Delivered{}, now)
+		w.fleet[o.entry].PartReceived(o.assigned, now)
+		w.fleet[o.entry].Release(o.assigned, Delivered{}, now)
 	}
 	w.open = remaining
 }
 
 func (w *fleetModel) exchange(now time.Time) {
 	w.number++
-	works := make([]Work, 0, len(w.fleet))
+	entryLoads := make([]EntryLoad, 0, len(w.fleet))
 	for _, from := range w.fleet {
-		works = append(works, Work{Entry: from.Name, Born: 1, Number: w.number, Running: from.Own(), At: now})
+		entryLoads = append(entryLoads, EntryLoad{Entry: from.Name, Incarnation: 1, Sequence: w.number, Running: from.OwnRunning(), At: now})
 	}
 	for i, to := range w.fleet {
-		to.SetWorks(slices.Concat(works[:i], works[i+1:]), now)
+		to.SetEntryLoads(slices.Concat(entryLoads[:i], entryLoads[i+1:]), now)
 	}
 }
 
 func (w *fleetModel) sampleExcess() {
 	n := map[string]int{}
 	for _, o := range w.open {
-		n[o.place.Endpoint.ID]++
+		n[o.assigned.Endpoint.ID]++
 	}
 	maxRunning := 0
 	for _, k := range n {
@@ -164,21 +164,21 @@
 // latency from all engines, and only its load report identifies it. Guards against requests that
 // are sent to the slow engine all the same.
 func TestSlowEngineGetsNoRequests(t *testing.T) {
-	b := newBelief("me", &routing.Service{Name: "quotes", Engine: testEngine()})
-	listEndpoints(b, 4, "quotes")
+	st := newState("me", &routing.Service{Name: "quotes", Engine: testEngine()})
+	listEndpoints(st, 4, "quotes")
 	now := start
-	_, _ = b.Choose(b.Table().Service("quotes"), placement.Query{}, now)
-	loads := []Load{{Address: "10.0.0.2:1", Pace: 6.3, At: now}}
+	_, _ = st.Choose(st.Table().Service("quotes"), placement.Query{}, now)
+	loads := []EndpointLoad{{Address: "10.0.0.2:1", Slowdown: 6.3, At: now}}
 	for _, i := range []int{0, 1, 3} {
-		loads = append(loads, Load{Address: fmt.Sprintf("10.0.0.%d:1", i), Pace: 1, At: now})
+		loads = append(loads, EndpointLoad{Address: fmt.Sprintf("10.0.0.%d:1", i), Slowdown: 1, At: now})
 	}
-	b.SetLoads(loads, now)
+	st.SetLoads(loads, now)
 	for range 12 {
-		p, e := b.Choose(b.Table().Service("quotes"), placement.Query{}, now)
+		assigned, e := st.Choose(st.Table().Service("quotes"), placement.Query{}, now)
 		if e != nil {
 			t.Fatal(e)
 		}
-		if p.Endpoint.ID == "e2" {
+		if assigned.Endpoint.ID == "e2" {
 			t.Fatal("the slow engine got a request")
 		}
 	}
@@ -187,42 +187,42 @@
 // fixedClock returns a clock that always reads now.
 func fixedClock(now time.Time) func() time.Time { return func() time.Time { return now } }
 
-func newAsk(id string, s *routing.Service, now time.Time) Ask {
-	return Ask{Service: s, ID: id, Account: anonymousAccount, TargetTime: 500 * time.Millisecond, Target: now.Add(500 * time.Millisecond), End: now.Add(8 * time.Second)}
+func newAdmitRequest(id string, s *routing.Service, now time.Time) AdmitRequest {
+	return AdmitRequest{Service: s, ID: id, Account: anonymousAccount, TargetLatency: 500 * time.Millisecond, FirstPartDeadline: now.Add(500 * time.Millisecond), Deadline: now.Add(8 * time.Second)}
 }
 
 // takeAllPlaces takes all places of a service.
-func takeAllPlaces(t *testing.T, b *Belief, s *routing.Service, now time.Time) []Place {
+func takeAllPlaces(t *testing.T, st *State, s *routing.Service, now time.Time) []Assignment {
 	t.Helper()
-	var out []Place
+	var out []Assignment
 	for {
-		p, e := b.Choose(s, placement.Query{}, now)
+		assigned, e := st.Choose(s, placement.Query{}, now)
 		if e != nil {
 			return out
 		}
-		out = append(out, p)
+		out = append(out, assigned)
 	}
 }
 
 // All engines are full for a moment. Guards against the refusal of a request that can still meet
 // its target in the slot of a stream that ends.
 func TestRequestWaitsForAPlace(t *testing.T) {
-	b := newBelief("me", &routing.Service{Name: "quotes", Engine: testEngine()})
-	listEndpoints(b, 2, "quotes")
-	s := b.Table().Service("quotes")
-	held := takeAllPlaces(t, b, s, start)
+	st := newState("me", &routing.Service{Name: "quotes", Engine: testEngine()})
+	listEndpoints(st, 2, "quotes")
+	s := st.Table().Service("quotes")
+	held := takeAllPlaces(t, st, s, start)
 	if want := 2 * batch.MostWriters(testEngine(), 120*time.Millisecond); len(held) != want {
 		t.Fatalf("%d places, want %d", len(held), want)
 	}
 	done := make(chan *result.Error, 1)
 	go func() {
-		_, e := b.Admit(context.Background(), newAsk("r1", s, start), fixedClock(start))
+		_, e := st.Admit(context.Background(), newAdmitRequest("r1", s, start), fixedClock(start))
 		done <- e
 	}()
-	for len(b.Waiting()) == 0 {
+	for len(st.WaitingServices()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	b.Ended(held[0], Delivered{}, start.Add(100*time.Millisecond))
+	st.Release(held[0], Delivered{}, start.Add(100*time.Millisecond))
 	if e := <-done; e != nil {
 		t.Fatalf("refused: %v", e)
 	}
@@ -231,17 +231,17 @@
 // Engines stay full. Guards against a request that is held until its caller gives up, instead of
 // being refused when its answer would be late.
 func TestRequestIsRefusedWhenItsTargetIsOutOfReach(t *testing.T) {
-	b := newBelief("me", &routing.Service{Name: "quotes", Engine: testEngine()})
-	listEndpoints(b, 1, "quotes")
-	s := b.Table().Service("quotes")
-	takeAllPlaces(t, b, s, start)
+	st := newState("me", &routing.Service{Name: "quotes", Engine: testEngine()})
+	listEndpoints(st, 1, "quotes")
+	s := st.Table().Service("quotes")
+	takeAllPlaces(t, st, s, start)
 	began := time.Now()
 	clock := func() time.Time { return start.Add(time.Since(began)) }
-	_, e := b.Admit(context.Background(), newAsk("r1", s, start), clock)
+	_, e := st.Admit(context.Background(), newAdmitRequest("r1", s, start), clock)
 	if e == nil || e.Code().Effect() != result.NotRun || e.RetryAfter() <= 0 {
 		t.Fatalf("%v", e)
 	}
-	if n := len(b.Waiting()); n != 0 {
+	if n := len(st.WaitingServices()); n != 0 {
 		t.Fatalf("%d services still have waiting requests", n)
 	}
 }
@@ -249,9 +249,9 @@
 // Guards against requests that wait for a service without any endpoint, for which waiting is
 // pointless.
 func TestNoEndpointIsRefusedAtOnce(t *testing.T) {
-	b := newBelief("me", &routing.Service{Name: "quotes", Engine: testEngine()})
-	b.Listed()
-	_, e := b.Admit(context.Background(), newAsk("r1", b.Table().Service("quotes"), start), fixedClock(start))
+	st := newState("me", &routing.Service{Name: "quotes", Engine: testEngine()})
+	st.EndpointsListed()
+	_, e := st.Admit(context.Background(), newAdmitRequest("r1", st.Table().Service("quotes"), start), fixedClock(start))
 	if e == nil || e.Code() != result.NoEndpoint {
 		t.Fatalf("%v", e)
 	}
@@ -259,19 +259,19 @@
 
 // Guards against a slot that is lost when a caller disconnects while its request waits.
 func TestCallerLeavesWhileItWaits(t *testing.T) {
-	b := newBelief("me", &routing.Service{Name: "quotes", Engine: testEngine()})
-	listEndpoints(b, 1, "quotes")
-	s := b.Table().Service("quotes")
-	held := takeAllPlaces(t, b, s, start)
+	st := newState("me", &routing.Service{Name: "quotes", Engine: testEngine()})
+	listEndpoints(st, 1, "quotes")
+	s := st.Table().Service("quotes")
+	held := takeAllPlaces(t, st, s, start)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, e := b.Admit(ctx, newAsk("r1", s, start), fixedClock(start)); e == nil {
+	if _, e := st.Admit(ctx, newAdmitRequest("r1", s, start), fixedClock(start)); e == nil {
 		t.Fatal("placed")
 	}
-	b.Ended(held[0], Delivered{}, start)
-	if p, e := b.Choose(s, placement.Query{}, start); e != nil {
+	st.Release(held[0], Delivered{}, start)
+	if assigned, e := st.Choose(s, placement.Query{}, start); e != nil {
 		t.Fatalf("the free slot is lost: %v", e)
-	} else if p.Endpoint.ID == "" {
+	} else if assigned.Endpoint.ID == "" {
 		t.Fatal("no endpoint")
 	}
 }
@@ -280,33 +280,33 @@
 // Guards against the exclusion of the endpoint after each failure, by which callers were refused
 // although it had free slots.
 func TestLastEndpointIsNotLeftAloneForOneFailure(t *testing.T) {
-	b := newBelief("me", &routing.Service{Name: "orders"})
-	listEndpoints(b, 1, "orders")
-	s := b.Table().Service("orders")
+	st := newState("me", &routing.Service{Name: "orders"})
+	listEndpoints(st, 1, "orders")
+	s := st.Table().Service("orders")
 	now := start
 	for i := range 50 {
 		now = now.Add(20 * time.Millisecond)
-		p, e := b.Choose(s, placement.Query{}, now)
+		assigned, e := st.Choose(s, placement.Query{}, now)
 		if e != nil {
 			t.Fatalf("request %d: %v", i, e)
 		}
 		if i%7 == 0 {
-			b.Ended(p, Failed{Answer: &Whole{Status: 500}}, now)
+			st.Release(assigned, Failed{Answer: &BufferedAnswer{Status: 500}}, now)
 			continue
 		}
-		b.Ended(p, Delivered{}, now)
+		st.Release(assigned, Delivered{}, now)
 	}
 	t.Run("repeated failures exclude the endpoint", func(t *testing.T) {
-		p, _ := b.Choose(s, placement.Query{}, now)
-		b.Ended(p, Delivered{}, now)
+		assigned, _ := st.Choose(s, placement.Query{}, now)
+		st.Release(assigned, Delivered{}, now)
 		for range failureThreshold {
-			p, e := b.Choose(s, placement.Query{}, now)
+			assigned, e := st.Choose(s, placement.Query{}, now)
 			if e != nil {
 				t.Fatal(e)
 			}
-			b.Ended(p, Failed{Answer: &Whole{Status: 500}}, now)
+			st.Release(assigned, Failed{Answer: &BufferedAnswer{Status: 500}}, now)
 		}
-		if _, e := b.Choose(s, placement.Query{}, now); e == nil {
+		if _, e := st.Choose(s, placement.Query{}, now); e == nil {
 			t.Fatal("no backoff after repeated failures")
 		}
 	})
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -13,22 +13,22 @@
 var benchSizes = []int{12, 64, 129, 512}
 
 // benchBelief returns the view of an entry in a fleet of 36 with n engines.
-func benchBelief(n int) (*Belief, *routing.Service) {
+func benchState(n int) (*State, *routing.Service) {
 	e := testEngine()
 	e.Experts.Sets = 12
-	b := newBelief("entry0", &routing.Service{Name: "quotes", Engine: e})
-	listEndpoints(b, n, "quotes")
+	st := newState("entry0", &routing.Service{Name: "quotes", Engine: e})
+	listEndpoints(st, n, "quotes")
 	for i := range 36 {
-		b.SetEntry(fmt.Sprint("entry", i), true, start)
+		st.SetEntry(fmt.Sprint("entry", i), true, start)
 	}
-	return b, b.Table().Service("quotes")
+	return st, st.Table().Service("quotes")
 }
 
 // newLoads returns the leaders' load reports for n engines.
-func newLoads(n int, now time.Time) []Load {
-	loads := make([]Load, 0, n)
+func newLoads(n int, now time.Time) []EndpointLoad {
+	loads := make([]EndpointLoad, 0, n)
 	for i := range n {
-		loads = append(loads, Load{Address: fmt.Sprintf("10.0.0.%d:1", i), Running: i % 5, Pace: 1, At: now})
+		loads = append(loads, EndpointLoad{Address: fmt.Sprintf("10.0.0.%d:1", i), Running: i % 5, Slowdown: 1, At: now})
 	}
 	return loads
 }
@@ -38,22 +38,22 @@
 func BenchmarkAdmit(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("engines=", n), func(b *testing.B) {
-			belief, s := benchBelief(n)
+			st, s := benchState(n)
 			now := start
 			clock := func() time.Time { return now }
-			belief.SetLoads(newLoads(n, now), now)
+			st.SetLoads(newLoads(n, now), now)
 			b.ReportAllocs()
 			for i := range b.N {
 				now = now.Add(time.Millisecond)
-				p, e := belief.Admit(context.Background(), Ask{
-					Service: s, ID: fmt.Sprint(i), Account: anonymousAccount, Target: now.Add(400 * time.Millisecond),
-					End: now.Add(8 * time.Second), TargetTime: 400 * time.Millisecond,
+				assigned, e := st.Admit(context.Background(), AdmitRequest{
+					Service: s, ID: fmt.Sprint(i), Account: anonymousAccount, FirstPartDeadline: now.Add(400 * time.Millisecond),
+					Deadline: now.Add(8 * time.Second), TargetLatency: 400 * time.Millisecond,
 				}, clock)
 				if e != nil {
 					b.Fatal(e)
 				}
-				belief.Heard(p, now)
-				belief.Ended(p, Delivered{}, now)
+				st.PartReceived(assigned, now)
+				st.Release(assigned, Delivered{}, now)
 			}
 		})
 	}
@@ -64,7 +64,7 @@
 func BenchmarkSetLoads(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("engines=", n), func(b *testing.B) {
-			belief, _ := benchBelief(n)
+			st, _ := benchState(n)
 			now := start
 			b.ReportAllocs()
 			for range b.N {
@@ -72,7 +72,7 @@
 				b.StopTimer()
 				loads := newLoads(n, now)
 				b.StartTimer()
-				belief.SetLoads(loads, now)
+				st.SetLoads(loads, now)
 			}
 		})
 	}
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -7,40 +7,40 @@
 )
 
 // First counts a first attempt towards the retry budget of a service.
-func (b *Belief) First(service string, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.budget(service, now).RecordFirstAttempt(now)
+func (st *State) CountFirstAttempt(service string, now time.Time) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.budget(service, now).RecordFirstAttempt(now)
 }
 
 // Spend takes one retry from the budget of a service and reports whether there was one.
-func (b *Belief) Spend(service string, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.budget(service, now).TrySpend(now)
+func (st *State) TakeRetry(service string, now time.Time) bool {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.budget(service, now).TrySpend(now)
 }
 
 // MaySpend reports whether Spend would succeed.
-func (b *Belief) MaySpend(service string, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.budget(service, now).CanRetry(now)
+func (st *State) MayRetry(service string, now time.Time) bool {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.budget(service, now).CanRetry(now)
 }
 
 // budgetUse is the fraction of the fleet's retry budget that the entries use together. The rest is
 // a margin: entries count requests by their own clocks, and callers are not spread evenly.
 const budgetUse = 0.7
 
-func (b *Belief) budget(service string, now time.Time) *admission.RetryBudget {
-	n := float64(b.countEntries(now))
-	r := b.retryBudgets[service]
+func (st *State) budget(service string, now time.Time) *admission.RetryBudget {
+	n := float64(st.countEntries(now))
+	r := st.retryBudgets[service]
 	if r == nil {
 		r = &admission.RetryBudget{}
-		b.retryBudgets[service] = r
+		st.retryBudgets[service] = r
 	}
-	r.Percent = 100 * budgetUse * b.retry.Share
-	window := max(1, b.retry.Window.Seconds())
-	r.RetriesPerSecond = budgetUse * b.retry.Slack / n / window / 2
-	r.Burst = max(2, budgetUse*b.retry.Slack/n/2)
+	r.Percent = 100 * budgetUse * st.retry.Share
+	window := max(1, st.retry.Window.Seconds())
+	r.RetriesPerSecond = budgetUse * st.retry.Slack / n / window / 2
+	r.Burst = max(2, budgetUse*st.retry.Slack/n/2)
 	return r
 }
--- a/internal/relay/closed.go
+++ b/internal/relay/closed.go
@@ -36,18 +36,18 @@
 
 // groupState returns the state of a service's groups and whether all of them are closed. mu must be
 // held. Leaders' reports take precedence over what failures suggest.
-func (b *Belief) groupState(s *routing.Service, now time.Time) (groupState, bool) {
+func (st *State) groupState(s *routing.Service, now time.Time) (groupState, bool) {
 	if !lockstep(s) {
 		return groupState{}, false
 	}
-	since, failing := b.outages.since[s.Name]
+	since, failing := st.outages.since[s.Name]
 	c := groupState{}
 	if failing {
 		c.downFor = now.Sub(since)
 	}
 	open := 0
-	for id, ep := range b.endpoints {
-		l := b.loads[id]
+	for id, ep := range st.endpoints {
+		l := st.loads[id]
 		if ep.Service != s.Name || now.Sub(l.At) >= maxLeaderReportAge {
 			continue
 		}
@@ -71,11 +71,11 @@
 // mayProbe reports whether a request may be sent to a group that is assumed to be closed, to find
 // out whether it still is. Only requests that have not been sent before may: sending one again
 // costs the fleet's retry budget.
-func (b *Belief) mayProbe(s *routing.Service, c groupState, sent bool, now time.Time) bool {
-	if c.reported || sent || now.Sub(b.lastProbe[s.Name]) < probeInterval {
+func (st *State) mayProbe(s *routing.Service, c groupState, sent bool, now time.Time) bool {
+	if c.reported || sent || now.Sub(st.lastProbe[s.Name]) < probeInterval {
 		return false
 	}
-	b.lastProbe[s.Name] = now
+	st.lastProbe[s.Name] = now
 	return true
 }
 
@@ -91,15 +91,15 @@
 // as many requests would meet the group as it opens, and requests that arrive then and could meet
 // their target would become late behind them. No caller is held through an outage of unknown
 // duration.
-func (b *Belief) refuseIfClosed(a Ask, now time.Time) *result.Error {
-	c, closed := b.groupState(a.Service, now)
+func (st *State) refuseIfClosed(req AdmitRequest, now time.Time) *result.Error {
+	c, closed := st.groupState(req.Service, now)
 	if !closed {
 		return nil
 	}
-	b.excludeFromDrainRate(a.Service, now)
-	slack := b.latestStart(a, now).Sub(now)
-	if a.CameBack && slack > 0 && (c.forming || c.downFor <= slack) {
+	st.excludeFromDrainRate(req.Service, now)
+	slack := st.latestStart(req, now).Sub(now)
+	if req.AskedBefore && slack > 0 && (c.forming || c.downFor <= slack) {
 		return nil
 	}
-	return b.refusal(a.Service.Name, result.GroupClosed, now)
+	return st.refusal(req.Service.Name, result.GroupClosed, now)
 }
--- a/internal/relay/decide_test.go
+++ b/internal/relay/decide_test.go
@@ -23,29 +23,29 @@
 	notResumable := &routing.Route{Repeat: routing.Stream, MaxAttempts: 2}
 	lost := errors.New("connection reset")
 	for name, c := range map[string]struct {
-		route   *routing.Route
-		tries   Tries
-		outcome Outcome
-		left    time.Duration
-		budget  func() bool
-		want    Step
+		route    *routing.Route
+		attempts AttemptCounts
+		outcome  Outcome
+		left     time.Duration
+		budget   func() bool
+		want     Decision
 	}{
-		"run-once request that may have run is not retried": {runOnce, Tries{Sent: 1, MayHaveRun: true}, Unknown{Cause: lost}, time.Second, budgetLeft, End},
-		"run-once request that did not run is retried":      {runOnce, Tries{Sent: 1}, NotRun{Sent: true, Code: result.EndpointBusy}, time.Second, budgetLeft, Again},
-		"run-once request that failed is not retried":       {runOnce, Tries{Sent: 1, MayHaveRun: true}, Failed{}, time.Second, budgetLeft, End},
-		"idempotent request that may have run is retried":   {idempotent, Tries{Sent: 1, MayHaveRun: true}, Unknown{Cause: lost}, time.Second, budgetLeft, Again},
-		"attempts are used up":                              {idempotent, Tries{Sent: 2, MayHaveRun: true}, Unknown{Cause: lost}, time.Second, budgetLeft, End},
-		"retry budget is used up":                           {idempotent, Tries{Sent: 1, MayHaveRun: true}, Unknown{Cause: lost}, time.Second, noBudget, End},
-		"no time is left":                                   {idempotent, Tries{Sent: 1, MayHaveRun: true}, Unknown{Cause: lost}, time.Millisecond, budgetLeft, End},
-		"refused connection costs no retry budget":          {runOnce, Tries{Unsent: 1}, NotRun{Code: result.EndpointDown}, time.Second, noBudget, Again},
-		"refused connections are bounded":                   {runOnce, Tries{Unsent: 3}, NotRun{Code: result.EndpointDown}, time.Second, budgetLeft, End},
-		"interrupted stream continues at another endpoint":  {stream, Tries{Sent: 1, MayHaveRun: true}, Broken{Cause: lost}, time.Second, budgetLeft, Again},
-		"stream that can't be resumed does not continue":    {notResumable, Tries{Sent: 1, MayHaveRun: true}, Broken{Cause: lost}, time.Second, budgetLeft, End},
-		"delivered answer ends the request":                 {idempotent, Tries{Sent: 1}, Delivered{}, time.Second, budgetLeft, End},
-		"disconnected caller ends the request":              {idempotent, Tries{Sent: 1}, Gone{Cause: lost}, time.Second, budgetLeft, End},
+		"run-once request that may have run is not retried": {runOnce, AttemptCounts{Sent: 1, MayHaveRun: true}, Unknown{Cause: lost}, time.Second, budgetLeft, End},
+		"run-once request that did not run is retried":      {runOnce, AttemptCounts{Sent: 1}, NotRun{Sent: true, Code: result.EndpointBusy}, time.Second, budgetLeft, Retry},
+		"run-once request that failed is not retried":       {runOnce, AttemptCounts{Sent: 1, MayHaveRun: true}, Failed{}, time.Second, budgetLeft, End},
+		"idempotent request that may have run is retried":   {idempotent, AttemptCounts{Sent: 1, MayHaveRun: true}, Unknown{Cause: lost}, time.Second, budgetLeft, Retry},
+		"attempts are used up":                              {idempotent, AttemptCounts{Sent: 2, MayHaveRun: true}, Unknown{Cause: lost}, time.Second, budgetLeft, End},
+		"retry budget is used up":                           {idempotent, AttemptCounts{Sent: 1, MayHaveRun: true}, Unknown{Cause: lost}, time.Second, noBudget, End},
+		"no time is left":                                   {idempotent, AttemptCounts{Sent: 1, MayHaveRun: true}, Unknown{Cause: lost}, time.Millisecond, budgetLeft, End},
+		"refused connection costs no retry budget":          {runOnce, AttemptCounts{Unsent: 1}, NotRun{Code: result.EndpointDown}, time.Second, noBudget, Retry},
+		"refused connections are bounded":                   {runOnce, AttemptCounts{Unsent: 3}, NotRun{Code: result.EndpointDown}, time.Second, budgetLeft, End},
+		"interrupted stream continues at another endpoint":  {stream, AttemptCounts{Sent: 1, MayHaveRun: true}, Interrupted{Cause: lost}, time.Second, budgetLeft, Retry},
+		"stream that can't be resumed does not continue":    {notResumable, AttemptCounts{Sent: 1, MayHaveRun: true}, Interrupted{Cause: lost}, time.Second, budgetLeft, End},
+		"delivered answer ends the request":                 {idempotent, AttemptCounts{Sent: 1}, Delivered{}, time.Second, budgetLeft, End},
+		"disconnected caller ends the request":              {idempotent, AttemptCounts{Sent: 1}, Disconnected{Cause: lost}, time.Second, budgetLeft, End},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := NextStep(c.route, c.tries, c.outcome, c.left, c.budget); got != c.want {
+			if got := NextStep(c.route, c.attempts, c.outcome, c.left, c.budget); got != c.want {
 				t.Fatalf("step %v, want %v", got, c.want)
 			}
 		})
@@ -59,7 +59,7 @@
 	const entries, rate, bound = 12, 38.0, 38*1.5 + 5
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		shares := make([]Shares, entries)
+		shares := make([]RateShares, entries)
 		var sent []time.Time
 		for ms := range 5000 {
 			now := start.Add(time.Duration(ms) * time.Millisecond)
@@ -96,8 +96,8 @@
 	if f.Age(start) < time.Hour {
 		t.Fatal("fresh before anything is known")
 	}
-	f.Learn(start)
-	f.Learn(start.Add(-time.Second)) // an older proof that arrives late
+	f.Advance(start)
+	f.Advance(start.Add(-time.Second)) // an older proof that arrives late
 	if got := f.Age(start.Add(3 * time.Second)); got != 3*time.Second {
 		t.Fatalf("age %v", got)
 	}
--- a/internal/relay/dialect.go
+++ b/internal/relay/dialect.go
@@ -6,17 +6,17 @@
 )
 
 // Dialect translates between the relay's terms and the headers of requests and answers.
-type Dialect interface {
+type HeaderCodec interface {
 	// ReadRequest parses the headers of a caller's request.
-	ReadRequest(h http.Header) Facts
+	ReadRequest(h http.Header) RequestInfo
 	// WriteRequest changes a caller's headers into those for an endpoint.
-	WriteRequest(h http.Header, s Stamp)
+	WriteRequest(h http.Header, info EndpointInfo)
 	// ReadAnswer parses the headers of an endpoint's answer.
-	ReadAnswer(status int, h http.Header) Told
+	ReadAnswer(status int, h http.Header) AnswerInfo
 }
 
 // Facts holds what a caller states about its request.
-type Facts struct {
+type RequestInfo struct {
 	// ID identifies this attempt of the caller.
 	ID string
 	// Key is the account's key.
@@ -29,18 +29,18 @@
 	PromptTokens, OutputTokens int
 	// Subject identifies the last part of the prompt's prefix, which is the most specific to the
 	// request.
-	Subject string
+	PromptID string
 }
 
 // Stamp holds what the relay tells an endpoint about a request.
-type Stamp struct {
+type EndpointInfo struct {
 	// Account is the name of the caller's account, or "".
 	Account string
 	// Endpoint is the ID of the intended endpoint; another endpoint at the same address does not
 	// run the request.
 	Endpoint string
 	// Left is how long the endpoint may work on the request.
-	Left time.Duration
+	TimeLeft time.Duration
 	// Urgency orders requests at the endpoint: 0 goes first, 9 last.
 	Urgency int
 	// Resume is the ID of the last event that the caller has received, or "".
@@ -48,14 +48,14 @@
 }
 
 // Told holds what an endpoint states in the headers of an answer.
-type Told struct {
+type AnswerInfo struct {
 	// ID identifies the attempt that is answered, or is "" if the endpoint doesn't say.
 	ID string
 	// Signed means that the answer carries the endpoint's signature.
 	Signed bool
 	// NotRun means that the endpoint did not run the request, and Wrong that it is not the endpoint
 	// that the request was meant for.
-	NotRun, Wrong bool
+	NotRun, Misdirected bool
 	// Cold is how long the endpoint stays cold; zero if it doesn't say.
 	Cold time.Duration
 	// Limit is the number of requests per second that the endpoint accepts from all entries
--- a/internal/relay/entries.go
+++ b/internal/relay/entries.go
@@ -12,48 +12,48 @@
 )
 
 // SetEntry records that another entry is listed, or has been delisted.
-func (b *Belief) SetEntry(name string, listed bool, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (st *State) SetEntry(name string, listed bool, now time.Time) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
 	if listed {
-		b.entries[name] = time.Time{}
+		st.entries[name] = time.Time{}
 		return
 	}
-	if _, ok := b.entries[name]; ok {
-		b.entries[name] = now
-		b.removeWork(name)
+	if _, ok := st.entries[name]; ok {
+		st.entries[name] = now
+		st.removeEntryLoad(name)
 	}
 }
 
 // Entries returns the number of entries that share the capacity of the endpoints.
-func (b *Belief) Entries(now time.Time) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.countEntries(now)
+func (st *State) Entries(now time.Time) int {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.countEntries(now)
 }
 
-func (b *Belief) countEntries(now time.Time) int {
+func (st *State) countEntries(now time.Time) int {
 	n := 0
-	for name, delistedAt := range b.entries {
+	for name, delistedAt := range st.entries {
 		if !delistedAt.IsZero() && now.Sub(delistedAt) > entryRetention {
-			delete(b.entries, name)
+			delete(st.entries, name)
 			continue
 		}
 		n++
 	}
-	if _, ok := b.entries[b.Name]; !ok {
+	if _, ok := st.entries[st.Name]; !ok {
 		n++
 	}
-	if !b.endpointsListed || now.Sub(b.startedAt) < entryRetention {
+	if !st.endpointsListed || now.Sub(st.startedAt) < entryRetention {
 		return max(n, minEntriesAtStart)
 	}
 	return n
 }
 
 // listedEntries returns the number of entries that are listed now, and at least 1.
-func (b *Belief) listedEntries() int {
+func (st *State) listedEntries() int {
 	n := 0
-	for _, delistedAt := range b.entries {
+	for _, delistedAt := range st.entries {
 		if delistedAt.IsZero() {
 			n++
 		}
--- a/internal/relay/finish.go
+++ b/internal/relay/finish.go
@@ -16,11 +16,11 @@
 	case Delivered:
 		j.log(result.OK, http.StatusOK, now, nil)
 		return
-	case Gone:
+	case Disconnected:
 		j.reply.Break()
 		j.log(result.Cancelled, 0, now, o.Cause)
 		return
-	case Broken:
+	case Interrupted:
 		j.reply.Break()
 		j.log(result.AnswerIncomplete, 0, now, o.Cause)
 		return
@@ -28,7 +28,7 @@
 		j.deliverFailure(o.Answer, now)
 		return
 	case NotRun:
-		e = j.relay.Belief.Refusal(j.service.Name, o.Code, now)
+		e = j.relay.State.Refusal(j.service.Name, o.Code, now)
 	case Unknown:
 		e = j.unknownResult(o, now)
 	}
@@ -54,14 +54,14 @@
 
 // correctEffect keeps a refusal from reporting "not run" if an earlier attempt may have run.
 func (j *job) correctEffect(e *result.Error) *result.Error {
-	if j.tries.MayHaveRun && e.Code().Effect() == result.NotRun {
+	if j.attempts.MayHaveRun && e.Code().Effect() == result.NotRun {
 		return result.New(result.OutcomeUnknown, e.Error())
 	}
 	return e
 }
 
 // deliverFailure forwards a failure that an endpoint reported.
-func (j *job) deliverFailure(a *Whole, now time.Time) {
+func (j *job) deliverFailure(a *BufferedAnswer, now time.Time) {
 	err := j.reply.AnswerRaw(a.Status, a.Header, a.Body)
 	j.log(result.EndpointFailed, a.Status, now, err)
 }
--- a/internal/relay/freshness.go
+++ b/internal/relay/freshness.go
@@ -13,7 +13,7 @@
 }
 
 // Learn records that all changes made before asked are known.
-func (f *Freshness) Learn(asked time.Time) {
+func (f *Freshness) Advance(asked time.Time) {
 	ns := asked.UnixNano()
 	for {
 		old := f.knownAsOf.Load()
--- a/internal/relay/jobadmit.go
+++ b/internal/relay/jobadmit.go
@@ -11,7 +11,7 @@
 // query returns the placement query for the next attempt.
 func (j *job) query() placement.Query {
 	return placement.Query{
-		Tokens:  j.facts.PromptTokens + j.facts.OutputTokens,
+		Tokens:  j.info.PromptTokens + j.info.OutputTokens,
 		Tried:   j.tried,
 		RunOnce: !j.route.MayRepeat(),
 	}
@@ -19,57 +19,57 @@
 
 // recheckKeyAge gives a place back, and returns an error, if the known keys have become too old
 // since the request arrived.
-func (j *job) recheckKeyAge(p Place) *result.Error {
+func (j *job) recheckKeyAge(assigned Assignment) *result.Error {
 	if j.account == nil {
 		return nil
 	}
 	now := j.relay.Now()
 	e := j.checkKeyAge(now)
 	if e != nil {
-		j.relay.Belief.Ended(p, Unused{}, now)
+		j.relay.State.Release(assigned, Unused{}, now)
 	}
 	return e
 }
 
 // assignPlace chooses the endpoint of the next attempt. The known keys may have become too old
 // while the request waited.
-func (j *job) assignPlace(ctx context.Context, now time.Time) (Place, *result.Error) {
-	p, e := j.admit(ctx, j.query(), now)
+func (j *job) assignPlace(ctx context.Context, now time.Time) (Assignment, *result.Error) {
+	assigned, e := j.admit(ctx, j.query(), now)
 	if e != nil {
-		return p, e
+		return assigned, e
 	}
-	if e := j.recheckKeyAge(p); e != nil {
-		return Place{}, e
+	if e := j.recheckKeyAge(assigned); e != nil {
+		return Assignment{}, e
 	}
-	j.tried = append(j.tried, p.Endpoint.ID)
-	return p, nil
+	j.tried = append(j.tried, assigned.Endpoint.ID)
+	return assigned, nil
 }
 
 // admit assigns the next attempt to an endpoint through the queue. An attempt that follows one
 // which may have run bypasses the queue, since its request has waited already.
-func (j *job) admit(ctx context.Context, q placement.Query, now time.Time) (Place, *result.Error) {
-	b := j.relay.Belief
-	if j.tries.MayHaveRun {
-		return b.Choose(j.service, q, now)
+func (j *job) admit(ctx context.Context, q placement.Query, now time.Time) (Assignment, *result.Error) {
+	st := j.relay.State
+	if j.attempts.MayHaveRun {
+		return st.Choose(j.service, q, now)
 	}
-	a := Ask{
-		Service: j.service, Query: q, ID: j.facts.ID, Account: anonymousAccount,
-		Target: j.firstPartDeadline(), End: j.deadline, Priority: j.urgency(),
-		TargetTime: j.route.Target, CameBack: j.askedBefore(), Leaves: j.abandonTime(),
+	req := AdmitRequest{
+		Service: j.service, Query: q, ID: j.info.ID, Account: anonymousAccount,
+		FirstPartDeadline: j.firstPartDeadline(), Deadline: j.deadline, Priority: j.urgency(),
+		TargetLatency: j.route.TargetLatency, AskedBefore: j.askedBefore(), AbandonAt: j.abandonTime(),
 	}
 	if j.account != nil {
-		a.Account = j.account.Name
+		req.Account = j.account.Name
 	}
-	p, e := b.Admit(ctx, a, j.relay.Now)
+	assigned, e := st.Admit(ctx, req, j.relay.Now)
 	finished := j.relay.Now()
 	if waited := finished.Sub(now); waited > 0 {
 		j.waited += waited
 	}
-	if e == nil && j.tries.Sent > 0 && !b.Spend(j.service.Name, finished) {
-		b.Ended(p, Unused{}, finished)
-		return Place{}, b.Refusal(j.service.Name, result.EndpointBusy, finished)
+	if e == nil && j.attempts.Sent > 0 && !st.TakeRetry(j.service.Name, finished) {
+		st.Release(assigned, Unused{}, finished)
+		return Assignment{}, st.Refusal(j.service.Name, result.EndpointBusy, finished)
 	}
-	return p, e
+	return assigned, e
 }
 
 // abandonTime returns when the caller gives up if no part of the answer has arrived; zero means at
@@ -93,20 +93,20 @@
 // refused or failed. It returns zero if such a caller can't be told from one with a shorter time
 // limit.
 func (j *job) timeUsed() time.Duration {
-	if j.facts.TimeLeft <= 0 {
+	if j.info.TimeLeft <= 0 {
 		return 0
 	}
-	longest := j.relay.Belief.LongestLeft(j.route.Name, j.facts.TimeLeft)
-	if j.facts.TimeLeft >= time.Duration(firstAskFraction*float64(longest)) {
+	longest := j.relay.State.MaxTimeLeft(j.route.Name, j.info.TimeLeft)
+	if j.info.TimeLeft >= time.Duration(firstAskFraction*float64(longest)) {
 		return 0
 	}
-	return longest - j.facts.TimeLeft
+	return longest - j.info.TimeLeft
 }
 
 // firstPartDeadline returns when the first part of the answer must arrive to meet the latency
 // target, counted from the caller's first attempt.
 func (j *job) firstPartDeadline() time.Time {
-	target := j.route.Target
+	target := j.route.TargetLatency
 	if target <= 0 {
 		return j.deadline
 	}
--- a/internal/relay/lapse_test.go
+++ b/internal/relay/lapse_test.go
@@ -14,17 +14,17 @@
 // candidates were refreshed only once per second.
 func TestHeldEndpointIsDroppedInTime(t *testing.T) {
 	s := &routing.Service{Name: "quotes"}
-	b := newBelief("me", s)
-	listEndpoints(b, 1, "quotes")
-	b.Change(func(d *directory.Directory) {
+	st := newState("me", s)
+	listEndpoints(st, 1, "quotes")
+	st.UpdateDirectory(func(d *directory.Directory) {
 		d.StoreRecovered(start)
 		d.Remove("e0", start)
 	})
-	held := start.Add(lapseHold - time.Millisecond)
-	if _, e := b.Choose(s, placement.Query{}, held); e != nil {
+	held := start.Add(retentionAfterOutage - time.Millisecond)
+	if _, e := st.Choose(s, placement.Query{}, held); e != nil {
 		t.Fatal(e)
 	}
-	if p, e := b.Choose(s, placement.Query{}, held.Add(2*time.Millisecond)); e == nil {
-		t.Errorf("a request was assigned to %s", p.Endpoint.ID)
+	if assigned, e := st.Choose(s, placement.Query{}, held.Add(2*time.Millisecond)); e == nil {
+		t.Errorf("a request was assigned to %s", assigned.Endpoint.ID)
 	}
 }
--- a/internal/relay/late.go
+++ b/internal/relay/late.go
@@ -63,31 +63,31 @@
 // passes are slow until the first expert maps are in force, and most requests of the next seconds
 // would become late behind them. With it, an entry works off the late requests over about two
 // seconds and serves the others as usual.
-func (b *Belief) lateSlots(s *routing.Service, now time.Time) int {
+func (st *State) lateSlots(s *routing.Service, now time.Time) int {
 	places := 0
-	for _, ep := range b.endpoints {
+	for _, ep := range st.endpoints {
 		if ep.Service == s.Name {
-			n, _ := b.endpointCapacity(ep)
+			n, _ := st.endpointCapacity(ep)
 			places += n
 		}
 	}
-	share := float64(places) / float64(b.listedEntries())
-	a := b.arrivals[s.Name]
+	share := float64(places) / float64(st.listedEntries())
+	a := st.arrivals[s.Name]
 	if a == nil {
 		return max(minLateSlots, int(share))
 	}
-	needed := a.rate(now) * b.usualPlaceTime(s, now).Seconds()
+	needed := a.rate(now) * st.usualPlaceTime(s, now).Seconds()
 	return max(minLateSlots, int(share-reservedFraction*needed))
 }
 
 // usualPlaceTime returns how long a request usually holds its slot. Before any request was
 // observed, it is the time that a fully loaded engine with a planned expert map takes for a request
 // of mean size.
-func (b *Belief) usualPlaceTime(s *routing.Service, now time.Time) time.Duration {
+func (st *State) usualPlaceTime(s *routing.Service, now time.Time) time.Duration {
 	guess := time.Duration(0)
 	if e := s.Engine; e != nil && e.Stride > 0 {
 		passes := float64(e.MeanOutput) / float64(e.Stride)
 		guess = time.Duration(passes * float64(batch.Pass(e, e.Slots, batch.CalmSkew)))
 	}
-	return quantile(b.latencies.forService(s.Name, now).whole, usualWholePercentile, guess)
+	return quantile(st.latencies.forService(s.Name, now).whole, usualWholePercentile, guess)
 }
--- a/internal/relay/late_test.go
+++ b/internal/relay/late_test.go
@@ -12,46 +12,46 @@
 )
 
 // newGroup returns a belief with n endpoints of a service whose engines work in one group.
-func newGroup(n int) (*Belief, *routing.Service) {
+func newGroup(n int) (*State, *routing.Service) {
 	e := testEngine()
 	e.Experts.Sets = 4
-	b := newBelief("me", &routing.Service{Name: "quotes", Engine: e})
-	listEndpoints(b, n, "quotes")
-	return b, b.Table().Service("quotes")
+	st := newState("me", &routing.Service{Name: "quotes", Engine: e})
+	listEndpoints(st, n, "quotes")
+	return st, st.Table().Service("quotes")
 }
 
 // reportLoads delivers a leader's report about all engines.
-func reportLoads(b *Belief, closed, forming bool, now time.Time) {
-	var loads []Load
-	b.mu.Lock()
-	b.refresh(now)
-	for _, ep := range b.endpoints {
-		loads = append(loads, Load{Address: ep.Address, Closed: closed, Forming: forming, At: now})
+func reportLoads(st *State, closed, forming bool, now time.Time) {
+	var loads []EndpointLoad
+	st.mu.Lock()
+	st.refresh(now)
+	for _, ep := range st.endpoints {
+		loads = append(loads, EndpointLoad{Address: ep.Address, Closed: closed, Forming: forming, At: now})
 	}
-	b.mu.Unlock()
-	b.SetLoads(loads, now)
+	st.mu.Unlock()
+	st.SetLoads(loads, now)
 }
 
 // admitAsync calls Admit in a goroutine and returns a channel with its result.
-func admitAsync(b *Belief, a Ask, clock func() time.Time) <-chan *result.Error {
+func admitAsync(st *State, req AdmitRequest, clock func() time.Time) <-chan *result.Error {
 	done := make(chan *result.Error, 1)
 	go func() {
-		_, e := b.Admit(context.Background(), a, clock)
+		_, e := st.Admit(context.Background(), req, clock)
 		done <- e
 	}()
 	return done
 }
 
 // queued returns the number of waiting requests.
-func queued(b *Belief) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.queue.Waiting()
+func queued(st *State) int {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.queue.Waiting()
 }
 
 // awaitQueuedOrDone waits until a request is waiting or done has a value.
-func awaitQueuedOrDone(b *Belief, done <-chan *result.Error) {
-	for len(done) == 0 && queued(b) == 0 {
+func awaitQueuedOrDone(st *State, done <-chan *result.Error) {
+	for len(done) == 0 && queued(st) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -67,17 +67,17 @@
 // Guards against the refusal of callers who came back as they were asked to: it would be their last
 // attempt, and they would wait for two seconds.
 func TestRequestWaitsForAGroupThatForms(t *testing.T) {
-	b, s := newGroup(2)
-	reportLoads(b, true, true, start)
-	a := newAsk("r1", s, start)
-	a.Leaves, a.CameBack = start.Add(2*time.Second), true
-	done := admitAsync(b, a, fixedClock(start.Add(100*time.Millisecond)))
-	awaitQueuedOrDone(b, done)
-	reportLoads(b, true, true, start.Add(300*time.Millisecond))
-	if queued(b) != 1 {
+	st, s := newGroup(2)
+	reportLoads(st, true, true, start)
+	req := newAdmitRequest("r1", s, start)
+	req.AbandonAt, req.AskedBefore = start.Add(2*time.Second), true
+	done := admitAsync(st, req, fixedClock(start.Add(100*time.Millisecond)))
+	awaitQueuedOrDone(st, done)
+	reportLoads(st, true, true, start.Add(300*time.Millisecond))
+	if queued(st) != 1 {
 		t.Fatalf("decided while the group forms: %v", <-done)
 	}
-	reportLoads(b, false, false, start.Add(400*time.Millisecond))
+	reportLoads(st, false, false, start.Add(400*time.Millisecond))
 	if e := <-done; e != nil {
 		t.Fatalf("refused after the group opened: %v", e)
 	}
@@ -86,13 +86,13 @@
 // Callers on their first attempt are asked to come back when the group has opened. If they waited
 // too, the waiting requests would fill the group as it opens and make all later ones late.
 func TestFirstCallersAreAskedBackWhileAGroupForms(t *testing.T) {
-	b, s := newGroup(2)
-	reportLoads(b, true, true, start)
-	a := newAsk("r1", s, start)
-	a.Leaves = start.Add(2 * time.Second)
-	_, e := b.Admit(context.Background(), a, fixedClock(start))
+	st, s := newGroup(2)
+	reportLoads(st, true, true, start)
+	req := newAdmitRequest("r1", s, start)
+	req.AbandonAt = start.Add(2 * time.Second)
+	_, e := st.Admit(context.Background(), req, fixedClock(start))
 	wantCode(t, e, result.GroupClosed)
-	j := &job{deadline: a.End}
+	j := &job{deadline: req.Deadline}
 	if d := j.retryAfter(e, start); d != 2*time.Second {
 		t.Errorf("retry after %v", d)
 	}
@@ -108,13 +108,13 @@
 func TestClosedGroupOfUnknownEndRefusesAtOnce(t *testing.T) {
 	for _, lasted := range []time.Duration{2 * time.Second, 4 * time.Second} {
 		t.Run(fmt.Sprint(lasted), func(t *testing.T) {
-			b, s := newGroup(2)
-			reportLoads(b, true, false, start)
+			st, s := newGroup(2)
+			reportLoads(st, true, false, start)
 			now := start.Add(lasted)
-			reportLoads(b, true, false, now)
-			a := newAsk("r1", s, now)
-			a.Leaves = now.Add(2 * time.Second)
-			_, e := b.Admit(context.Background(), a, fixedClock(now))
+			reportLoads(st, true, false, now)
+			req := newAdmitRequest("r1", s, now)
+			req.AbandonAt = now.Add(2 * time.Second)
+			_, e := st.Admit(context.Background(), req, fixedClock(now))
 			wantCode(t, e, result.GroupClosed)
 			if e.RetryAfter() != lasted {
 				t.Errorf("retry after %v, want %v", e.RetryAfter(), lasted)
@@ -127,24 +127,24 @@
 // closed. Guards against requests that probe the group all at once or for a second time, and so use
 // up the fleet's retry budget.
 func TestClosedGroupIsProbedByOneRequestAtATime(t *testing.T) {
-	b, s := newGroup(4)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.refresh(start)
-	b.outages.markDown(s.Name, start)
+	st, s := newGroup(4)
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.refresh(start)
+	st.outages.markDown(s.Name, start)
 	now := start.Add(closedAfterSilence)
-	c, closed := b.groupState(s, now)
+	c, closed := st.groupState(s, now)
 	if !closed || c.reported {
 		t.Fatalf("closed %v, %+v", closed, c)
 	}
-	if b.mayProbe(s, c, true, now) {
+	if st.mayProbe(s, c, true, now) {
 		t.Error("a request that was sent before is sent again")
 	}
-	if !b.mayProbe(s, c, false, now) || b.mayProbe(s, c, false, now) || !b.mayProbe(s, c, false, now.Add(probeInterval)) {
+	if !st.mayProbe(s, c, false, now) || st.mayProbe(s, c, false, now) || !st.mayProbe(s, c, false, now.Add(probeInterval)) {
 		t.Error("want exactly one probe per interval")
 	}
-	b.outages.answered(s.Name, now)
-	if _, closed := b.groupState(s, now); closed {
+	st.outages.answered(s.Name, now)
+	if _, closed := st.groupState(s, now); closed {
 		t.Error("group counts as closed after an answer")
 	}
 }
@@ -152,17 +152,17 @@
 // One of two groups of a service is closed. Guards against requests that are sent to it instead of
 // the open one.
 func TestRequestsGoToTheOpenGroup(t *testing.T) {
-	b, s := newGroup(2)
-	b.mu.Lock()
-	b.refresh(start)
-	var loads []Load
-	for id, ep := range b.endpoints {
-		loads = append(loads, Load{Address: ep.Address, Closed: id == "e0", At: start})
+	st, s := newGroup(2)
+	st.mu.Lock()
+	st.refresh(start)
+	var loads []EndpointLoad
+	for id, ep := range st.endpoints {
+		loads = append(loads, EndpointLoad{Address: ep.Address, Closed: id == "e0", At: start})
 	}
-	b.mu.Unlock()
-	b.SetLoads(loads, start)
-	for _, p := range takeAllPlaces(t, b, s, start) {
-		if p.Endpoint.ID == "e0" {
+	st.mu.Unlock()
+	st.SetLoads(loads, start)
+	for _, assigned := range takeAllPlaces(t, st, s, start) {
+		if assigned.Endpoint.ID == "e0" {
 			t.Fatal("a request was sent to the closed group")
 		}
 	}
@@ -172,59 +172,59 @@
 // take all slots, so that new requests which could meet their target become late too.
 func TestLateCrowdLeavesRoom(t *testing.T) {
 	const n = 8
-	b, s := newGroup(n)
+	st, s := newGroup(n)
 	now := start.Add(time.Minute)
 	for i := range 30 { // 10 per second, for 3 s
-		b.recordArrival(&waiter{ask: Ask{Service: s}}, now.Add(time.Duration(i-30)*100*time.Millisecond))
+		st.recordArrival(&waiter{req: AdmitRequest{Service: s}}, now.Add(time.Duration(i-30)*100*time.Millisecond))
 	}
-	b.mu.Lock()
-	b.refresh(now)
+	st.mu.Lock()
+	st.refresh(now)
 	for i := range 7 {
-		b.entries[fmt.Sprint("entry", i)] = time.Time{}
+		st.entries[fmt.Sprint("entry", i)] = time.Time{}
 	}
-	lateSlots := b.lateSlots(s, now)
+	lateSlots := st.lateSlots(s, now)
 	places := 0
-	for _, ep := range b.endpoints {
-		allowance, _ := b.endpointCapacity(ep)
+	for _, ep := range st.endpoints {
+		allowance, _ := st.endpointCapacity(ep)
 		places += allowance
 	}
-	b.mu.Unlock()
+	st.mu.Unlock()
 	if part := places / 7; lateSlots < minLateSlots || lateSlots >= part {
 		t.Fatalf("%d late slots of %d", lateSlots, part)
 	}
 	var lateDone []<-chan *result.Error
 	for i := range 3 * lateSlots {
-		a := newAsk(fmt.Sprint("late", i), s, now)
-		a.Target, a.Leaves = now, now.Add(2*time.Second)
-		done := admitAsync(b, a, fixedClock(now))
-		awaitQueuedOrDone(b, done)
+		req := newAdmitRequest(fmt.Sprint("late", i), s, now)
+		req.FirstPartDeadline, req.AbandonAt = now, now.Add(2*time.Second)
+		done := admitAsync(st, req, fixedClock(now))
+		awaitQueuedOrDone(st, done)
 		lateDone = append(lateDone, done)
 	}
-	a := newAsk("new", s, now)
-	if _, e := b.Admit(context.Background(), a, fixedClock(now)); e != nil {
+	req := newAdmitRequest("new", s, now)
+	if _, e := st.Admit(context.Background(), req, fixedClock(now)); e != nil {
 		t.Fatalf("refused: %v", e)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.lateRunning[s.Name] != lateSlots {
-		t.Errorf("%d of %d late requests are running, want %d", b.lateRunning[s.Name], len(lateDone), lateSlots)
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	if st.lateRunning[s.Name] != lateSlots {
+		t.Errorf("%d of %d late requests are running, want %d", st.lateRunning[s.Name], len(lateDone), lateSlots)
 	}
 }
 
 // Engines stay full, and a request's target passes while it waits. Guards against a refusal for the
 // missed target, and against one that comes only after the caller has given up.
 func TestLateWaitEndsBeforeTheCallerLeaves(t *testing.T) {
-	b, s := newGroup(1)
-	takeAllPlaces(t, b, s, start)
-	a := newAsk("r1", s, start)
-	a.Leaves = start.Add(2 * time.Second)
-	done := admitAsync(b, a, fixedClock(start))
-	awaitQueuedOrDone(b, done)
-	b.Pump(start.Add(600 * time.Millisecond))
-	if queued(b) != 1 {
+	st, s := newGroup(1)
+	takeAllPlaces(t, st, s, start)
+	req := newAdmitRequest("r1", s, start)
+	req.AbandonAt = start.Add(2 * time.Second)
+	done := admitAsync(st, req, fixedClock(start))
+	awaitQueuedOrDone(st, done)
+	st.DispatchWaiting(start.Add(600 * time.Millisecond))
+	if queued(st) != 1 {
 		t.Fatalf("refused for its target: %v", <-done)
 	}
-	b.Pump(start.Add(1700 * time.Millisecond))
+	st.DispatchWaiting(start.Add(1700 * time.Millisecond))
 	if e := <-done; e == nil || e.Code().Effect() != result.NotRun {
 		t.Fatalf("%v", e)
 	}
@@ -270,13 +270,13 @@
 // Callers of one route have time limits of 7 to 8 s. Guards against a caller with a shorter limit
 // that counts as one that has asked before; one with 5 s left was asked to come back and has.
 func TestCallerOfLessPatienceIsNotLate(t *testing.T) {
-	b, _ := newGroup(1)
+	st, _ := newGroup(1)
 	for _, c := range []struct {
 		left        time.Duration
 		askedBefore bool
 	}{{8 * time.Second, false}, {6900 * time.Millisecond, false}, {5300 * time.Millisecond, true}} {
 		t.Run(fmt.Sprint(c.left), func(t *testing.T) {
-			j := &job{relay: &Relay{Belief: b}, route: &routing.Route{Name: "r"}, facts: Facts{TimeLeft: c.left}}
+			j := &job{relay: &Relay{State: st}, route: &routing.Route{Name: "r"}, info: RequestInfo{TimeLeft: c.left}}
 			if j.askedBefore() != c.askedBefore {
 				t.Errorf("asked before: %v", !c.askedBefore)
 			}
@@ -288,24 +288,24 @@
 // Guards against their refusal, and against callers that are held for more than a second after the
 // start.
 func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
-	b := &Belief{Name: "me", DataCentre: "a", Seed: 1, Fresh: &Freshness{}}
-	b.Begin(start)
+	st := &State{Name: "me", DataCentre: "a", Seed: 1, Freshness: &Freshness{}}
+	st.Init(start)
 	done := make(chan struct{})
 	go func() {
-		b.AwaitKnown(context.Background(), start)
+		st.AwaitReady(context.Background(), start)
 		close(done)
 	}()
-	b.SetTable(newTable(1), start)
+	st.SetTable(newTable(1), start)
 	select {
 	case <-done:
 		t.Fatal("known before the endpoints were listed")
 	case <-time.After(20 * time.Millisecond):
 	}
-	b.Listed()
+	st.EndpointsListed()
 	<-done
-	old := &Belief{}
-	old.Begin(start)
-	old.AwaitKnown(context.Background(), start.Add(startupHold))
+	old := &State{}
+	old.Init(start)
+	old.AwaitReady(context.Background(), start.Add(startupHold))
 }
 
 // Requests wait while their group is closed. Guards against counting that time in the drain rate,
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -32,28 +32,28 @@
 )
 
 // Limit is the request rate that an endpoint last reported to accept.
-type Limit struct {
+type RateLimit struct {
 	// Endpoint is the endpoint's ID, and Born the start time of the instance that reported the
 	// limit.
-	Endpoint string
-	Born     uint64
+	Endpoint    string
+	Incarnation uint64
 	// PerSecond is the number of requests per second that the endpoint accepts from all entries
 	// together. None means that it reports no limit.
 	PerSecond float64
-	None      bool
+	Unlimited bool
 	// At is the latest possible time of the report.
 	At time.Time
 }
 
 // rate returns the rate, in requests per second, at which all entries together send requests under
 // the limit.
-func (l Limit) rate() float64 { return max(l.PerSecond, minLimitRate) }
+func (l RateLimit) rate() float64 { return max(l.PerSecond, minLimitRate) }
 
 // limits holds the limits that endpoints report, by endpoint ID.
 type limits struct {
 	// newest holds the latest report from any source, and own those made to this entry.
-	newest map[string]Limit
-	own    map[string]Limit
+	newest map[string]RateLimit
+	own    map[string]RateLimit
 }
 
 // record stores the limit from an answer to a request that was assigned to the endpoint at
@@ -68,28 +68,28 @@
 	if none && (!ok || !assignedAt.After(old.At)) {
 		return false
 	}
-	reported := Limit{Endpoint: ep.ID, Born: ep.StartMillis, PerSecond: max(0, perSecond), None: none, At: now}
+	reported := RateLimit{Endpoint: ep.ID, Incarnation: ep.StartMillis, PerSecond: max(0, perSecond), Unlimited: none, At: now}
 	if l.own == nil {
-		l.own = map[string]Limit{}
+		l.own = map[string]RateLimit{}
 	}
 	l.own[ep.ID] = reported
 	return l.merge(reported)
 }
 
 // merge stores a limit reported to any entry, and returns whether it differs from the known one.
-func (l *limits) merge(reported Limit) bool {
+func (l *limits) merge(reported RateLimit) bool {
 	old, ok := l.newest[reported.Endpoint]
 	if ok && !reported.At.After(old.At) {
 		return false
 	}
 	if l.newest == nil {
-		l.newest = map[string]Limit{}
+		l.newest = map[string]RateLimit{}
 	}
 	l.newest[reported.Endpoint] = reported
 	if !ok {
-		return !reported.None
+		return !reported.Unlimited
 	}
-	return old.None != reported.None || old.PerSecond != reported.PerSecond || old.Born != reported.Born
+	return old.Unlimited != reported.Unlimited || old.PerSecond != reported.PerSecond || old.Incarnation != reported.Incarnation
 }
 
 func (l *limits) remove(id string) {
@@ -98,29 +98,29 @@
 }
 
 // lookup returns the current limit of an endpoint, or false if there is none.
-func (l *limits) lookup(ep directory.Endpoint, now time.Time) (Limit, bool) {
+func (l *limits) lookup(ep directory.Endpoint, now time.Time) (RateLimit, bool) {
 	known, ok := l.newest[ep.ID]
-	if !ok || known.None || known.Born != ep.StartMillis || now.Sub(known.At) > limitTTL {
-		return Limit{}, false
+	if !ok || known.Unlimited || known.Incarnation != ep.StartMillis || now.Sub(known.At) > limitTTL {
+		return RateLimit{}, false
 	}
 	return known, true
 }
 
 // Limited records the limit, in requests per second, that an endpoint reports in an answer to this
 // entry. A negative value means that it reports none. It returns whether the known limit changed.
-func (b *Belief) Limited(p Place, perSecond float64, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	changed := b.limits.record(p.Endpoint, perSecond, p.assignedAt, now)
+func (st *State) RecordLimit(assigned Assignment, perSecond float64, now time.Time) bool {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	changed := st.limits.record(assigned.Endpoint, perSecond, assigned.assignedAt, now)
 	if changed {
-		b.notifyChanged()
+		st.notifyChanged()
 	}
 	return changed
 }
 
 // expire deletes limits older than limitTTL.
 func (l *limits) expire(now time.Time) {
-	old := func(_ string, reported Limit) bool { return now.Sub(reported.At) > limitTTL }
+	old := func(_ string, reported RateLimit) bool { return now.Sub(reported.At) > limitTTL }
 	maps.DeleteFunc(l.newest, old)
 	maps.DeleteFunc(l.own, old)
 }
@@ -129,29 +129,29 @@
 // latest first, to be passed on to the other entries. Their number is bounded: messages are sent
 // each 20 ms, and would otherwise grow with the number of limited endpoints, which may be a
 // thousand.
-func (b *Belief) OwnLimits(now time.Time) []Limit {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.limits.expire(now)
-	var out []Limit
-	for _, l := range b.limits.own {
+func (st *State) RecentOwnLimits(now time.Time) []RateLimit {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.limits.expire(now)
+	var out []RateLimit
+	for _, l := range st.limits.own {
 		if now.Sub(l.At) <= limitShareAge {
 			out = append(out, l)
 		}
 	}
-	slices.SortFunc(out, func(a, b Limit) int { return b.At.Compare(a.At) })
+	slices.SortFunc(out, func(a, b RateLimit) int { return b.At.Compare(a.At) })
 	return out[:min(len(out), maxSharedLimits)]
 }
 
 // HearLimits merges the limits that endpoints have reported to another entry, and returns those
 // that were new. In a large fleet each entry sends an endpoint a request only now and then; without
 // the exchange each would learn of a limit only by sending one request too many.
-func (b *Belief) HearLimits(received []Limit) []Limit {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var changed []Limit
+func (st *State) MergeLimits(received []RateLimit) []RateLimit {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	var changed []RateLimit
 	for _, l := range received {
-		if b.limits.merge(l) {
+		if st.limits.merge(l) {
 			changed = append(changed, l)
 		}
 	}
@@ -159,12 +159,12 @@
 }
 
 // LimitedEndpoints returns the number of endpoints that report a limit.
-func (b *Belief) LimitedEndpoints(now time.Time) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (st *State) LimitedEndpoints(now time.Time) int {
+	st.mu.Lock()
+	defer st.mu.Unlock()
 	n := 0
-	for _, ep := range b.dir.Endpoints(now) {
-		if _, ok := b.limits.lookup(ep, now); ok {
+	for _, ep := range st.dir.Endpoints(now) {
+		if _, ok := st.limits.lookup(ep, now); ok {
 			n++
 		}
 	}
@@ -181,25 +181,25 @@
 
 // excludeLimited excludes endpoints of whose limit this entry has no share or has used it up. mu
 // must be held.
-func (b *Belief) excludeLimited(service *routing.Service, q *placement.Query, now time.Time) limitState {
+func (st *State) excludeLimited(service *routing.Service, q *placement.Query, now time.Time) limitState {
 	var out limitState
-	for id := range b.limits.newest {
-		ep, ok := b.endpoints[id]
+	for id := range st.limits.newest {
+		ep, ok := st.endpoints[id]
 		if !ok || ep.Service != service.Name {
 			continue
 		}
-		l, ok := b.limits.lookup(ep, now)
+		l, ok := st.limits.lookup(ep, now)
 		if !ok {
 			continue
 		}
-		n, included := b.limitSharers(l)
+		n, included := st.limitSharers(l)
 		rate := l.rate()
-		if included && b.limitShares.Ready(id, rate, n, now) {
+		if included && st.limitShares.Ready(id, rate, n, now) {
 			continue
 		}
 		out.excluded = true
 		q.Tried = append(q.Tried, id)
-		if w := b.limitShares.Wait(id, rate, n, now); included && (out.wait == 0 || w < out.wait) {
+		if w := st.limitShares.Wait(id, rate, n, now); included && (out.wait == 0 || w < out.wait) {
 			out.wait = w
 		}
 	}
@@ -207,10 +207,10 @@
 }
 
 // takeLimitShare spends one request of this entry's share of the endpoint's limit. mu must be held.
-func (b *Belief) takeLimitShare(ep directory.Endpoint, now time.Time) {
-	if l, ok := b.limits.lookup(ep, now); ok {
-		n, _ := b.limitSharers(l)
-		b.limitShares.Take(ep.ID, l.rate(), n, now)
+func (st *State) takeLimitShare(ep directory.Endpoint, now time.Time) {
+	if l, ok := st.limits.lookup(ep, now); ok {
+		n, _ := st.limitSharers(l)
+		st.limitShares.Take(ep.ID, l.rate(), n, now)
 	}
 }
 
@@ -220,11 +220,11 @@
 // up a request after a while, and all could send theirs at the same moment. So only as many entries
 // share the limit as the endpoint accepts requests at once. A hash of the names selects them, so
 // that all entries agree without coordination.
-func (b *Belief) limitSharers(l Limit) (int, bool) {
+func (st *State) limitSharers(l RateLimit) (int, bool) {
 	hash := func(name string) uint64 { return xxhash.Sum64String(name + " " + l.Endpoint) }
-	own, before, entries := hash(b.Name), 0, 1
-	for name := range b.entries {
-		if name == b.Name {
+	own, before, entries := hash(st.Name), 0, 1
+	for name := range st.entries {
+		if name == st.Name {
 			continue
 		}
 		entries++
--- a/internal/relay/limit_test.go
+++ b/internal/relay/limit_test.go
@@ -50,12 +50,12 @@
 func newLimitModel(entries, endpoints int, perSecond float64, s *routing.Service, began time.Time) *limitModel {
 	w := &limitModel{perSecond: perSecond, informedAt: map[int]time.Time{}}
 	for i := range entries {
-		b := newBelief(fmt.Sprint("entry", i), s)
-		listEndpoints(b, endpoints, s.Name)
+		st := newState(fmt.Sprint("entry", i), s)
+		listEndpoints(st, endpoints, s.Name)
 		for k := range entries {
-			b.SetEntry(fmt.Sprint("entry", k), true, began)
+			st.SetEntry(fmt.Sprint("entry", k), true, began)
 		}
-		w.fleet = append(w.fleet, b)
+		w.fleet = append(w.fleet, st)
 	}
 	w.engines = endpoints
 	return w
@@ -72,14 +72,14 @@
 // arrive places a request that arrives at entry i. The header of its answer arrives after headAfter,
 // and its end after endAfter.
 func (w *limitModel) arrive(i int, now time.Time, headAfter, endAfter time.Duration) {
-	b := w.fleet[i]
-	p, e := b.Choose(b.Table().Service("quotes"), placement.Query{Tokens: 900}, now)
+	st := w.fleet[i]
+	assigned, e := st.Choose(st.Table().Service("quotes"), placement.Query{Tokens: 900}, now)
 	if e != nil {
 		return
 	}
-	w.open = append(w.open, openRequest{entry: i, place: p, until: now.Add(endAfter)})
-	w.pendingHeads = append(w.pendingHeads, openRequest{entry: i, place: p, until: now.Add(headAfter)})
-	if p.Endpoint.ID != limitedEndpoint {
+	w.open = append(w.open, openRequest{entry: i, assigned: assigned, until: now.Add(endAfter)})
+	w.pendingHeads = append(w.pendingHeads, openRequest{entry: i, assigned: assigned, until: now.Add(headAfter)})
+	if assigned.Endpoint.ID != limitedEndpoint {
 		return
 	}
 	if !now.Before(w.until.Add(settleTime)) {
@@ -101,10 +101,10 @@
 			return false
 		}
 		perSecond := -1.0
-		if o.place.Endpoint.ID == limitedEndpoint {
+		if o.assigned.Endpoint.ID == limitedEndpoint {
 			perSecond = w.reportedLimit(now)
 		}
-		w.fleet[o.entry].Limited(o.place, perSecond, now)
+		w.fleet[o.entry].RecordLimit(o.assigned, perSecond, now)
 		if _, ok := w.informedAt[o.entry]; !ok && perSecond >= 0 {
 			w.informedAt[o.entry] = now
 		}
@@ -131,9 +131,9 @@
 // exchangeLimits passes each entry's own limits to all entries.
 func (w *limitModel) exchangeLimits(now time.Time) {
 	for _, from := range w.fleet {
-		told := from.OwnLimits(now)
+		reported := from.RecentOwnLimits(now)
 		for _, to := range w.fleet {
-			to.HearLimits(told)
+			to.MergeLimits(reported)
 		}
 	}
 }
@@ -178,13 +178,13 @@
 	const entries, perSecond, idle = 36, 1.2, 20 * time.Second
 	from := start.Add(entryRetention + time.Second)
 	w := newLimitModel(entries, 1, perSecond, &routing.Service{Name: "quotes"}, from)
-	told := []Limit{{Endpoint: limitedEndpoint, Born: 1, PerSecond: perSecond, At: from}}
+	reported := []RateLimit{{Endpoint: limitedEndpoint, Incarnation: 1, PerSecond: perSecond, At: from}}
 	sent := 0
 	for _, now := range []time.Time{from, from.Add(idle)} {
 		sent = 0
-		for _, b := range w.fleet {
-			b.HearLimits(told)
-			if _, e := b.Choose(b.Table().Service("quotes"), placement.Query{}, now); e == nil {
+		for _, st := range w.fleet {
+			st.MergeLimits(reported)
+			if _, e := st.Choose(st.Table().Service("quotes"), placement.Query{}, now); e == nil {
 				sent++
 			}
 		}
@@ -197,25 +197,25 @@
 // An answer made before the endpoint reported a limit arrives after one that reports it. Guards
 // against a limit that such an answer ends, and against one that nothing ends.
 func TestOlderAnswerDoesNotEndALimit(t *testing.T) {
-	b := newBelief("me", &routing.Service{Name: "quotes"})
-	listEndpoints(b, 1, "quotes")
-	choose := func(now time.Time) Place {
-		p, e := b.Choose(b.Table().Service("quotes"), placement.Query{}, now)
+	st := newState("me", &routing.Service{Name: "quotes"})
+	listEndpoints(st, 1, "quotes")
+	choose := func(now time.Time) Assignment {
+		assigned, e := st.Choose(st.Table().Service("quotes"), placement.Query{}, now)
 		if e != nil {
 			t.Fatal(e)
 		}
-		return p
+		return assigned
 	}
 	old, first := choose(start), choose(start)
-	b.Limited(first, 5, start.Add(time.Second))
-	b.Limited(old, -1, start.Add(2*time.Second))
-	if n := b.LimitedEndpoints(start.Add(2 * time.Second)); n != 1 {
+	st.RecordLimit(first, 5, start.Add(time.Second))
+	st.RecordLimit(old, -1, start.Add(2*time.Second))
+	if n := st.LimitedEndpoints(start.Add(2 * time.Second)); n != 1 {
 		t.Error("an older answer ended the limit")
 	}
 	next := old
 	next.assignedAt = start.Add(3 * time.Second)
-	b.Limited(next, -1, start.Add(4*time.Second))
-	if n := b.LimitedEndpoints(start.Add(4 * time.Second)); n != 0 {
+	st.RecordLimit(next, -1, start.Add(4*time.Second))
+	if n := st.LimitedEndpoints(start.Add(4 * time.Second)); n != 0 {
 		t.Error("the limit has not ended")
 	}
 }
@@ -227,9 +227,9 @@
 	from := start.Add(entryRetention + time.Second)
 	w := newLimitModel(entries, 1, 1, &routing.Service{Name: "quotes"}, from)
 	refused := 0
-	for _, b := range w.fleet {
-		b.HearLimits([]Limit{{Endpoint: limitedEndpoint, Born: 1, PerSecond: 1, At: from}})
-		_, e := b.Choose(b.Table().Service("quotes"), placement.Query{}, from)
+	for _, st := range w.fleet {
+		st.MergeLimits([]RateLimit{{Endpoint: limitedEndpoint, Incarnation: 1, PerSecond: 1, At: from}})
+		_, e := st.Choose(st.Table().Service("quotes"), placement.Query{}, from)
 		if e != nil && e.Code() == result.EndpointLimited {
 			refused++
 			if isTransient(e) || e.RetryAfter() <= 0 {
@@ -246,8 +246,8 @@
 func TestHugeLimitIsSharedByAll(t *testing.T) {
 	const entries = 36
 	w := newLimitModel(entries, 1, 1, &routing.Service{Name: "quotes"}, start)
-	for _, b := range w.fleet {
-		if n, mine := b.limitSharers(Limit{Endpoint: limitedEndpoint, PerSecond: 1e300}); n != entries || !mine {
+	for _, st := range w.fleet {
+		if n, mine := st.limitSharers(RateLimit{Endpoint: limitedEndpoint, PerSecond: 1e300}); n != entries || !mine {
 			t.Fatalf("%d entries share the limit, this one: %v", n, mine)
 		}
 	}
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -9,77 +9,77 @@
 )
 
 // SetLoads stores load reports that are newer than the known ones.
-func (b *Belief) SetLoads(loads []Load, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (st *State) SetLoads(loads []EndpointLoad, now time.Time) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
 	for _, l := range loads {
-		ep, ok := b.addresses[l.Address]
-		if old, known := b.loads[ep.ID]; !ok || known && !l.At.After(old.At) {
+		ep, ok := st.addresses[l.Address]
+		if old, known := st.loads[ep.ID]; !ok || known && !l.At.After(old.At) {
 			continue
 		}
-		b.loads[ep.ID] = l
+		st.loads[ep.ID] = l
 		if l.Closed {
-			b.outages.markDown(ep.Service, now)
+			st.outages.markDown(ep.Service, now)
 		}
-		b.updateReport(ep, now)
+		st.updateReport(ep, now)
 	}
-	b.refresh(now)
-	b.moveOffSlowEngines(now)
-	b.dispatchWaiting(now)
+	st.refresh(now)
+	st.moveOffSlowEngines(now)
+	st.dispatchWaiting(now)
 }
 
 // SetWorks stores other entries' reports of their work. It ignores reports that are older than the
 // known ones.
-func (b *Belief) SetWorks(works []Work, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (st *State) SetEntryLoads(entryLoads []EntryLoad, now time.Time) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
 	changed := map[string]bool{}
-	for _, w := range works {
-		old, ok := b.works[w.Entry]
-		if ok && (w.Born < old.Born || w.Born == old.Born && w.Number <= old.Number) {
+	for _, l := range entryLoads {
+		old, ok := st.entryLoads[l.Entry]
+		if ok && (l.Incarnation < old.Incarnation || l.Incarnation == old.Incarnation && l.Sequence <= old.Sequence) {
 			continue
 		}
-		b.works[w.Entry] = w
-		b.addWork(old, -1)
-		b.addWork(w, 1)
-		markDifferences(changed, old.Running, w.Running)
-		markDifferences(changed, w.Running, old.Running)
+		st.entryLoads[l.Entry] = l
+		st.addEntryLoad(old, -1)
+		st.addEntryLoad(l, 1)
+		markDifferences(changed, old.Running, l.Running)
+		markDifferences(changed, l.Running, old.Running)
 	}
 	for id := range changed {
-		if ep, ok := b.endpoints[id]; ok {
-			b.updateReport(ep, now)
+		if ep, ok := st.endpoints[id]; ok {
+			st.updateReport(ep, now)
 		}
 	}
-	b.dispatchWaiting(now)
+	st.dispatchWaiting(now)
 }
 
 // Informers returns the number of other entries whose work is known.
-func (b *Belief) Informers() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.works)
+func (st *State) ReportingEntries() int {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return len(st.entryLoads)
 }
 
 // addWork adds an entry's requests to othersRunning, or subtracts them if sign is -1.
-func (b *Belief) addWork(w Work, sign int) {
-	for id, n := range w.Running {
-		if b.othersRunning[id] += sign * n; b.othersRunning[id] == 0 {
-			delete(b.othersRunning, id)
+func (st *State) addEntryLoad(l EntryLoad, sign int) {
+	for id, n := range l.Running {
+		if st.othersRunning[id] += sign * n; st.othersRunning[id] == 0 {
+			delete(st.othersRunning, id)
 		}
 	}
 }
 
 // removeWork deletes the report of an entry.
-func (b *Belief) removeWork(entry string) {
-	b.addWork(b.works[entry], -1)
-	delete(b.works, entry)
+func (st *State) removeEntryLoad(entry string) {
+	st.addEntryLoad(st.entryLoads[entry], -1)
+	delete(st.entryLoads, entry)
 }
 
 // removeStaleWorks deletes reports older than maxWorkAge.
-func (b *Belief) removeStaleWorks(now time.Time) {
-	for name, w := range b.works {
-		if now.Sub(w.At) >= maxWorkAge {
-			b.removeWork(name)
+func (st *State) removeStaleEntryLoads(now time.Time) {
+	for name, l := range st.entryLoads {
+		if now.Sub(l.At) >= maxEntryLoadAge {
+			st.removeEntryLoad(name)
 		}
 	}
 }
@@ -95,17 +95,17 @@
 
 // endpointCapacity returns how many requests an endpoint may run at once, and the capacity relative
 // to which its load is measured.
-func (b *Belief) endpointCapacity(ep directory.Endpoint) (allowance, capacity int) {
+func (st *State) endpointCapacity(ep directory.Endpoint) (allowance, capacity int) {
 	slots := ep.Slots
 	if slots <= 0 {
 		slots = defaultSlots
 	}
-	if b.table == nil {
+	if st.table == nil {
 		return slots, slots
 	}
-	if s := b.table.Service(ep.Service); s != nil && s.Engine != nil {
-		n := min(slots, batch.MostWriters(s.Engine, b.maxPauses[ep.Service]))
-		return b.slowAllowance(ep, n), n
+	if s := st.table.Service(ep.Service); s != nil && s.Engine != nil {
+		n := min(slots, batch.MostWriters(s.Engine, st.maxPauses[ep.Service]))
+		return st.slowAllowance(ep, n), n
 	}
 	return slots + extraQueue, slots
 }
@@ -115,38 +115,38 @@
 // When one rank of a group that runs in lockstep becomes slow, every pass waits for it. The streams
 // of all ranks are late, and nothing that an entry measures shows which rank it is. The slow rank
 // holds up the others least when it has no requests of its own.
-func (b *Belief) slowAllowance(ep directory.Endpoint, n int) int {
-	pace, fastest := b.paces(ep)
-	if pace/fastest < batch.SlowFrom {
+func (st *State) slowAllowance(ep directory.Endpoint, n int) int {
+	slowdown, fastest := st.slowdowns(ep)
+	if slowdown/fastest < batch.SlowFrom {
 		return n
 	}
-	return int(float64(n) * (fastest / pace) * (fastest / pace))
+	return int(float64(n) * (fastest / slowdown) * (fastest / slowdown))
 }
 
 // paces returns the slowdown factor of an endpoint and the lowest one of its service. Both are 1
 // for an endpoint that is not slow, which is the usual case, so that a report seldom has to look at
 // all other endpoints.
-func (b *Belief) paces(ep directory.Endpoint) (pace, fastest float64) {
-	pace = b.loads[ep.ID].Pace
-	if pace < batch.SlowFrom {
+func (st *State) slowdowns(ep directory.Endpoint) (slowdown, fastest float64) {
+	slowdown = st.loads[ep.ID].Slowdown
+	if slowdown < batch.SlowFrom {
 		return 1, 1
 	}
-	fastest = pace
-	for _, other := range b.endpoints {
+	fastest = slowdown
+	for _, other := range st.endpoints {
 		if other.Service == ep.Service {
-			fastest = min(fastest, max(1, b.loads[other.ID].Pace))
+			fastest = min(fastest, max(1, st.loads[other.ID].Slowdown))
 		}
 	}
-	return pace, fastest
+	return slowdown, fastest
 }
 
 // running returns how many requests an endpoint has from all entries, and as of when: the number
 // according to the entries' reports, or according to a process beside the endpoint if that is
 // larger, as it may know of entries that are cut off from this one.
-func (b *Belief) running(ep directory.Endpoint, now time.Time) (int, time.Time) {
-	n, reporters := b.ownRunning[ep.ID]+b.othersRunning[ep.ID], len(b.works)
-	l, ok := b.loads[ep.ID]
-	if !ok || now.Sub(l.At) >= maxLoadAge || reporters+1 >= len(b.entries) && reporters > 0 {
+func (st *State) running(ep directory.Endpoint, now time.Time) (int, time.Time) {
+	n, reporters := st.ownRunning[ep.ID]+st.othersRunning[ep.ID], len(st.entryLoads)
+	l, ok := st.loads[ep.ID]
+	if !ok || now.Sub(l.At) >= maxLoadAge || reporters+1 >= len(st.entries) && reporters > 0 {
 		return n, now
 	}
 	if reported := l.Running + l.Queued; reporters == 0 || reported > n {
@@ -156,37 +156,37 @@
 }
 
 // refresh updates endpoints, addresses and the selector from the directory.
-func (b *Belief) refresh(now time.Time) {
-	if !b.dirty && now.Sub(b.refreshedAt) < reportInterval && !b.dir.RetentionExpired(now) {
+func (st *State) refresh(now time.Time) {
+	if !st.dirty && now.Sub(st.refreshedAt) < reportInterval && !st.dir.RetentionExpired(now) {
 		return
 	}
-	b.dirty, b.refreshedAt = false, now
-	b.removeStaleWorks(now)
+	st.dirty, st.refreshedAt = false, now
+	st.removeStaleEntryLoads(now)
 	usable, addresses := map[string]directory.Endpoint{}, map[string]directory.Endpoint{}
-	for _, ep := range b.dir.Endpoints(now) {
+	for _, ep := range st.dir.Endpoints(now) {
 		usable[ep.ID], addresses[ep.Address] = ep, ep
-		b.updateReport(ep, now)
+		st.updateReport(ep, now)
 	}
-	for id := range b.endpoints {
+	for id := range st.endpoints {
 		if _, ok := usable[id]; !ok {
-			b.selector.Remove(id)
-			b.coldShares.Forget(id)
-			b.limitShares.Forget(id)
-			delete(b.loads, id)
-			delete(b.failures, id)
-			b.limits.remove(id)
-			delete(b.recentStarts.starts, id)
+			st.selector.Remove(id)
+			st.coldShares.Forget(id)
+			st.limitShares.Forget(id)
+			delete(st.loads, id)
+			delete(st.failures, id)
+			st.limits.remove(id)
+			delete(st.recentStarts.starts, id)
 		}
 	}
-	b.endpoints, b.addresses = usable, addresses
+	st.endpoints, st.addresses = usable, addresses
 }
 
 // updateReport gives the selector a load report for one endpoint.
-func (b *Belief) updateReport(ep directory.Endpoint, now time.Time) {
+func (st *State) updateReport(ep directory.Endpoint, now time.Time) {
 	r := placement.Report{
 		Endpoint: ep.ID, Incarnation: ep.StartMillis, DataCentre: ep.DataCentre, Routes: []string{ep.Service},
 	}
-	r.Allowance, r.Capacity = b.endpointCapacity(ep)
-	r.Running, r.At = b.running(ep, now)
-	b.selector.Update(r, now)
+	r.Allowance, r.Capacity = st.endpointCapacity(ep)
+	r.Running, r.At = st.running(ep, now)
+	st.selector.Update(r, now)
 }
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -22,22 +22,22 @@
 }
 
 // Watch registers gauges for the state of b.
-func (m *Metrics) Watch(b *Belief, now func() time.Time) {
+func (m *Metrics) RegisterGauges(st *State, now func() time.Time) {
 	gauge := func(name string, f func() int64) { metrics.NewRegisteredFunctionalGauge(name, m.registry, f) }
-	gauge("relay.knownAge", func() int64 { return b.Fresh.Age(now()).Milliseconds() })
+	gauge("relay.knownAge", func() int64 { return st.Freshness.Age(now()).Milliseconds() })
 	gauge("relay.configuration", func() int64 {
-		t := b.Table()
+		t := st.Table()
 		if t == nil {
 			return 0
 		}
 		return int64(t.Version())
 	})
-	gauge("relay.endpoints", func() int64 { return int64(b.Endpoints(now())) })
-	gauge("relay.endpointsLimited", func() int64 { return int64(b.LimitedEndpoints(now())) })
-	gauge("relay.entries", func() int64 { return int64(b.Entries(now())) })
-	gauge("relay.entriesHeard", func() int64 { return int64(b.Informers()) })
-	gauge("relay.loadAge", func() int64 { return b.LoadAge(now()).Milliseconds() })
-	gauge("relay.waiting", func() int64 { return int64(len(b.Waiting())) })
+	gauge("relay.endpoints", func() int64 { return int64(st.Endpoints(now())) })
+	gauge("relay.endpointsLimited", func() int64 { return int64(st.LimitedEndpoints(now())) })
+	gauge("relay.entries", func() int64 { return int64(st.Entries(now())) })
+	gauge("relay.entriesHeard", func() int64 { return int64(st.ReportingEntries()) })
+	gauge("relay.loadAge", func() int64 { return st.LoadAge(now()).Milliseconds() })
+	gauge("relay.waiting", func() int64 { return int64(len(st.WaitingServices())) })
 }
 
 func (m *Metrics) incRunning() { m.running.Inc(1) }
@@ -58,7 +58,7 @@
 		return "failed"
 	case Unknown:
 		return "unknown"
-	case Broken:
+	case Interrupted:
 		return "broken"
 	case Moved:
 		return "moved"
@@ -96,9 +96,9 @@
 	}
 	j.relay.Metrics.countResult(code, kind, service, sinceOrZero(j.firstPartAt, j.raw.At), now.Sub(j.raw.At))
 	f := logrus.Fields{
-		"request": j.facts.ID, "code": int(code), "result": code.String(), "status": status,
+		"request": j.info.ID, "code": int(code), "result": code.String(), "status": status,
 		"effect": code.Effect().String(), "took": now.Sub(j.raw.At).Milliseconds(),
-		"knownAge": j.relay.Belief.Fresh.Age(now).Milliseconds(),
+		"knownAge": j.relay.State.Freshness.Age(now).Milliseconds(),
 	}
 	if j.table != nil {
 		f["configuration"] = j.table.Version()
@@ -107,7 +107,7 @@
 		f["route"], f["service"] = j.route.Name, service
 	}
 	if len(j.tried) > 0 {
-		f["endpoints"], f["sent"] = j.tried, j.tries.Sent
+		f["endpoints"], f["sent"] = j.tried, j.attempts.Sent
 	}
 	if !j.firstPartAt.IsZero() {
 		f["firstPart"] = j.firstPartAt.Sub(j.raw.At).Milliseconds()
@@ -129,10 +129,10 @@
 }
 
 // logAttempt writes the log line of an attempt that is followed by another one.
-func (j *job) logAttempt(p Place, o Outcome, now time.Time) {
+func (j *job) logAttempt(assigned Assignment, o Outcome, now time.Time) {
 	f := logrus.Fields{
-		"request": j.facts.ID, "endpoint": p.Endpoint.ID, "loadAge": p.LoadAge.Milliseconds(),
-		"sent": j.tries.Sent, "unsent": j.tries.Unsent, "left": j.deadline.Sub(now).Milliseconds(),
+		"request": j.info.ID, "endpoint": assigned.Endpoint.ID, "loadAge": assigned.LoadAge.Milliseconds(),
+		"sent": j.attempts.Sent, "unsent": j.attempts.Unsent, "left": j.deadline.Sub(now).Milliseconds(),
 	}
 	f["outcome"] = outcomeName(o)
 	switch o := o.(type) {
@@ -143,7 +143,7 @@
 		f["status"] = o.Answer.Status
 	case Unknown:
 		addCause(f, o.Cause)
-	case Broken:
+	case Interrupted:
 		f["lastEvent"] = j.lastEventID
 		addCause(f, o.Cause)
 	case Moved:
@@ -168,8 +168,8 @@
 
 // logLimit logs a limit that an endpoint reports, or, if it is negative, that it reports none any
 // more.
-func (j *job) logLimit(p Place, perSecond float64) {
-	fields := logrus.Fields{"endpoint": p.Endpoint.ID, "born": p.Endpoint.StartMillis, "service": p.Endpoint.Service, "request": j.facts.ID}
+func (j *job) logLimit(assigned Assignment, perSecond float64) {
+	fields := logrus.Fields{"endpoint": assigned.Endpoint.ID, "born": assigned.Endpoint.StartMillis, "service": assigned.Endpoint.Service, "request": j.info.ID}
 	if perSecond < 0 {
 		j.relay.Log.WithFields(fields).Info("endpoint names no limit any more")
 		return
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -28,42 +28,42 @@
 
 // movableAttempt is a running attempt that may be moved to another endpoint.
 type movableAttempt struct {
-	service *routing.Service
-	query   placement.Query
-	place   Place
+	service  *routing.Service
+	query    placement.Query
+	assigned Assignment
 	// seq orders attempts by their start, and deadline is that of the request.
 	seq      uint64
 	deadline time.Time
 	cancel   context.CancelCauseFunc
 	// next is the place to which the request has been moved, if moved is true.
-	next  Place
+	next  Assignment
 	moved bool
 }
 
 // registerMovable registers an attempt that may be moved, until unregisterMovable.
-func (b *Belief) registerMovable(r *movableAttempt) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.movable == nil {
-		b.movable = map[string]map[*movableAttempt]bool{}
+func (st *State) registerMovable(r *movableAttempt) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	if st.movable == nil {
+		st.movable = map[string]map[*movableAttempt]bool{}
 	}
-	id := r.place.Endpoint.ID
-	if b.movable[id] == nil {
-		b.movable[id] = map[*movableAttempt]bool{}
+	id := r.assigned.Endpoint.ID
+	if st.movable[id] == nil {
+		st.movable[id] = map[*movableAttempt]bool{}
 	}
-	b.attemptSeq++
-	r.seq = b.attemptSeq
-	b.movable[id][r] = true
+	st.attemptSeq++
+	r.seq = st.attemptSeq
+	st.movable[id][r] = true
 }
 
 // unregisterMovable removes an attempt and returns its next place and whether it was moved.
-func (b *Belief) unregisterMovable(r *movableAttempt) (Place, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	id := r.place.Endpoint.ID
-	delete(b.movable[id], r)
-	if len(b.movable[id]) == 0 {
-		delete(b.movable, id)
+func (st *State) unregisterMovable(r *movableAttempt) (Assignment, bool) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	id := r.assigned.Endpoint.ID
+	delete(st.movable[id], r)
+	if len(st.movable[id]) == 0 {
+		delete(st.movable, id)
 	}
 	return r.next, r.moved
 }
@@ -78,14 +78,14 @@
 //
 // Only resumable streams with an attempt and a second left are moved, within the retry budget, and
 // only to an engine with a free slot. So no stream is lost by being moved.
-func (b *Belief) moveOffSlowEngines(now time.Time) {
-	for id, runs := range b.movable {
-		ep, ok := b.endpoints[id]
+func (st *State) moveOffSlowEngines(now time.Time) {
+	for id, runs := range st.movable {
+		ep, ok := st.endpoints[id]
 		if !ok {
 			continue
 		}
-		for _, r := range newest(runs, b.excess(ep, now)) {
-			if !b.move(r, now) {
+		for _, r := range newest(runs, st.excess(ep, now)) {
+			if !st.move(r, now) {
 				break
 			}
 		}
@@ -94,19 +94,19 @@
 
 // excess returns how many of this entry's requests an engine has beyond the number with which it
 // keeps up with its group.
-func (b *Belief) excess(ep directory.Endpoint, now time.Time) int {
-	s := b.table.Service(ep.Service)
-	ownPace, fastest := b.paces(ep)
-	pace := ownPace / fastest
-	if s == nil || s.Engine == nil || pace < minSlowdownToMove || now.Sub(b.loads[ep.ID].At) >= maxLoadAge {
+func (st *State) excess(ep directory.Endpoint, now time.Time) int {
+	s := st.table.Service(ep.Service)
+	ownSlowdown, fastest := st.slowdowns(ep)
+	slowdown := ownSlowdown / fastest
+	if s == nil || s.Engine == nil || slowdown < minSlowdownToMove || now.Sub(st.loads[ep.ID].At) >= maxLoadAge {
 		return 0
 	}
-	supported := batch.MostAtPace(s.Engine, b.maxPauses[ep.Service], pace)
-	running, _ := b.running(ep, now)
+	supported := batch.MostAtPace(s.Engine, st.maxPauses[ep.Service], slowdown)
+	running, _ := st.running(ep, now)
 	if running <= supported || running <= 0 {
 		return 0
 	}
-	mine := b.ownRunning[ep.ID]
+	mine := st.ownRunning[ep.ID]
 	return mine - mine*supported/running
 }
 
@@ -127,38 +127,38 @@
 
 // move assigns a request to another engine and cancels its attempt. It returns false if no further
 // request can be moved now.
-func (b *Belief) move(r *movableAttempt, now time.Time) bool {
+func (st *State) move(r *movableAttempt, now time.Time) bool {
 	if r.deadline.Sub(now) < minTimeToMove {
 		return true
 	}
-	if !b.budget(r.service.Name, now).CanRetry(now) {
+	if !st.budget(r.service.Name, now).CanRetry(now) {
 		return false
 	}
-	p, e := b.choose(r.service, r.query, now)
+	assigned, e := st.choose(r.service, r.query, now)
 	if e != nil {
 		return false
 	}
-	b.budget(r.service.Name, now).TrySpend(now)
-	r.next, r.moved = p, true
+	st.budget(r.service.Name, now).TrySpend(now)
+	r.next, r.moved = assigned, true
 	r.cancel(errMoved)
 	return true
 }
 
 // runMovable runs an attempt that may be moved meanwhile, and returns the place at which the
 // request continues if it was moved.
-func (j *job) runMovable(ctx context.Context, p Place) (Outcome, Place) {
+func (j *job) runMovable(ctx context.Context, assigned Assignment) (Outcome, Assignment) {
 	if !j.mayMove() {
-		return j.attempt(ctx, p), Place{}
+		return j.attempt(ctx, assigned), Assignment{}
 	}
-	b := j.relay.Belief
+	st := j.relay.State
 	attemptCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	run := &movableAttempt{service: j.service, query: j.query(), place: p, deadline: j.deadline, cancel: cancel}
-	b.registerMovable(run)
-	o := j.attempt(attemptCtx, p)
-	next, moved := b.unregisterMovable(run)
+	run := &movableAttempt{service: j.service, query: j.query(), assigned: assigned, deadline: j.deadline, cancel: cancel}
+	st.registerMovable(run)
+	o := j.attempt(attemptCtx, assigned)
+	next, moved := st.unregisterMovable(run)
 	if !moved {
-		return o, Place{}
+		return o, Assignment{}
 	}
 	switch o.(type) {
 	case Delivered, Failed, NotRun:
@@ -168,12 +168,12 @@
 			return Moved{}, next
 		}
 	}
-	b.Ended(next, Unused{}, j.relay.Now())
-	return o, Place{}
+	st.Release(next, Unused{}, j.relay.Now())
+	return o, Assignment{}
 }
 
 // mayMove reports whether the request may continue at another endpoint once more.
 func (j *job) mayMove() bool {
 	r := j.route
-	return r.Repeat == routing.Stream && r.Resumable && j.tries.Sent+1 < r.MaxAttempts
+	return r.Repeat == routing.Stream && r.Resumable && j.attempts.Sent+1 < r.MaxAttempts
 }
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -12,7 +12,7 @@
 
 // slowGroup is a belief with four engines, each of which runs some movable streams of this entry.
 type slowGroup struct {
-	b       *Belief
+	st      *State
 	service *routing.Service
 	runs    []*movableAttempt
 	ctxs    []context.Context
@@ -20,40 +20,40 @@
 
 func newSlowGroup(t *testing.T, streams int) *slowGroup {
 	t.Helper()
-	g := &slowGroup{b: newBelief("me", &routing.Service{Name: "quotes", Engine: testEngine()})}
-	g.b.SetRetry(Budget{Share: 0.2, Slack: 900, Window: 10 * time.Second})
-	listEndpoints(g.b, 4, "quotes")
-	g.service = g.b.Table().Service("quotes")
+	g := &slowGroup{st: newState("me", &routing.Service{Name: "quotes", Engine: testEngine()})}
+	g.st.SetRetry(RetryBudget{Share: 0.2, Slack: 900, Window: 10 * time.Second})
+	listEndpoints(g.st, 4, "quotes")
+	g.service = g.st.Table().Service("quotes")
 	for range streams {
-		g.b.First("quotes", start)
-		p, e := g.b.Choose(g.service, placement.Query{}, start)
+		g.st.CountFirstAttempt("quotes", start)
+		assigned, e := g.st.Choose(g.service, placement.Query{}, start)
 		if e != nil {
 			t.Fatal(e)
 		}
 		ctx, cancel := context.WithCancelCause(t.Context())
 		r := &movableAttempt{
-			service: g.service, query: placement.Query{Tried: []string{p.Endpoint.ID}}, place: p,
+			service: g.service, query: placement.Query{Tried: []string{assigned.Endpoint.ID}}, assigned: assigned,
 			deadline: start.Add(8 * time.Second), cancel: cancel,
 		}
-		g.b.registerMovable(r)
+		g.st.registerMovable(r)
 		g.runs, g.ctxs = append(g.runs, r), append(g.ctxs, ctx)
 	}
 	return g
 }
 
 // report delivers load reports with the engines' paces and the placed requests.
-func (g *slowGroup) report(now time.Time, paces ...float64) {
-	var loads []Load
-	for i, pace := range paces {
-		l := Load{Address: fmt.Sprintf("10.0.0.%d:1", i), Pace: pace, At: now}
+func (g *slowGroup) report(now time.Time, slowdowns ...float64) {
+	var loads []EndpointLoad
+	for i, slowdown := range slowdowns {
+		l := EndpointLoad{Address: fmt.Sprintf("10.0.0.%d:1", i), Slowdown: slowdown, At: now}
 		for _, r := range g.runs {
-			if r.place.Endpoint.Address == l.Address && !r.moved {
+			if r.assigned.Endpoint.Address == l.Address && !r.moved {
 				l.Running++
 			}
 		}
 		loads = append(loads, l)
 	}
-	g.b.SetLoads(loads, now)
+	g.st.SetLoads(loads, now)
 }
 
 // moved returns how many streams were moved off and onto each engine.
@@ -65,7 +65,7 @@
 			t.Fatalf("moved is %v and ended %v", r.moved, ended)
 		}
 		if r.moved {
-			off[r.place.Endpoint.ID]++
+			off[r.assigned.Endpoint.ID]++
 			onto[r.next.Endpoint.ID]++
 		}
 	}
@@ -83,12 +83,12 @@
 		t.Fatalf("moved off %v, onto %v", off, onto)
 	}
 	for _, r := range g.runs {
-		if _, moved := g.b.unregisterMovable(r); moved != r.moved {
+		if _, moved := g.st.unregisterMovable(r); moved != r.moved {
 			t.Error("unregisterMovable does not report the move")
 		}
 	}
-	if len(g.b.movable) != 0 {
-		t.Errorf("%d engines still hold attempts that have ended", len(g.b.movable))
+	if len(g.st.movable) != 0 {
+		t.Errorf("%d engines still hold attempts that have ended", len(g.st.movable))
 	}
 }
 
@@ -113,9 +113,9 @@
 // an attempt is used up and nothing gained.
 func TestStreamsStayWhereMovingDoesNotPay(t *testing.T) {
 	for name, c := range map[string]struct {
-		streams int
-		paces   []float64
-		now     time.Time
+		streams   int
+		slowdowns []float64
+		now       time.Time
 	}{
 		"slight slowdown":        {24, []float64{1, 1, 1.3, 1}, start},
 		"all engines are slow":   {24, []float64{12, 12, 12, 12}, start},
@@ -124,7 +124,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newSlowGroup(t, c.streams)
-			g.report(c.now, c.paces...)
+			g.report(c.now, c.slowdowns...)
 			if off, _ := g.moved(t); len(off) != 0 {
 				t.Fatalf("moved off %v", off)
 			}
@@ -132,7 +132,7 @@
 	}
 	t.Run("retry budget is used up", func(t *testing.T) {
 		g := newSlowGroup(t, 24)
-		for g.b.Spend("quotes", start) {
+		for g.st.TakeRetry("quotes", start) {
 		}
 		g.report(start, 1, 1, 12, 1)
 		if off, _ := g.moved(t); len(off) != 0 {
--- a/internal/relay/outage.go
+++ b/internal/relay/outage.go
@@ -62,7 +62,7 @@
 // recordOutcome marks a service as down after an attempt that brought no complete answer.
 func (o *outages) recordOutcome(service string, outcome Outcome, now time.Time) {
 	switch outcome.(type) {
-	case NotRun, Unknown, Broken:
+	case NotRun, Unknown, Interrupted:
 		o.markDown(service, now)
 	}
 }
--- a/internal/relay/quota.go
+++ b/internal/relay/quota.go
@@ -53,21 +53,21 @@
 // When requests wait at each entry of a fleet and an endpoint has free slots again, because it ends
 // a stream or is no longer slow, all entries learn of it at the same moment. Without quotas each
 // would fill all the slots; one endpoint was seen with 23 queued requests while others had none.
-func (b *Belief) excludeBeyondQuota(service *routing.Service, q *placement.Query, now time.Time) {
-	others := b.othersWaiting(service.Name, now)
+func (st *State) excludeBeyondQuota(service *routing.Service, q *placement.Query, now time.Time) {
+	others := st.othersWaiting(service.Name, now)
 	if len(others) == 0 {
 		return
 	}
-	others = append(others, b.Name)
+	others = append(others, st.Name)
 	slices.Sort(others)
-	i := slices.Index(others, b.Name)
-	for id, ep := range b.endpoints {
+	i := slices.Index(others, st.Name)
+	for id, ep := range st.endpoints {
 		if ep.Service != service.Name {
 			continue
 		}
-		allowance, _ := b.endpointCapacity(ep)
-		running, _ := b.running(ep, now)
-		taken := len(b.recentStarts.recent(id, now))
+		allowance, _ := st.endpointCapacity(ep)
+		running, _ := st.running(ep, now)
+		taken := len(st.recentStarts.recent(id, now))
 		if taken >= quota(allowance-running+taken, i, len(others), now) {
 			q.Tried = append(q.Tried, id)
 		}
@@ -75,10 +75,10 @@
 }
 
 // othersWaiting returns the names of the other entries with waiting requests of a service.
-func (b *Belief) othersWaiting(service string, now time.Time) []string {
+func (st *State) othersWaiting(service string, now time.Time) []string {
 	var out []string
-	for name, w := range b.works {
-		if now.Sub(w.At) < maxWorkAge && slices.Contains(w.Waiting, service) {
+	for name, l := range st.entryLoads {
+		if now.Sub(l.At) < maxEntryLoadAge && slices.Contains(l.Waiting, service) {
 			out = append(out, name)
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -31,9 +31,9 @@
 // Relay forwards requests to endpoints. It implements caller.Passer. Set the exported fields before
 // the first request.
 type Relay struct {
-	Belief  *Belief
-	Client  *direct.Client
-	Dialect Dialect
+	State       *State
+	Client      *direct.Client
+	HeaderCodec HeaderCodec
 	// Now reads a clock that keeps running while the VM is suspended.
 	Now func() time.Time
 	// Log receives one line for each request.
@@ -46,32 +46,32 @@
 
 // SetKeyAge sets the greatest age of the configuration at which account keys are still accepted.
 // The default of zero accepts none.
-func (r *Relay) SetKeyAge(d time.Duration) { r.maxKeyAge.Store(int64(d)) }
+func (r *Relay) SetMaxKeyAge(d time.Duration) { r.maxKeyAge.Store(int64(d)) }
 
 // KeyAge returns the value set by SetKeyAge.
 func (r *Relay) KeyAge() time.Duration { return time.Duration(r.maxKeyAge.Load()) }
 
 // Refuse makes the relay answer each further request as not run, because the process is about to
 // exit and could not finish it.
-func (r *Relay) Refuse() { r.stopping.Store(true) }
+func (r *Relay) StopAccepting() { r.stopping.Store(true) }
 
 // job is the state of one request.
 type job struct {
 	relay   *Relay
 	raw     *caller.Raw
 	reply   *caller.Reply
-	facts   Facts
+	info    RequestInfo
 	table   *routing.Table
 	route   *routing.Route
 	service *routing.Service
 	account *routing.Account
 	// deadline is the earlier of the caller's and the route's deadline.
 	deadline time.Time
-	tries    Tries
+	attempts AttemptCounts
 	// tried lists the endpoints that were assigned to attempts of this request.
 	tried []string
 	// lastFailure is the last complete failure that an endpoint reported.
-	lastFailure *Whole
+	lastFailure *BufferedAnswer
 	// lastEventID is the number of the last event that the caller has received.
 	lastEventID int64
 	headSent    bool
@@ -87,16 +87,16 @@
 }
 
 // Pass implements caller.Passer.
-func (r *Relay) Pass(ctx context.Context, raw *caller.Raw, w *caller.Reply) {
-	r.Belief.AwaitKnown(ctx, r.Now())
+func (r *Relay) Forward(ctx context.Context, raw *caller.Raw, w *caller.Reply) {
+	r.State.AwaitReady(ctx, r.Now())
 	now := r.Now()
-	j := &job{relay: r, raw: raw, reply: w, facts: r.Dialect.ReadRequest(raw.Header)}
+	j := &job{relay: r, raw: raw, reply: w, info: r.HeaderCodec.ReadRequest(raw.Header)}
 	if e := j.resolve(now); e != nil {
 		j.refuse(e, now)
 		return
 	}
 	r.Metrics.incRunning()
-	r.Belief.First(j.service.Name, now)
+	r.State.CountFirstAttempt(j.service.Name, now)
 	ctx, cancel := context.WithTimeout(ctx, j.deadline.Sub(now))
 	defer cancel()
 	w.Within(ctx)
@@ -107,12 +107,12 @@
 // resolve determines the request's route, account, service and deadline, or returns why it is
 // refused.
 func (j *job) resolve(now time.Time) *result.Error {
-	b := j.relay.Belief
-	j.table = b.Table()
+	st := j.relay.State
+	j.table = st.Table()
 	if j.relay.stopping.Load() {
 		return result.New(result.ShuttingDown, "").WithRetryAfter(retryAfterShutdown)
 	}
-	if j.table == nil || !b.Known() {
+	if j.table == nil || !st.Ready() {
 		return result.New(result.NoPreset, "").WithRetryAfter(retryAfterStartup)
 	}
 	j.route = j.table.Route(j.raw.Host, j.raw.Path)
@@ -122,7 +122,7 @@
 	if e := j.checkKey(now); e != nil {
 		return e
 	}
-	j.service = j.table.Service(j.route.Pick(hashFraction(j.facts.ID + j.raw.Target)))
+	j.service = j.table.Service(j.route.Pick(hashFraction(j.info.ID + j.raw.Target)))
 	if j.service == nil {
 		return result.New(result.NoEndpoint, "the route has no service").WithRetryAfter(retryAfterNoEndpoint)
 	}
@@ -130,7 +130,7 @@
 	if !now.Before(j.deadline) {
 		return result.New(result.DeadlinePassed, "")
 	}
-	j.lastEventID, _ = strconv.ParseInt(j.facts.Resume, 10, 64)
+	j.lastEventID, _ = strconv.ParseInt(j.info.Resume, 10, 64)
 	return nil
 }
 
@@ -143,8 +143,8 @@
 
 func (j *job) timeout() time.Duration {
 	d := j.route.Timeout
-	if j.facts.TimeLeft > 0 && (d <= 0 || j.facts.TimeLeft < d) {
-		d = j.facts.TimeLeft
+	if j.info.TimeLeft > 0 && (d <= 0 || j.info.TimeLeft < d) {
+		d = j.info.TimeLeft
 	}
 	if d <= 0 {
 		d = defaultTimeout
@@ -164,7 +164,7 @@
 	if e := j.checkKeyAge(now); e != nil {
 		return e
 	}
-	j.account = j.table.Account(j.facts.Key)
+	j.account = j.table.Account(j.info.Key)
 	if j.account == nil {
 		return result.New(result.BadAccountKey, "")
 	}
@@ -172,7 +172,7 @@
 }
 
 func (j *job) checkKeyAge(now time.Time) *result.Error {
-	if j.relay.Belief.Fresh.Age(now) <= j.relay.KeyAge() {
+	if j.relay.State.Freshness.Age(now) <= j.relay.KeyAge() {
 		return nil
 	}
 	return result.New(result.PlatformDown, "keys can't be checked").WithRetryAfter(retryAfterStale)
@@ -180,18 +180,18 @@
 
 // run makes attempts until the request is complete.
 func (j *job) run(ctx context.Context) {
-	next := Place{}
+	next := Assignment{}
 	for {
 		now := j.relay.Now()
-		place, e := j.nextPlace(ctx, next, now)
+		assigned, e := j.nextPlace(ctx, next, now)
 		if e != nil {
 			j.finish(nil, e, j.relay.Now())
 			return
 		}
 		var o Outcome
-		o, next = j.runMovable(ctx, place)
+		o, next = j.runMovable(ctx, assigned)
 		now = j.relay.Now()
-		j.relay.Belief.Ended(place, o, now)
+		j.relay.State.Release(assigned, o, now)
 		j.relay.Metrics.countAttempt(o)
 		j.countAttempt(o)
 		left := j.deadline.Sub(now)
@@ -199,15 +199,15 @@
 			left = 0
 		}
 		if _, moved := o.(Moved); moved {
-			j.logAttempt(place, o, now)
+			j.logAttempt(assigned, o, now)
 			continue
 		}
 		budget := func() bool { return j.allowRetry(o, now) }
-		if NextStep(j.route, j.tries, o, left, budget) == End {
+		if NextStep(j.route, j.attempts, o, left, budget) == End {
 			j.finish(o, nil, now)
 			return
 		}
-		j.logAttempt(place, o, now)
+		j.logAttempt(assigned, o, now)
 	}
 }
 
@@ -216,9 +216,9 @@
 // then.
 func (j *job) allowRetry(o Outcome, now time.Time) bool {
 	if _, notRun := o.(NotRun); notRun {
-		return j.relay.Belief.MaySpend(j.service.Name, now)
+		return j.relay.State.MayRetry(j.service.Name, now)
 	}
-	return j.relay.Belief.Spend(j.service.Name, now)
+	return j.relay.State.TakeRetry(j.service.Name, now)
 }
 
 // countAttempt records what an attempt has used up.
@@ -226,27 +226,27 @@
 	switch o := o.(type) {
 	case NotRun:
 		if o.Sent {
-			j.tries.Sent++
+			j.attempts.Sent++
 		} else {
-			j.tries.Unsent++
+			j.attempts.Unsent++
 		}
 	case Failed:
 		j.lastFailure = o.Answer
-		j.tries.Sent++
-		j.tries.MayHaveRun = true
+		j.attempts.Sent++
+		j.attempts.MayHaveRun = true
 	default:
-		j.tries.Sent++
-		j.tries.MayHaveRun = true
+		j.attempts.Sent++
+		j.attempts.MayHaveRun = true
 	}
 }
 
 // nextPlace returns the place to which the request was moved, or assigns one.
-func (j *job) nextPlace(ctx context.Context, next Place, now time.Time) (Place, *result.Error) {
+func (j *job) nextPlace(ctx context.Context, next Assignment, now time.Time) (Assignment, *result.Error) {
 	if next.attempt == nil {
 		return j.assignPlace(ctx, now)
 	}
 	if e := j.recheckKeyAge(next); e != nil {
-		return Place{}, e
+		return Assignment{}, e
 	}
 	j.tried = append(j.tried, next.Endpoint.ID)
 	return next, nil
--- a/internal/relay/retry.go
+++ b/internal/relay/retry.go
@@ -23,46 +23,46 @@
 }
 
 // Failed holds a complete answer that reports a failure.
-type Failed struct{ Answer *Whole }
+type Failed struct{ Answer *BufferedAnswer }
 
 // Unknown means that the request may have run and that no part of its answer was forwarded.
 type Unknown struct{ Cause error }
 
 // Broken means that a part of the answer was forwarded and the rest did not arrive.
-type Broken struct{ Cause error }
+type Interrupted struct{ Cause error }
 
 // Moved means that the request continues at another endpoint, already assigned, because this one
 // holds up its group.
 type Moved struct{}
 
 // Gone means that the caller disconnected or stopped reading.
-type Gone struct{ Cause error }
+type Disconnected struct{ Cause error }
 
 // Unused means that the place was given back before anything was sent to the endpoint.
 type Unused struct{}
 
-func (Delivered) outcome() {}
-func (NotRun) outcome()    {}
-func (Failed) outcome()    {}
-func (Unknown) outcome()   {}
-func (Broken) outcome()    {}
-func (Moved) outcome()     {}
-func (Gone) outcome()      {}
-func (Unused) outcome()    {}
+func (Delivered) outcome()    {}
+func (NotRun) outcome()       {}
+func (Failed) outcome()       {}
+func (Unknown) outcome()      {}
+func (Interrupted) outcome()  {}
+func (Moved) outcome()        {}
+func (Disconnected) outcome() {}
+func (Unused) outcome()       {}
 
 // Step is the decision after an attempt.
-type Step int
+type Decision int
 
 // Values of Step.
 const (
 	// End means that the last outcome decides the request's answer.
-	End Step = iota
+	End Decision = iota
 	// Again means that the request is sent to another endpoint.
-	Again
+	Retry
 )
 
 // Tries counts the attempts of a request.
-type Tries struct {
+type AttemptCounts struct {
 	// Sent is the number of endpoints to which the request was sent, and Unsent the number that
 	// received no byte of it.
 	Sent, Unsent int
@@ -87,30 +87,30 @@
 // exceeded, and retries must not exceed what the remaining endpoints can handle, which is what
 // budget is for. budget is called last, and only for requests that were sent: an endpoint that
 // received no byte has no load from them.
-func NextStep(r *routing.Route, t Tries, o Outcome, left time.Duration, budget func() bool) Step {
+func NextStep(r *routing.Route, counts AttemptCounts, o Outcome, left time.Duration, budget func() bool) Decision {
 	if left < minAttemptTime {
 		return End
 	}
 	switch o := o.(type) {
 	case NotRun:
 		if !o.Sent {
-			return againIf(t.Unsent < maxUnsentAttempts)
+			return retryIf(counts.Unsent < maxUnsentAttempts)
 		}
-		return againIf(t.Sent < r.MaxAttempts && budget())
+		return retryIf(counts.Sent < r.MaxAttempts && budget())
 	case Failed:
-		return againIf(r.MayRepeat() && t.Sent < r.MaxAttempts && budget())
+		return retryIf(r.MayRepeat() && counts.Sent < r.MaxAttempts && budget())
 	case Unknown:
-		return againIf(r.MayRepeat() && t.Sent < r.MaxAttempts && budget())
-	case Broken:
-		return againIf(r.Repeat == routing.Stream && r.Resumable && t.Sent < r.MaxAttempts && budget())
+		return retryIf(r.MayRepeat() && counts.Sent < r.MaxAttempts && budget())
+	case Interrupted:
+		return retryIf(r.Repeat == routing.Stream && r.Resumable && counts.Sent < r.MaxAttempts && budget())
 	default:
 		return End
 	}
 }
 
-func againIf(retry bool) Step {
+func retryIf(retry bool) Decision {
 	if retry {
-		return Again
+		return Retry
 	}
 	return End
 }
--- a/internal/relay/shares.go
+++ b/internal/relay/shares.go
@@ -14,7 +14,7 @@
 // entries would choose them at the same moment, and an endpoint fails well above the rate that it
 // can handle. No entry learns in time what the others send, so each takes its share of the rate and
 // saves up no more than one request. Set the exported fields before the first call.
-type Shares struct {
+type RateShares struct {
 	// Name is the entry's own name.
 	Name string
 
@@ -34,12 +34,12 @@
 
 // Ready reports whether a request may be sent to the endpoint, which accepts rate requests per
 // second from all of entries together.
-func (s *Shares) Ready(endpoint string, rate float64, entries int, now time.Time) bool {
+func (s *RateShares) Ready(endpoint string, rate float64, entries int, now time.Time) bool {
 	return s.refill(endpoint, rate, entries, now).tokens >= 1
 }
 
 // Take spends one request of the share and reports whether there was one.
-func (s *Shares) Take(endpoint string, rate float64, entries int, now time.Time) bool {
+func (s *RateShares) Take(endpoint string, rate float64, entries int, now time.Time) bool {
 	b := s.refill(endpoint, rate, entries, now)
 	if b.tokens < 1 {
 		return false
@@ -49,7 +49,7 @@
 }
 
 // Wait returns how long until a request may be sent to the endpoint, at most a minute.
-func (s *Shares) Wait(endpoint string, rate float64, entries int, now time.Time) time.Duration {
+func (s *RateShares) Wait(endpoint string, rate float64, entries int, now time.Time) time.Duration {
 	b := s.refill(endpoint, rate, entries, now)
 	if b.tokens >= 1 || rate <= 0 {
 		return 0
@@ -59,10 +59,10 @@
 }
 
 // Forget deletes the state of an endpoint.
-func (s *Shares) Forget(endpoint string) { delete(s.buckets, endpoint) }
+func (s *RateShares) Forget(endpoint string) { delete(s.buckets, endpoint) }
 
 // initialTokens returns a number from 0 to 1 that depends on the entry and the endpoint.
-func (s *Shares) initialTokens(endpoint string) float64 {
+func (s *RateShares) initialTokens(endpoint string) float64 {
 	return float64(xxhash.Sum64String(s.Name+" "+endpoint)) / math.MaxUint64
 }
 
@@ -72,7 +72,7 @@
 // of such an endpoint at the same moment then send their first requests one after another, at its
 // rate. With one token each they would send at once, and with none all would wait for as long as
 // their share of the rate takes to yield one.
-func (s *Shares) refill(endpoint string, rate float64, entries int, now time.Time) *bucket {
+func (s *RateShares) refill(endpoint string, rate float64, entries int, now time.Time) *bucket {
 	if s.buckets == nil {
 		s.buckets = map[string]*bucket{}
 	}
--- a/internal/relay/shares_test.go
+++ b/internal/relay/shares_test.go
@@ -8,7 +8,7 @@
 
 // coldModel simulates entries that each send as much as they may to cold endpoints.
 type coldModel struct {
-	shares    []Shares
+	shares    []RateShares
 	endpoints []string
 	rate      float64
 	now       time.Time
@@ -17,7 +17,7 @@
 func newColdModel(entries, endpoints int, rate float64) *coldModel {
 	w := &coldModel{rate: rate, now: start}
 	for i := range entries {
-		w.shares = append(w.shares, Shares{Name: fmt.Sprint("front-a-", i)})
+		w.shares = append(w.shares, RateShares{Name: fmt.Sprint("front-a-", i)})
 	}
 	for i := range endpoints {
 		w.endpoints = append(w.endpoints, fmt.Sprintf("i-%07x", i*7919))
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -7,12 +7,12 @@
 )
 
 // Repeat says whether a request may run more than once.
-type Repeat int
+type RetrySemantics int
 
 // Values of Repeat.
 const (
 	// RunOnce requests run at most once for each attempt of a caller.
-	RunOnce Repeat = iota
+	RunOnce RetrySemantics = iota
 	// Idempotent requests may run more than once.
 	Idempotent
 	// Stream requests are answered with numbered events. They run once, unless their route is
@@ -21,7 +21,7 @@
 )
 
 // String returns the camel-case name used in metrics.
-func (r Repeat) String() string {
+func (r RetrySemantics) String() string {
 	return [...]string{"runOnce", "idempotent", "stream"}[r]
 }
 
@@ -37,12 +37,12 @@
 	Name   string
 	Host   string
 	Prefix string
-	Repeat Repeat
+	Repeat RetrySemantics
 	// Timeout bounds the handling of a request; zero means no bound.
 	Timeout time.Duration
 	// Target is the time to the first part of the answer (for a plain answer, the whole of it) up
 	// to which the answer has its full value. Gap is the longest acceptable pause between events.
-	Target, Gap time.Duration
+	TargetLatency, MaxGap time.Duration
 	// Patience is the time without any part of the answer after which a caller gives up; zero means
 	// that it waits until its deadline.
 	Patience time.Duration
@@ -108,11 +108,11 @@
 	Stride int
 	// Step is the duration of a token step. Each request that is producing output adds PerSequence
 	// to it, and each thousand tokens of context add PerThousand.
-	Step, PerSequence, PerThousand time.Duration
+	Step, PerSequence, PerThousandTokens time.Duration
 	// ReadRate is the number of prompt tokens read per second, and Chunk the largest number of them
 	// read in one step.
-	ReadRate float64
-	Chunk    int
+	PrefillRate  float64
+	PrefillChunk int
 	// MeanPrompt and MeanOutput are the mean numbers of tokens of a request.
 	MeanPrompt, MeanOutput int
 	// ReportLag is the age of an engine's load report when another VM receives it.
@@ -125,7 +125,7 @@
 	// Sets is the number of sets of layers with a placement of their own, and Count the number of
 	// experts in a set. Of each set a rank holds Slots experts, and can load Spare more while those
 	// are in use.
-	Sets, Count, Slots, Spare int
+	Sets, Count, Slots, SpareSlots int
 	// Bytes is the size of one expert's weights, and LinkRate the rate, in bytes per second, at
 	// which a rank loads weights.
 	Bytes, LinkRate float64
@@ -161,14 +161,14 @@
 }
 
 // Keyed is an account together with its keys.
-type Keyed struct {
+type AccountKeys struct {
 	Account Account
 	Keys    []string
 }
 
 // NewTable returns a table of the given version. A nil accounts means that requests need no account
 // key. The table keeps the arguments, which must not be changed afterwards.
-func NewTable(version uint64, routes []*Route, services []*Service, accounts []Keyed, limits Limits) *Table {
+func NewTable(version uint64, routes []*Route, services []*Service, accounts []AccountKeys, limits Limits) *Table {
 	t := &Table{
 		version:  version,
 		hosts:    map[string][]*Route{},
@@ -243,16 +243,16 @@
 
 // Gaps returns the smallest Gap of all routes to each service. Services whose routes set no Gap are
 // absent.
-func (t *Table) Gaps() map[string]time.Duration {
+func (t *Table) MaxGaps() map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for _, routes := range t.hosts {
 		for _, r := range routes {
-			if r.Gap <= 0 {
+			if r.MaxGap <= 0 {
 				continue
 			}
 			for _, s := range r.Splits {
-				if g, ok := out[s.Service]; !ok || r.Gap < g {
-					out[s.Service] = r.Gap
+				if g, ok := out[s.Service]; !ok || r.MaxGap < g {
+					out[s.Service] = r.MaxGap
 				}
 			}
 		}
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -8,10 +8,10 @@
 func testTable() *Table {
 	routes := []*Route{
 		{Name: "all", Host: "h", Prefix: "/", Splits: []Split{{Service: "s", Weight: 1}}},
-		{Name: "deep", Host: "h", Prefix: "/a/b/", Gap: 200 * time.Millisecond, Splits: []Split{{"s", 90}, {"u", 10}}},
-		{Name: "mid", Host: "h", Prefix: "/a/", Gap: 120 * time.Millisecond, Splits: []Split{{Service: "s", Weight: 1}}},
+		{Name: "deep", Host: "h", Prefix: "/a/b/", MaxGap: 200 * time.Millisecond, Splits: []Split{{"s", 90}, {"u", 10}}},
+		{Name: "mid", Host: "h", Prefix: "/a/", MaxGap: 120 * time.Millisecond, Splits: []Split{{Service: "s", Weight: 1}}},
 	}
-	accounts := []Keyed{{Account: Account{Name: "x", Priority: -1}, Keys: []string{"k1", "k2"}}}
+	accounts := []AccountKeys{{Account: Account{Name: "x", Priority: -1}, Keys: []string{"k1", "k2"}}}
 	return NewTable(7, routes, []*Service{{Name: "s"}, {Name: "u"}}, accounts, Limits{})
 }
 
@@ -48,7 +48,7 @@
 	if tb.Account("k3") != nil || !tb.NeedsKeys() {
 		t.Fatal("keys")
 	}
-	if g := tb.Gaps(); g["s"] != 120*time.Millisecond || g["u"] != 200*time.Millisecond {
+	if g := tb.MaxGaps(); g["s"] != 120*time.Millisecond || g["u"] != 200*time.Millisecond {
 		t.Fatalf("%v", g)
 	}
 	if NewTable(1, nil, nil, nil, Limits{}).NeedsKeys() {
