--- a/internal/caller/admission/controller.go
+++ b/internal/caller/admission/controller.go
@@ -21,14 +21,14 @@
 	// the queue is full. It limits memory and the amount of queued work that
 	// may be refused later. Requeued requests may exceed it.
 	MaxWaiting int
-	// FairPart is the fraction of the running time, between 0 and 1, that is
-	// allocated by fair share alone.
+	// FairFraction is the fraction of the running time, between 0 and 1, that
+	// is allocated by fair share alone.
 	FairFraction float64
-	// Run is the assumed running time of a request if neither an estimate nor a
-	// measurement exists.
+	// DefaultRunTime is the assumed running time of a request if neither an
+	// estimate nor a measurement exists.
 	DefaultRunTime time.Duration
-	// MaxWait is the time from arrival to the deadline for a request without
-	// one.
+	// DefaultDeadline is the time from arrival to the deadline for a request
+	// without one.
 	DefaultDeadline time.Duration
 
 	accounts      map[string]*account
@@ -71,7 +71,7 @@
 // Configure puts the limits of a preset into force. Open requests stay open and
 // count against the new limits; accounts that are no longer listed get no new
 // requests. On error it changes nothing and returns ErrNoAccount,
-// ErrNegativeLimit or ErrTwice.
+// ErrInvalidLimit or ErrDuplicateAccount.
 func (c *Controller) Configure(limits []Limits, now time.Time) error {
 	c.init()
 	listed := make(map[string]bool, len(limits))
@@ -139,7 +139,7 @@
 }
 
 // Arrive decides about a new request. It calls place at most once, and only if
-// nothing is waiting on the same route. The result is a Start, Wait or Refuse.
+// nothing is waiting on the same route. The result is a Start, Wait or Refused.
 func (c *Controller) Arrive(req Request, now time.Time, place Placer) Decision {
 	c.init()
 	a, code := c.validate(&req)
@@ -243,9 +243,9 @@
 	}
 }
 
-// Rest advances the drain meter of a route to now without counting the elapsed
-// time as time with requests waiting. It is for periods in which no request
-// could have started, however fast the endpoints are.
+// SkipDrainTime advances the drain meter of a route to now without counting the
+// elapsed time as time with requests waiting. It is for periods in which no
+// request could have started, however fast the endpoints are.
 func (c *Controller) SkipDrainTime(name string, now time.Time) {
 	c.init()
 	c.routeFor(name).drain.advance(now, false)
--- a/internal/caller/admission/doc.go
+++ b/internal/caller/admission/doc.go
@@ -13,12 +13,13 @@
 // octave count as equal, so that fair share rather than noise decides between
 // similar requests.
 //
-// Queue order: a fraction of the running time (FairPart) goes to the account
-// that has received the least work for its weight, by start-time fair queueing
-// (Goyal, Vin and Cheng, SIGCOMM 1996). The rest goes to the highest value
-// density, with ties broken by the same fair-queueing order. The fair part
-// keeps a large account or one of high worth from starving the others; the rest
-// maximizes the worth served when capacity does not suffice for all requests.
+// Queue order: a fraction of the running time (FairFraction) goes to the
+// account that has received the least work for its weight, by start-time fair
+// queueing (Goyal, Vin and Cheng, SIGCOMM 1996). The rest goes to the highest
+// value density, with ties broken by the same fair-queueing order. The fair
+// fraction keeps a large account or one of high worth from starving the others;
+// the rest maximizes the worth served when capacity does not suffice for all
+// requests.
 //
 // ShareLender and ShareHolder divide one account's limit over the entries of a
 // data centre. RetryBudget prevents retries from amplifying an overload.
--- a/internal/caller/admission/fairness_test.go
+++ b/internal/caller/admission/fairness_test.go
@@ -33,7 +33,7 @@
 			}
 			// Each small account asks for 2 of 20 requests per second. If the
 			// large account is worth more, each small one is entitled to a
-			// tenth of the fair part: 0.5 requests per second.
+			// tenth of the fair fraction: 0.5 requests per second.
 			minFraction := 0.9
 			if worth > 1 {
 				minFraction = 0.2
--- a/internal/caller/admission/holder.go
+++ b/internal/caller/admission/holder.go
@@ -15,10 +15,10 @@
 	// Entries is the maximum number of entries in the data centre. It must be
 	// the same at all entries of the data centre.
 	Entries int
-	// Lapse is how long a deposit lasts. It must be the same at all entries;
-	// zero means DefaultLapse.
+	// DepositTTL is how long a deposit lasts. It must be the same at all
+	// entries; zero means DefaultDepositTTL.
 	DepositTTL time.Duration
-	// Number is the sequence number of the last report. It must start above
+	// Sequence is the sequence number of the last report. It must start above
 	// those of earlier starts of the entry, for example at the wall clock time
 	// in nanoseconds.
 	Sequence uint64
@@ -67,9 +67,9 @@
 	}
 }
 
-// ReportEvery returns the interval between reports to each lender. The caller
-// should also report at once when an account without a usable share comes into
-// demand.
+// ReportInterval returns the interval between reports to each lender. The
+// caller should also report at once when an account without a usable share
+// comes into demand.
 func (h *ShareHolder) ReportInterval() time.Duration {
 	if h.DepositTTL <= 0 {
 		return DefaultDepositTTL / reportsPerTTL
@@ -178,9 +178,9 @@
 
 // Usable returns the units of the account's limit that this entry may use now.
 //
-// For one Lapse after its start, an entry uses only its reserve: an earlier
-// incarnation of the entry, or the entry that it replaces, may have deposited
-// the rest.
+// For one DepositTTL after its start, an entry uses only its reserve: an
+// earlier incarnation of the entry, or the entry that it replaces, may have
+// deposited the rest.
 func (h *ShareHolder) Usable(name string, now time.Time) int64 {
 	a := h.accounts[name]
 	if a == nil {
--- a/internal/caller/admission/lender.go
+++ b/internal/caller/admission/lender.go
@@ -10,8 +10,8 @@
 type ShareLender struct {
 	// Incarnation must differ between starts of this entry.
 	Incarnation uint64
-	// Lapse is how long a deposit lasts. It must be the same at all entries;
-	// zero means DefaultLapse.
+	// DepositTTL is how long a deposit lasts. It must be the same at all
+	// entries; zero means DefaultDepositTTL.
 	DepositTTL time.Duration
 
 	epoch    time.Time
@@ -159,7 +159,7 @@
 }
 
 // accountsInDemand returns the accounts of which holders that reported within
-// the last Lapse want more.
+// the last DepositTTL want more.
 func (l *ShareLender) accountsInDemand(now time.Time) []string {
 	var names []string
 	for account, shares := range l.accounts {
@@ -175,8 +175,8 @@
 }
 
 // totals returns the deposits that last until end, the demand of holders that
-// reported within the last Lapse, and the units that other holders may be using
-// now.
+// reported within the last DepositTTL, and the units that other holders may be
+// using now.
 func (l *ShareLender) totals(shares accountShares, holder string, end, now time.Time) (deposited, wanted, lentToOthers int64) {
 	for name, s := range shares {
 		h := l.holders[name]
@@ -214,7 +214,7 @@
 	return s.quantum
 }
 
-// Forget removes holders that have not reported for twice Lapse.
+// Forget removes holders that have not reported for twice DepositTTL.
 func (l *ShareLender) Forget(now time.Time) {
 	for name, h := range l.holders {
 		if now.Sub(h.lastReport) < 2*l.DepositTTL {
--- a/internal/caller/admission/request.go
+++ b/internal/caller/admission/request.go
@@ -21,10 +21,10 @@
 	// precedence over other accounts.
 	Priority int
 	// Deadline is the time by which the answer must be complete. Zero means the
-	// arrival time plus Controller.MaxWait.
+	// arrival time plus Controller.DefaultDeadline.
 	Deadline time.Time
-	// ExpectedRun is the estimated running time at an endpoint. Zero or less
-	// means the mean running time of the route.
+	// ExpectedRunTime is the estimated running time at an endpoint. Zero or
+	// less means the mean running time of the route.
 	ExpectedRunTime time.Duration
 	// RunOnce marks a request that must not be run more than once.
 	RunOnce bool
@@ -38,7 +38,7 @@
 // Controller.
 type Placer func(r *Request) bool
 
-// Decision is the result of an arrival: Start, Wait or Refuse.
+// Decision is the result of an arrival: Start, Wait or Refused.
 type Decision interface{ decision() }
 
 // Start means that the Placer has assigned the request to a slot.
@@ -55,7 +55,7 @@
 	Displaced []QueuedRefusal
 }
 
-// Refuse means that the request has not been run and will not be.
+// Refused means that the request has not been run and will not be.
 type Refused struct {
 	// Code is a result code whose effect is result.NotRun.
 	Code result.Code
@@ -68,7 +68,7 @@
 func (Wait) decision()    {}
 func (Refused) decision() {}
 
-// Refusal is the refusal of a request that was waiting.
+// QueuedRefusal is the refusal of a request that was waiting.
 type QueuedRefusal struct {
 	ID string
 	Refused
--- a/internal/caller/admission/retry.go
+++ b/internal/caller/admission/retry.go
@@ -11,7 +11,7 @@
 // During an overload or the failure of a data centre, each failed attempt
 // causes another, and the retries multiply the load that made the attempts
 // fail. The budget limits retries to Percent of the first attempts plus
-// PerSecond, whatever fails.
+// RetriesPerSecond, whatever fails.
 type RetryBudget struct {
 	// Percent is the percentage of first attempts that may be retried. Zero
 	// means no retries.
@@ -19,8 +19,8 @@
 	// Burst is the maximum number of retries that can accumulate; zero means
 	// 20.
 	Burst float64
-	// PerSecond is the number of retries added per second, for entries with few
-	// requests; zero means 1.
+	// RetriesPerSecond is the number of retries added per second, for entries
+	// with few requests; zero means 1.
 	RetriesPerSecond float64
 
 	tokens      float64
@@ -52,19 +52,19 @@
 	b.tokens = math.Min(burst, b.tokens+dt*orDefault(b.RetriesPerSecond, 1)+added)
 }
 
-// First records a first attempt.
+// RecordFirstAttempt records a first attempt.
 func (b *RetryBudget) RecordFirstAttempt(now time.Time) {
 	b.refill(now, b.Percent/100)
 }
 
-// May reports whether the budget allows a retry, without spending it.
+// CanRetry reports whether the budget allows a retry, without spending it.
 func (b *RetryBudget) CanRetry(now time.Time) bool {
 	b.refill(now, 0)
 	return b.tokens >= 1 && b.Percent > 0
 }
 
-// Take spends one retry if the budget allows it, and reports whether it did. If
-// not, the caller answers the request with result.RetryBudget.
+// TrySpend spends one retry if the budget allows it, and reports whether it
+// did. If not, the caller answers the request with result.RetryBudget.
 func (b *RetryBudget) TrySpend(now time.Time) bool {
 	if !b.CanRetry(now) {
 		return false
--- a/internal/caller/admission/share.go
+++ b/internal/caller/admission/share.go
@@ -5,38 +5,38 @@
 // An account's limits are divided over the entries of a data centre as follows.
 //
 // Each entry is entitled to 1/Entries of each limit. It deposits what it does
-// not need with the account's lender, which is the entry that Lender selects,
-// and the lender lends the deposits to entries with higher demand. An entry may
-// use its entitlement, less its deposits, plus its loans.
+// not need with the account's lender, which is the entry that SelectLender
+// selects, and the lender lends the deposits to entries with higher demand. An
+// entry may use its entitlement, less its deposits, plus its loans.
 //
 // The sum over all entries never exceeds the limit, even if messages are lost,
 // delayed or duplicated, and even while entries disagree about which entry is
 // the lender: a share is used either by its owner or by a borrower, never by
-// both. A deposit is a promise not to use a number of units for Lapse from the
-// time of the report. The report echoes the lender's newest stamp, so the
-// lender knows that the deposit lasts at least until that stamp plus Lapse on
-// its own clock, regardless of network delay. A grant ends before the deposits
-// that back it, and the borrower counts its term from the time at which it sent
-// the report. Clocks must advance at the same rate but need not show the same
-// time.
+// both. A deposit is a promise not to use a number of units for DepositTTL from
+// the time of the report. The report echoes the lender's newest stamp, so the
+// lender knows that the deposit lasts at least until that stamp plus DepositTTL
+// on its own clock, regardless of network delay. A grant ends before the
+// deposits that back it, and the borrower counts its term from the time at
+// which it sent the report. Clocks must advance at the same rate but need not
+// show the same time.
 //
 // If the lender is lost, deposits and grants expire, and each entry falls back
 // to its entitlement.
 
-// WholeShare is the number of units in an account's whole limit. It has many
+// ShareUnits is the number of units in an account's whole limit. It has many
 // divisors, so that small concurrency limits divide without a remainder.
 const ShareUnits = 720720
 
-// DefaultLapse is the default duration of a deposit. A shorter one frees the
-// shares held by a lost lender sooner; a longer one needs fewer reports.
+// DefaultDepositTTL is the default duration of a deposit. A shorter one frees
+// the shares held by a lost lender sooner; a longer one needs fewer reports.
 const DefaultDepositTTL = 3 * time.Second
 
 const (
-	// reportsPerLapse is the number of reports that a holder sends per Lapse. A
-	// loan lasts for three report intervals, so that two reports in a row may
-	// be lost.
+	// reportsPerTTL is the number of reports that a holder sends per
+	// DepositTTL. A loan lasts for three report intervals, so that two reports
+	// in a row may be lost.
 	reportsPerTTL = 6
-	// loansPerLapse is the number of loan terms per Lapse.
+	// loansPerTTL is the number of loan terms per DepositTTL.
 	loansPerTTL = 2
 	// listAllMax is the maximum number of accounts for which a report lists all
 	// accounts. With more accounts, an idle account is listed only after its
@@ -54,7 +54,7 @@
 }
 
 // ShareDemand is the part of a report about one account, in units of which
-// WholeShare make up the limit.
+// ShareUnits make up the limit.
 type ShareDemand struct {
 	Account string
 	// Deposit is the number of units that the holder promises not to use.
@@ -81,7 +81,7 @@
 type ShareGrant struct {
 	Account string
 	Units   int64
-	// For is the term of the loan, counted from the sending of the report that
+	// Term is the term of the loan, counted from the sending of the report that
 	// the reply answers.
 	Term time.Duration
 }
@@ -96,8 +96,8 @@
 	Wanted []string
 }
 
-// Lender selects the entry that lends the shares of an account, by rendezvous
-// hashing. It returns the empty string if there are no entries.
+// SelectLender selects the entry that lends the shares of an account, by
+// rendezvous hashing. It returns the empty string if there are no entries.
 func SelectLender(account string, entries []string) string {
 	var lender string
 	var highest uint64
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -45,9 +45,9 @@
 	Ready() error
 }
 
-// Passer runs requests that are passed on as they came. Pass must finish the
+// Passer runs requests that are passed on as they came. Forward must finish the
 // reply before it returns; ctx ends when the caller leaves. The header and the
-// body belong to Pass.
+// body belong to Forward.
 type Passer interface {
 	Forward(ctx context.Context, r *Raw, w *Reply)
 }
