--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -9,7 +9,8 @@
 type Entry struct {
 	// ID is unique among running endpoints; a restarted endpoint may keep it.
 	ID string
-	// Born is the start time of the endpoint in milliseconds since the Unix epoch.
+	// StartMillis is the start time of the endpoint in milliseconds since the Unix
+	// epoch.
 	StartMillis uint64
 	// Service is the name of the endpoint's service, Address its IP:port and DataCentre
 	// its data centre.
@@ -55,9 +56,9 @@
 // Directory holds the known endpoints. Set the exported fields before the first call.
 // It is not safe for concurrent use.
 type Directory struct {
-	// LapseHold is how long entries that vanished while the store was unavailable are
-	// retained after its recovery. Running endpoints write their entries again within
-	// this time.
+	// RetentionAfterOutage is how long entries that vanished while the store was
+	// unavailable are retained after its recovery. Running endpoints write their
+	// entries again within this time.
 	RetentionAfterOutage time.Duration
 	// ColdStart returns the cold start time of a service's endpoints; nil means none.
 	// An endpoint in unknown state counts as just started.
@@ -75,7 +76,7 @@
 	listed bool
 }
 
-// Returned records that the store recovered from an outage at now.
+// StoreRecovered records that the store recovered from an outage at now.
 func (d *Directory) StoreRecovered(now time.Time) { d.storeRecovered = now }
 
 // Put adds or updates an endpoint from its current store entry. It ignores an entry
@@ -119,7 +120,7 @@
 	}
 }
 
-// Misdirected records that another endpoint answered at the address of an endpoint:
+// MarkMisdirected records that another endpoint answered at the address of an endpoint:
 // the one that started at born is gone.
 func (d *Directory) MarkMisdirected(id string, startMillis uint64) {
 	if rec := d.entries[id]; rec != nil && rec.endpoint.StartMillis == startMillis {
@@ -133,7 +134,8 @@
 // The store reports these removals once it has recovered; an entry process that
 // applied them at once would refuse all requests for up to two seconds, until the
 // endpoints have written their entries again. A vanished entry is therefore retained
-// until LapseHold after the recovery; an entry that is missing after that is gone.
+// until RetentionAfterOutage after the recovery; an entry that is missing after that is
+// gone.
 func (d *Directory) Remove(id string, now time.Time) {
 	rec := d.entries[id]
 	if rec == nil {
@@ -156,14 +158,14 @@
 	}
 }
 
-// Lapsed reports whether the retention of a vanished entry has ended since the last
-// call of Endpoints.
+// RetentionExpired reports whether the retention of a vanished entry has ended since
+// the last call of Endpoints.
 func (d *Directory) RetentionExpired(now time.Time) bool {
 	return !d.nextExpiry.IsZero() && !now.Before(d.nextExpiry)
 }
 
-// Whole applies a full listing of the store: entries whose IDs are not in ids have
-// vanished.
+// ApplyListing applies a full listing of the store: entries whose IDs are not in ids
+// have vanished.
 func (d *Directory) ApplyListing(ids map[string]bool, now time.Time) {
 	d.initMaps()
 	for _, id := range d.ids() {
@@ -174,8 +176,8 @@
 	d.listed = true
 }
 
-// SetOut takes a data centre out of service or puts it back. Endpoints of a data
-// centre that is put back may have become cold unnoticed, so they count as cold.
+// SetOutOfService takes a data centre out of service or puts it back. Endpoints of a
+// data centre that is put back may have become cold unnoticed, so they count as cold.
 func (d *Directory) SetOutOfService(dataCentre string, out bool, now time.Time) {
 	d.initMaps()
 	if d.outOfService[dataCentre] == out {
@@ -192,7 +194,7 @@
 	}
 }
 
-// Outs returns the data centres that are out of service, sorted by name.
+// OutOfService returns the data centres that are out of service, sorted by name.
 func (d *Directory) OutOfService() []string {
 	var out []string
 	for dc, isOut := range d.outOfService {
@@ -204,7 +206,7 @@
 	return out
 }
 
-// Turned records that an endpoint reported how much longer it is cold.
+// ExtendColdStart records that an endpoint reported how much longer it is cold.
 func (d *Directory) ExtendColdStart(id string, cold time.Duration, now time.Time) {
 	if rec := d.entries[id]; rec != nil {
 		rec.endpoint.ColdUntil = latest(rec.endpoint.ColdUntil, now.Add(cold))
--- a/internal/fleet/document/holder.go
+++ b/internal/fleet/document/holder.go
@@ -32,7 +32,7 @@
 	Value    []byte
 }
 
-// Packed is a version encoded for transfer to another process.
+// Encoded is a version encoded for transfer to another process.
 type Encoded struct {
 	Revision int64
 	// Base is the revision of the version that Bytes is the difference from, or 0 if
@@ -41,12 +41,12 @@
 	Bytes []byte
 }
 
-// Holder holds the newest versions of one value. It is safe for concurrent use.
+// Versions holds the newest versions of one value. It is safe for concurrent use.
 type Versions struct {
 	mu sync.Mutex // guards all below
 	// versions are sorted by revision.
 	versions []Version
-	// packedByBase caches the encodings of the newest version by the revision of the
+	// encodedByBase caches the encodings of the newest version by the revision of the
 	// base.
 	encodedByBase map[int64]Encoded
 }
@@ -112,7 +112,7 @@
 	return e, nil
 }
 
-// Unpack decodes a version that another process has packed. It fails with
+// Unpack decodes a version that another process has encoded. It fails with
 // result.DocumentUnreadable if the base isn't held or the data is corrupt.
 func (vs *Versions) Unpack(e Encoded) (Version, error) {
 	vs.mu.Lock()
--- a/internal/fleet/document/holder_test.go
+++ b/internal/fleet/document/holder_test.go
@@ -25,7 +25,7 @@
 	return b.Bytes()
 }
 
-// transfer transfers the newest version from one holder to another and returns the
+// transfer transfers the newest version from one Versions to another and returns the
 // number of bytes transferred.
 func transfer(t *testing.T, from, to *Versions) int {
 	t.Helper()
@@ -73,7 +73,7 @@
 		from.Put(Version{Revision: int64(r), Value: document(50, r)})
 	}
 	if e, err := from.Pack(1); err != nil || e.Base != 0 {
-		t.Fatalf("packed as the difference from %d (%v), want the full value", e.Base, err)
+		t.Fatalf("encoded as the difference from %d (%v), want the full value", e.Base, err)
 	}
 	transfer(t, from, to)
 	if len(from.versions) != 1+maxPastVersions {
@@ -105,10 +105,10 @@
 func TestPutKeepsTheNewestVersion(t *testing.T) {
 	vs := &Versions{}
 	if vs.Newest().Revision != 0 {
-		t.Error("an empty holder has a version")
+		t.Error("empty Versions has a version")
 	}
 	if e, err := vs.Pack(0); err != nil || e.Revision != 0 || len(e.Bytes) > 0 {
-		t.Errorf("an empty holder packs %+v (%v)", e, err)
+		t.Errorf("empty Versions encodes %+v (%v)", e, err)
 	}
 	if !vs.Put(Version{Revision: 4}) || vs.Put(Version{Revision: 3}) || vs.Put(Version{Revision: 4}) {
 		t.Error("a version that isn't newer is accepted")
--- a/internal/fleet/document/pace.go
+++ b/internal/fleet/document/pace.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Pace limits the rate at which copies are sent over a network link. Set the exported
+// Pacer limits the rate at which copies are sent over a network link. Set the exported
 // fields before the first call. It is safe for concurrent use.
 //
 // If all entries of a data centre requested a value of a megabyte from one of them at
@@ -20,15 +20,15 @@
 	freeAt time.Time  // end of the transmission of all admitted copies
 }
 
-// Wait returns the delay that Take would return for the next copy.
+// Delay returns the delay that Reserve would return for the next copy.
 func (p *Pacer) Delay(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(0, p.freeAt.Sub(now))
 }
 
-// Take reserves bandwidth for a copy of n bytes and returns the delay after which it is
-// to be sent.
+// Reserve reserves bandwidth for a copy of n bytes and returns the delay after which it
+// is to be sent.
 func (p *Pacer) Reserve(n int, now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fleet/document/sender.go
+++ b/internal/fleet/document/sender.go
@@ -13,16 +13,16 @@
 	maxRecipients = 64
 )
 
-// Answer is the answer to a request for the newest version: a Copy or an Elsewhere.
+// Answer is the answer to a request for the newest version: a Copy or a Redirect.
 type Answer interface{ isAnswer() }
 
-// Copy is the newest version, to be sent after the delay After.
+// Copy is the newest version, to be sent after Delay.
 type Copy struct {
 	Encoded Encoded
 	Delay   time.Duration
 }
 
-// Elsewhere redirects a request to the address of a process that was sent the newest
+// Redirect redirects a request to the address of a process that was sent the newest
 // version.
 type Redirect struct{ Address string }
 
@@ -48,7 +48,7 @@
 	revision   int64
 }
 
-// Ask answers a request from the process at addr, which holds the version at the
+// Answer answers a request from the process at addr, which holds the version at the
 // revision held, or none if held is 0. It fails if the version can't be encoded.
 func (s *Sender) Answer(addr string, held int64, now time.Time) (Answer, error) {
 	e, err := s.Versions.Pack(held)
--- a/internal/fleet/fanout/tree.go
+++ b/internal/fleet/fanout/tree.go
@@ -10,32 +10,33 @@
 )
 
 const (
-	// FewEntries is the largest number of entries to which loads, and the entries'
-	// reports of their work, are sent directly.
+	// MaxDirectEntries is the largest number of entries to which loads, and the
+	// entries' reports of their work, are sent directly.
 	MaxDirectEntries = 10
-	// BunchEntries is the largest size of a bunch of entries in a larger fleet, in
-	// which one entry forwards these messages within its data centre.
+	// MaxSubgroupEntries is the largest size of a subgroup of entries in a larger
+	// fleet, in which one entry forwards these messages within its data centre.
 	MaxSubgroupEntries = 64
 )
 
-// Bunch is a set of processes of one data centre that are reached through one of them.
+// Subgroup is a set of processes of one data centre that are reached through one of
+// them.
 type Subgroup []fleet.Member
 
-// Tree splits processes into bunches and records which of them failed as delegates.
+// Tree splits processes into subgroups and records which of them failed as delegates.
 // Set the exported fields before the first call. It is safe for concurrent use.
 type Tree struct {
-	// Direct is the largest number of processes that are each reached directly.
+	// MaxDirect is the largest number of processes that are each reached directly.
 	MaxDirect int
-	// Most is the largest size of a bunch.
+	// MaxSize is the largest size of a subgroup.
 	MaxSize int
 
 	mu       sync.Mutex // guards failed
 	failedAt map[string]time.Time
 }
 
-// Bunches splits processes into bunches, each within one data centre and those of a
-// data centre of about equal sizes. Up to Direct processes become bunches of one. The
-// result doesn't depend on the order of the processes.
+// Subgroups splits processes into subgroups, each within one data centre and those of
+// a data centre of about equal sizes. Up to MaxDirect processes become subgroups of
+// one. The result doesn't depend on the order of the processes.
 func (t *Tree) Subgroups(processes []fleet.Member) []Subgroup {
 	sorted := slices.SortedFunc(slices.Values(processes), func(a, b fleet.Member) int {
 		return cmp.Or(cmp.Compare(a.DataCentre, b.DataCentre), cmp.Compare(a.Name, b.Name))
@@ -55,7 +56,8 @@
 	return out
 }
 
-// split returns bunches of at most maxSize members, whose sizes differ by at most one.
+// split returns subgroups of at most maxSize members, whose sizes differ by at most
+// one.
 func split(processes []fleet.Member, maxSize int) []Subgroup {
 	subgroups := (len(processes) + maxSize - 1) / maxSize
 	out := make([]Subgroup, 0, subgroups)
@@ -65,20 +67,20 @@
 	return out
 }
 
-// Delegate returns the member through which a bunch is reached: the first that never
-// failed, or else the one whose last failure is the longest ago. The bunch must not be
-// empty.
+// Delegate returns the member through which a subgroup is reached: the first that
+// never failed, or else the one whose last failure is the longest ago. The subgroup
+// must not be empty.
 //
 // A delegate that froze or was unreachable for some seconds is used again only after
-// all others have failed. Were it retried after a fixed time, its whole bunch would be
-// unreachable with each retry that fails.
+// all others have failed. Were it retried after a fixed time, its whole subgroup would
+// be unreachable with each retry that fails.
 func (t *Tree) Delegate(s Subgroup) fleet.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.MinFunc(s, func(a, b fleet.Member) int { return t.failedAt[a.Name].Compare(t.failedAt[b.Name]) })
 }
 
-// Failed records that a delegate did not answer.
+// NoteFailure records that a delegate did not answer.
 func (t *Tree) NoteFailure(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/fleet/fanout/tree_test.go
+++ b/internal/fleet/fanout/tree_test.go
@@ -29,22 +29,22 @@
 	seen := map[string]bool{}
 	for _, s := range subgroups {
 		if len(s) == 0 || len(s) > maxSize {
-			t.Errorf("a bunch has %d members, want 1 to %d", len(s), maxSize)
+			t.Errorf("a subgroup has %d members, want 1 to %d", len(s), maxSize)
 		}
 		for _, m := range s {
 			if seen[m.Name] || dataCentreOf[m.Name] != dataCentreOf[s[0].Name] {
-				t.Errorf("%s of %s is in the bunch %v, before: %v", m.Name, dataCentreOf[m.Name], s, seen[m.Name])
+				t.Errorf("%s of %s is in the subgroup %v, before: %v", m.Name, dataCentreOf[m.Name], s, seen[m.Name])
 			}
 			seen[m.Name] = true
 		}
 	}
 	if len(seen) != len(processes) {
-		t.Errorf("%d of %d processes are in a bunch", len(seen), len(processes))
+		t.Errorf("%d of %d processes are in a subgroup", len(seen), len(processes))
 	}
 }
 
-// Guards against a process in no bunch, which is never reached, or in two bunches, for
-// which two delegates answer, at any size of a group.
+// Guards against a process in no subgroup, which is never reached, or in two
+// subgroups, for which two delegates answer, at any size of a group.
 func TestEachProcessIsInOneSubgroup(t *testing.T) {
 	tree := &Tree{MaxDirect: 16, MaxSize: 13}
 	for _, c := range []struct{ processes, dataCentres, maxSize, subgroups int }{
@@ -63,18 +63,18 @@
 			subgroups := tree.Subgroups(ps)
 			checkSubgroups(t, ps, subgroups, c.maxSize)
 			if len(subgroups) != c.subgroups {
-				t.Errorf("%d bunches, want %d", len(subgroups), c.subgroups)
+				t.Errorf("%d subgroups, want %d", len(subgroups), c.subgroups)
 			}
 			slices.Reverse(ps)
 			if again := tree.Subgroups(ps); fmt.Sprint(again) != fmt.Sprint(subgroups) {
-				t.Error("the bunches depend on the order of the processes")
+				t.Error("the subgroups depend on the order of the processes")
 			}
 		})
 	}
 }
 
-// Guards against a bunch that is repeatedly unreachable because a frozen delegate is
-// retried.
+// Guards against a subgroup that is repeatedly unreachable because a frozen delegate
+// is retried.
 func TestFailedDelegateComesLast(t *testing.T) {
 	tree := &Tree{MaxDirect: 1, MaxSize: 3}
 	s := tree.Subgroups(processes(3, 1))[0]
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -13,16 +13,16 @@
 // groups that send to it, before and after their members changed.
 const maxLists = 16
 
-// Lists caches lists of targets by name, so that messages sent several times a second
-// need not contain them. It is safe for concurrent use.
+// TargetLists caches lists of targets by name, so that messages sent several times a
+// second need not contain them. It is safe for concurrent use.
 type TargetLists struct {
 	mu     sync.Mutex
 	byName map[uint64][]*fleetpb.Target
 }
 
-// Learn returns the targets of a message that names its list by id. Targets contained
-// in the message are cached under id; a message without targets gets those cached
-// under id, or nil if there are none.
+// Resolve returns the targets of a message that names its list by id. Targets
+// contained in the message are cached under id; a message without targets gets those
+// cached under id, or nil if there are none.
 func (l *TargetLists) Resolve(id uint64, targets []*fleetpb.Target) []*fleetpb.Target {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,7 +36,7 @@
 	return targets
 }
 
-// ListName returns a hash of the targets, in their order, which names the list.
+// TargetListHash returns a hash of the targets, in their order, which names the list.
 func TargetListHash(targets []*fleetpb.Target) uint64 {
 	h := xxhash.New()
 	writeString := func(s string) {
@@ -54,15 +54,15 @@
 	return h.Sum64()
 }
 
-// Told records the list that was last sent to each process. It is safe for concurrent
-// use.
+// SentLists records the list that was last sent to each process. It is safe for
+// concurrent use.
 type SentLists struct {
 	mu    sync.Mutex
 	lists map[string]uint64
 }
 
-// Knows reports whether the list was the last one sent to a process, and records it as
-// sent.
+// MarkSent reports whether the list was the last one sent to a process, and records it
+// as sent.
 func (s *SentLists) MarkSent(process string, list uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -78,7 +78,7 @@
 }
 
 const (
-	// LeaseTime is the time after which a process that no longer renews its lease
+	// LeaseTTL is the time after which a process that no longer renews its lease
 	// counts as gone. A dead process that is still listed does little harm, so the
 	// time is long and renewals cost few calls.
 	LeaseTTL = 9 * time.Second
@@ -95,11 +95,12 @@
 type Registrar struct {
 	Store  Store
 	Member Member
-	// Failed, if set, is called with the error of each failed call.
+	// OnError, if set, is called with the error of each failed call.
 	OnError func(error)
-	// Returned, if set, is called when a call succeeds after others failed.
+	// OnRecovered, if set, is called when a call succeeds after others failed.
 	OnRecovered func()
-	// Doubt is raised when leases may have expired; the lease is then renewed at once.
+	// RenewNow is raised when leases may have expired; the lease is then renewed at
+	// once.
 	RenewNow *wake.Signal
 }
 
@@ -107,9 +108,9 @@
 // returns nil.
 //
 // All leases expire in an outage of the store. A process notices the loss of its own
-// only when it renews it, up to a third of LeaseTime later, and is invisible to the
+// only when it renews it, up to a third of LeaseTTL later, and is invisible to the
 // others until then. A process that sees a key of the fleet vanish therefore raises
-// Doubt to renew its own lease at once.
+// RenewNow to renew its own lease at once.
 //
 // The delay between retries grows because in an outage hundreds of processes would
 // otherwise each call the store twice a second, and use up its capacity as it
@@ -149,7 +150,7 @@
 	return nil
 }
 
-// wait returns after d, or earlier if Doubt is raised or ctx ends.
+// wait returns after d, or earlier if RenewNow is raised or ctx ends.
 func (r *Registrar) wait(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/fleet/member_test.go
+++ b/internal/fleet/member_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// The store is unreachable and recovers. Checks that Returned is called: the process
+// The store is unreachable and recovers. Checks that OnRecovered is called: the process
 // can't rely on its polls to notice, which may hang for long.
 func TestStoreRecoveryIsReported(t *testing.T) {
 	t.Parallel()
@@ -116,7 +116,7 @@
 	})
 }
 
-// eventually fails the test unless the condition holds within a third of LeaseTime,
+// eventually fails the test unless the condition holds within a third of LeaseTTL,
 // after which a process renews its lease without any signal.
 func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
--- a/internal/fleet/readers/basis.go
+++ b/internal/fleet/readers/basis.go
@@ -22,7 +22,7 @@
 	lateMargin = 250 * time.Millisecond
 )
 
-// HearWait is the longest time that a process waits for a change before it answers the
+// FollowWait is the longest time that a process waits for a change before it answers the
 // request of another one. A frozen process is detected a little later, well within the
 // time limit for a change of the configuration.
 const FollowWait = 500 * time.Millisecond
@@ -38,11 +38,11 @@
 // may be served to others.
 const ageMargin = 400 * time.Millisecond
 
-// Basis tracks where the state of a process comes from and whether it is current, and
+// Freshness tracks where the state of a process comes from and whether it is current, and
 // thereby whether others may get updates from the process. Set the exported fields
 // before the first call. It is safe for concurrent use.
 type Freshness struct {
-	// Own is the name of the process.
+	// Self is the name of the process.
 	Self string
 	// Wait is the longest time that a poll of the store waits for a change.
 	Wait time.Duration
@@ -55,14 +55,14 @@
 	lateAt time.Time
 }
 
-// Ask records a call to the store whose answer is due at a time.
+// NoteRequest records a call to the store whose answer is due at a time.
 func (f *Freshness) NoteRequest(due time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lateAt = due.Add(lateMargin)
 }
 
-// Late returns the time from which the pending call to the store is late, or the zero
+// LateAt returns the time from which the pending call to the store is late, or the zero
 // time if no call is pending.
 func (f *Freshness) LateAt() time.Time {
 	f.mu.Lock()
@@ -76,7 +76,7 @@
 	return !late.IsZero() && !now.Before(late)
 }
 
-// Lose records that the store did not answer the process. It reports whether the
+// NoteFailure records that the store did not answer the process. It reports whether the
 // process had not lost the store before.
 func (f *Freshness) NoteFailure() bool {
 	f.mu.Lock()
@@ -86,8 +86,8 @@
 	return !was
 }
 
-// Learn records an update that origin, the process itself or another one, got from the
-// store. It reports whether the process had lost the store before.
+// NoteUpdate records an update that origin, the process itself or another one, got from
+// the store. It reports whether the process had lost the store before.
 func (f *Freshness) NoteUpdate(origin string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/readers/choice.go
+++ b/internal/fleet/readers/choice.go
@@ -14,17 +14,17 @@
 	// rejects one in three VMs. As many after them may poll it when these have no
 	// updates.
 	maxReaders = 3
-	// awayBackoff is the time for which a process without updates is skipped, and
-	// silentBackoff that for one which did not answer: each attempt to reach it takes
+	// notCurrentBackoff is the time for which a process without updates is skipped, and
+	// noAnswerBackoff that for one which did not answer: each attempt to reach it takes
 	// most of a second, in which no updates are received.
 	notCurrentBackoff = time.Second
 	noAnswerBackoff   = 3 * time.Second
-	// echoBackoff is the time for which a process is skipped whose state comes from
+	// ownStateBackoff is the time for which a process is skipped whose state comes from
 	// this process. It answers so at once.
 	ownStateBackoff = 2 * time.Second
-	// lostBackoff is the time for which a process is skipped that the store doesn't
-	// answer. It retries the store every second or two, and a process that returns to
-	// it meanwhile waits until that call is late.
+	// storeLostBackoff is the time for which a process is skipped that the store
+	// doesn't answer. It retries the store every second or two, and a process that
+	// returns to it meanwhile waits until that call is late.
 	storeLostBackoff = 8 * time.Second
 	// leavingBackoff is the time for which a process is skipped that is shutting down:
 	// longer than it takes to stop and restart.
@@ -39,24 +39,24 @@
 
 // The outcomes of a request.
 const (
-	// Silent means that no answer came in time.
+	// NoAnswer means that no answer came in time.
 	NoAnswer Answer = iota
-	// Away means that the process has no current state to serve.
+	// NotCurrent means that the process has no current state to serve.
 	NotCurrent
-	// Lost means that the store doesn't answer the process.
+	// StoreLost means that the store doesn't answer the process.
 	StoreLost
-	// Echo means that the state of the process comes from the requesting process.
+	// OwnState means that the state of the process comes from the requesting process.
 	OwnState
-	// Leaving means that the process is shutting down. It answers so at once.
+	// ShuttingDown means that the process is shutting down. It answers so at once.
 	ShuttingDown
 	// Fresh means that the process served the current state or its changes.
 	Fresh
 )
 
-// Choice selects the source of updates of one process. Set the exported fields before
-// the first call. It is not safe for concurrent use.
+// SourceSelector selects the source of updates of one process. Set the exported fields
+// before the first call. It is not safe for concurrent use.
 type SourceSelector struct {
-	// Own is the name of the process.
+	// Self is the name of the process.
 	Self string
 
 	lastAnswers map[string]pastAnswer
@@ -65,7 +65,7 @@
 	// this process, or zero if it answered the last call.
 	lastDirectPoll, storeFailedAt time.Time
 	// uninformed reports that the last request to another process brought no update,
-	// for another reason than Leaving, and the store has not been called since.
+	// for another reason than ShuttingDown, and the store has not been called since.
 	uninformed bool
 }
 
@@ -94,7 +94,7 @@
 }
 
 // Source returns the name of the process to request updates from, or "" for the store.
-// others are the names of all processes of the data centre, with or without Own.
+// others are the names of all processes of the data centre, with or without Self.
 //
 // Processes that recently had no updates are replaced as readers by as many of those
 // after them, at most maxReaders: that three can't reach the store doesn't show whether
@@ -168,7 +168,7 @@
 	}
 }
 
-// Note records the outcome of a request to a process.
+// NoteAnswer records the outcome of a request to a process.
 func (s *SourceSelector) NoteAnswer(name string, a Answer, now time.Time) {
 	if s.lastAnswers == nil {
 		s.lastAnswers = map[string]pastAnswer{}
--- a/internal/fleet/readers/doc.go
+++ b/internal/fleet/readers/doc.go
@@ -9,9 +9,9 @@
 // store directly at long intervals when none of them reaches it. There is no election
 // and no agreement: a process that polls needlessly only costs some calls.
 //
-// Choice selects the source of a process. Basis decides whether a process may serve
-// others: it doesn't return updates to the process that they came from, and doesn't
-// report that nothing has changed while its own call to the store is late.
+// SourceSelector selects the source of a process. Freshness decides whether a process
+// may serve others: it doesn't return updates to the process that they came from, and
+// doesn't report that nothing has changed while its own call to the store is late.
 //
 // The package does no network I/O and reads no clock.
 package readers
--- a/internal/platform/mirror/copy.go
+++ b/internal/platform/mirror/copy.go
@@ -19,8 +19,8 @@
 // changes come), the calls would grow with the fleet, and in an outage all
 // processes would retry continuously.
 type Copy struct {
-	// Apart is a key left out of the copy because its large value is transferred
-	// separately.
+	// SeparateKey is a key left out of the copy because its large value is
+	// transferred separately.
 	SeparateKey string
 
 	mu    sync.Mutex // guards all below
@@ -29,7 +29,8 @@
 	events               []event
 	compacted, revision  int64
 	knownAt, recoveredAt time.Time
-	// separateRevision is the revision of the value of Apart that the process holds.
+	// separateRevision is the revision of the value of SeparateKey that the process
+	// holds.
 	separateRevision int64
 	// updated, unless nil, is closed by the next update.
 	updated chan struct{}
@@ -43,8 +44,8 @@
 	revision int64
 }
 
-// Take applies an update. Updates must come in the order in which Mirror.Apply gets
-// them. If u.Returned is set, recoveredAt is the time at which the service became
+// Apply applies an update. Updates must come in the order in which Mirror.Apply gets
+// them. If u.Recovered is set, recoveredAt is the time at which the service became
 // reachable again.
 func (c *Copy) Apply(u Update, recoveredAt time.Time) {
 	c.mu.Lock()
@@ -79,7 +80,7 @@
 	c.advance(u.RequestedAt, u.SeparateRevision)
 }
 
-// CatchUp records that the process holds the value of Apart at a revision and
+// Advance records that the process holds the value of SeparateKey at a revision and
 // therefore knows every change made before knownAt.
 func (c *Copy) Advance(knownAt time.Time, separateRevision int64) {
 	c.mu.Lock()
@@ -109,9 +110,9 @@
 // Since returns the changes after a revision, or the complete state if known is
 // false or the changes are no longer kept. It reports false before the first update.
 //
-// A reader that is ahead of the copy gets no changes. Asked still holds for it: all
-// changes made before Asked have revisions up to that of the copy, and so up to that
-// of the reader.
+// A reader that is ahead of the copy gets no changes. RequestedAt still holds for
+// it: all changes made before RequestedAt have revisions up to that of the copy, and
+// so up to that of the reader.
 func (c *Copy) Since(after int64, known bool) (Update, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,15 +137,15 @@
 	return u, true
 }
 
-// Returned returns the time at which the service last became reachable again after
-// failed calls, or the zero time.
+// RecoveredAt returns the time at which the service last became reachable again
+// after failed calls, or the zero time.
 func (c *Copy) RecoveredAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.recoveredAt
 }
 
-// Taken returns a channel that is closed by the next call of Take or CatchUp.
+// Updated returns a channel that is closed by the next call of Apply or Advance.
 func (c *Copy) Updated() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/platform/mirror/copy_test.go
+++ b/internal/platform/mirror/copy_test.go
@@ -185,7 +185,7 @@
 }
 
 // The service did not answer the last call. Guards against a process that waits for an
-// unreachable service and gets no updates from its neighbours meanwhile.
+// unreachable service and gets no updates from its peers meanwhile.
 func TestSilentServiceIsTriedAndNotWaitedAt(t *testing.T) {
 	m := &Mirror{Wait: time.Second}
 	if got := m.pollWait(0, true); got != minPollWait {
@@ -193,7 +193,7 @@
 	}
 }
 
-// separateFollower is a follower to which the value of Copy.Apart is transferred
+// separateFollower is a follower to which the value of Copy.SeparateKey is transferred
 // separately and later than the update that announces it.
 type separateFollower struct {
 	follower
@@ -204,7 +204,7 @@
 	heldRevision    int64
 }
 
-// receive applies an update, which contains no value of Copy.Apart.
+// receive applies an update, which contains no value of Copy.SeparateKey.
 func (f *separateFollower) receive(u Update, now time.Time) {
 	u.SeparateMissing = u.SeparateRevision > f.heldRevision
 	if u.SeparateMissing {
@@ -222,7 +222,7 @@
 	}
 }
 
-// transferFrom copies the value of Copy.Apart from another follower.
+// transferFrom copies the value of Copy.SeparateKey from another follower.
 func (f *separateFollower) transferFrom(from *separateFollower) {
 	f.heldRevision = max(f.heldRevision, from.heldRevision)
 	if !f.separateMissing || f.heldRevision < f.pendingRevision {
@@ -295,7 +295,7 @@
 	}
 }
 
-// A neighbour announces a large value, and the process polls the service before the
+// A peer announces a large value, and the process polls the service before the
 // value was transferred. Guards against a poll from after the announcement, which would
 // never return the value.
 func TestServiceIsAskedFromWhereNothingLacked(t *testing.T) {
@@ -303,7 +303,7 @@
 	updates := []Update{
 		{Complete: true, Revision: 10},
 		{Revision: 20, SeparateMissing: true},
-		{Revision: 15}, // from another neighbour, which is behind
+		{Revision: 15}, // from another peer, which is behind
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/platform/mirror/mirror.go
+++ b/internal/platform/mirror/mirror.go
@@ -35,27 +35,27 @@
 	maxRetryDelay = 450 * time.Millisecond
 )
 
-// Update holds the content of one answer of the service or of a neighbour.
+// Update holds the content of one answer of the service or of a peer.
 type Update struct {
-	// Whole reports that KVs is the complete state and Deleted is empty.
+	// Complete reports that KVs is the complete state and Deleted is empty.
 	Complete bool
 	KVs      []platform.KeyValue
 	Deleted  []string
 	Revision int64
-	// Asked is the time at which the request was sent. After the update the process
-	// knows every change made before it.
+	// RequestedAt is the time at which the request was sent. After the update the
+	// process knows every change made before it.
 	RequestedAt time.Time
-	// Returned reports that calls to the service failed before this answer.
+	// Recovered reports that calls to the service failed before this answer.
 	Recovered bool
-	// Neighbour reports that the update comes from another process instead of the
+	// FromPeer reports that the update comes from another process instead of the
 	// service.
 	FromPeer bool
-	// Apart is the revision of the value of Copy.Apart, which is transferred
-	// separately: the revision that the process holds or, in an update from a
-	// neighbour, that the neighbour holds.
+	// SeparateRevision is the revision of the value of Copy.SeparateKey, which is
+	// transferred separately: the revision that the process holds or, in an update
+	// from a peer, that the peer holds.
 	SeparateRevision int64
-	// Lacking reports that the process doesn't hold that value yet. Only once it
-	// does, it knows every change made before Asked.
+	// SeparateMissing reports that the process doesn't hold that value yet. Only
+	// once it does, it knows every change made before RequestedAt.
 	SeparateMissing bool
 }
 
@@ -83,11 +83,11 @@
 	// are billed: without the pause each change of a burst costs each process a
 	// call.
 	Settle time.Duration
-	// MostSettle is the limit up to which the pause doubles with each consecutive
-	// answer with changes, during the first StartTime of Run. If it is 0, the
+	// MaxSettle is the limit up to which the pause doubles with each consecutive
+	// answer with changes, during the first StartupPeriod of Run. If it is 0, the
 	// pause is always Settle.
 	MaxSettle, StartupPeriod time.Duration
-	// Doubt, if set, aborts the pending poll and sends it again when raised. Raise
+	// Repoll, if set, aborts the pending poll and sends it again when raised. Raise
 	// it when other calls show that the service is reachable again.
 	//
 	// A poll that was pending when the service became unreachable may never be
@@ -95,34 +95,35 @@
 	// of its wait: after an outage of 6 s a group of ranks had no leader for 5 s
 	// more, since no process saw that the last leader's lease had expired.
 	Repoll *wake.Signal
-	// Neighbour, if set, is called before the service. It returns the changes that
+	// Peer, if set, is called before the service. It returns the changes that
 	// another process received from the service after a revision, or the complete
-	// state if known is false, and sets Returned of the update itself. If it
+	// state if known is false, and sets Recovered of the update itself. If it
 	// returns false, the service is called instead.
 	//
-	// The service is polled from the last update that wasn't Lacking. Otherwise a
-	// value that a neighbour announced but did not transfer would never arrive.
+	// The service is polled from the last update that wasn't SeparateMissing.
+	// Otherwise a value that a peer announced but did not transfer would never
+	// arrive.
 	Peer func(ctx context.Context, revision int64, known bool) (Update, bool)
-	// Asking, if set, is called before each call to the service with the time at
+	// OnRequest, if set, is called before each call to the service with the time at
 	// which the answer is due.
 	OnRequest func(due time.Time)
 	// Now returns the current time.
 	Now func() time.Time
 	// Apply is called with each update, in order, from one goroutine.
 	Apply func(Update)
-	// Failed, if set, is called with the error of each failed call.
+	// OnError, if set, is called with the error of each failed call.
 	OnError func(error)
 }
 
 // Run follows the prefix until ctx ends. It always returns nil.
 func (m *Mirror) Run(ctx context.Context) error {
 	retryDelay, settle := minRetryDelay, m.Settle
-	// received includes the updates from neighbours, complete only those updates
+	// received includes the updates from peers, complete only those updates
 	// after which the process lacked no value.
 	received, complete, failed := position{}, position{}, false
 	// knownAt is the time before which all changes are known. unconfirmed reports
 	// that the service did not answer the last call, or that the last update came
-	// from a neighbour.
+	// from a peer.
 	knownAt, unconfirmed := time.Time{}, false
 	startEnd := m.Now().Add(m.StartupPeriod)
 	for ctx.Err() == nil {
@@ -144,7 +145,7 @@
 			m.Apply(u)
 			if u.FromPeer {
 				settle = m.Settle
-				continue // the neighbour has already coalesced changes
+				continue // the peer has already coalesced changes
 			}
 			if len(u.KVs)+len(u.Deleted) == 0 {
 				settle = m.Settle
@@ -178,7 +179,7 @@
 // After an outage, or when this process starts to read the service in place of
 // another, a poll of the full wait would let a state that is already old grow older
 // by that wait, beyond the age up to which it is used. While a process waits for a
-// service that may be unreachable, it also receives nothing from its neighbours.
+// service that may be unreachable, it also receives nothing from its peers.
 func (m *Mirror) pollWait(age time.Duration, unconfirmed bool) time.Duration {
 	if unconfirmed {
 		return minPollWait
@@ -222,10 +223,10 @@
 	}
 }
 
-// errPollAborted reports that a poll was aborted by Doubt and is to be repeated.
+// errPollAborted reports that a poll was aborted by Repoll and is to be repeated.
 var errPollAborted = errors.New("mirror: poll aborted")
 
-// poll polls the service until it answers or Doubt is raised.
+// poll polls the service until it answers or Repoll is raised.
 func (m *Mirror) poll(ctx context.Context, revision int64, wait time.Duration) (platform.Changed, error) {
 	if m.Repoll == nil {
 		return m.Reader.Poll(ctx, m.Prefix, revision, wait)
--- a/internal/platform/mirror/mirror_test.go
+++ b/internal/platform/mirror/mirror_test.go
@@ -137,7 +137,7 @@
 
 // The lease of a group's leader expires during an outage of the store of 6 s. The poll
 // that was pending at its beginning is never answered, and nothing else changes under
-// the prefix, so that the group had no leader for 5 s more. Checks that raising Doubt,
+// the prefix, so that the group had no leader for 5 s more. Checks that raising Repoll,
 // as a process does when its lease renewals are answered again, repeats the poll.
 func TestDoubtedPollIsAskedAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/ranker/loads.go
+++ b/internal/ranker/loads.go
@@ -31,7 +31,7 @@
 	// closed then.
 	lastSent   time.Time
 	lastClosed bool
-	// knownLists records which list of engines each entry has received.
+	// sentLists records which list of engines each entry has received.
 	sentLists fleet.SentLists
 }
 
--- a/internal/ranker/term.go
+++ b/internal/ranker/term.go
@@ -49,7 +49,7 @@
 	poller  poller
 	// tree selects the delegates through which agents are reached.
 	tree fanout.Tree
-	// knownLists records which target lists delegates have received.
+	// sentLists records which target lists delegates have received.
 	sentLists fleet.SentLists
 	// sumsPolledAt is when delegates were last asked for sums of counts. countsPolled
 	// reports whether the last poll asked for counts.
