--- a/internal/frontend/follow.go
+++ b/internal/frontend/follow.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// followTimeoutMargin is added to readers.HearWait before the other entry counts as
-	// unresponsive.
+	// followTimeoutMargin is added to readers.FollowWait before the other entry counts
+	// as unresponsive.
 	followTimeoutMargin = 250 * time.Millisecond
 	// unavailableRetryDelay is the delay before the next request to an entry that had
 	// nothing to report, which it says immediately.
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -73,7 +73,7 @@
 	Output io.Writer
 	// Reload loads the settings again; nil means that they never change.
 	Reload func() (*settings.Relay, error)
-	// Hangup receives a value when the settings may have changed.
+	// ReloadSignal receives a value when the settings may have changed.
 	ReloadSignal <-chan os.Signal
 
 	store        *platform.Store
@@ -98,8 +98,8 @@
 	workReporter   *workReporter
 	hub            hub
 	// storeCopy holds what was received from the store, to be passed to other entries,
-	// and sourceChoice selects the entry from which updates are requested. Only the
-	// mirror's goroutine uses sourceChoice and the fields from source to
+	// and sourceSelector selects the entry from which updates are requested. Only the
+	// mirror's goroutine uses sourceSelector and the fields from source to
 	// storeLostByPeer. Once hasSource is set, source and sourceAddress identify the
 	// entry asked last; an empty source is the store. sourceOrigin is the entry that
 	// received the source's updates from the store itself. storeRecovered is the last
@@ -229,7 +229,7 @@
 // readiness answers the check whether the process accepts connections.
 type readiness struct{ frontend *Frontend }
 
-// Pass implements caller.Passer.
+// Forward implements caller.Passer.
 func (r readiness) Forward(_ context.Context, raw *caller.Raw, w *caller.Reply) {
 	status := http.StatusServiceUnavailable
 	switch {
--- a/internal/frontend/loads.go
+++ b/internal/frontend/loads.go
@@ -29,7 +29,7 @@
 }
 
 // loadsFrom decodes the loads of engines. Missing counts are taken as zero and a
-// missing pace as normal.
+// missing slowdown as normal.
 func loadsFrom(q *fleetpb.LoadsRequest, targets []*fleetpb.Target, now time.Time) []relay.EndpointLoad {
 	at := now.Add(-time.Duration(q.GetAgeMicros()) * time.Microsecond)
 	loads := make([]relay.EndpointLoad, 0, len(targets))
--- a/internal/frontend/prove.go
+++ b/internal/frontend/prove.go
@@ -28,7 +28,7 @@
 //
 // A store, or the network to it, may refuse some entries and serve the others.
 // Without these queries the refused ones would reject all keys after some seconds,
-// although their neighbours know that none was revoked.
+// although other entries know that none was revoked.
 func (f *Frontend) refreshFromPeers(ctx context.Context) error {
 	t := time.NewTicker(freshnessQueryInterval)
 	defer t.Stop()
--- a/internal/frontend/work.go
+++ b/internal/frontend/work.go
@@ -39,8 +39,8 @@
 // An entry may see only a ninth of the requests; without knowing the work of the
 // others it would fill some engines while others are idle.
 //
-// In a fleet of more than fanout.FewEntries, messages from each entry to all others
-// would grow with the square of the fleet. One entry of each data centre then
+// In a fleet of more than fanout.MaxDirectEntries, messages from each entry to all
+// others would grow with the square of the fleet. One entry of each data centre then
 // receives the reports and forwards them, see hub.
 type workReporter struct {
 	frontend    *Frontend
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -28,7 +28,7 @@
 	// been refused.
 	done chan *result.Error
 
-	// Belief.mu guards the fields below. queued means that the request is in the queue, and late
+	// State.mu guards the fields below. queued means that the request is in the queue, and late
 	// that it can no longer meet its target.
 	queued, late bool
 	assigned     Assignment
@@ -37,7 +37,7 @@
 	placeErr, refusal *result.Error
 }
 
-// Ask is a request to be assigned to an endpoint.
+// AdmitRequest is a request to be assigned to an endpoint.
 type AdmitRequest struct {
 	Service *routing.Service
 	Query   placement.Query
@@ -46,19 +46,20 @@
 	ID string
 	// Account is the name of the account, or that of requests without one.
 	Account string
-	// Target is the time at which the first part of the answer is due, and End the caller's
-	// deadline. TargetTime is the latency target from which Target follows.
+	// FirstPartDeadline is the time at which the first part of the answer is due, and Deadline the
+	// caller's deadline. TargetLatency is the latency target from which FirstPartDeadline follows.
 	FirstPartDeadline, Deadline time.Time
 	TargetLatency               time.Duration
-	// CameBack means that an earlier attempt of the caller was refused or failed.
+	// AskedBefore means that an earlier attempt of the caller was refused or failed.
 	AskedBefore bool
-	// Leaves is when the caller gives up if no part of the answer has arrived; zero means at End.
+	// AbandonAt is when the caller gives up if no part of the answer has arrived; zero means at
+	// Deadline.
 	AbandonAt time.Time
 	Priority  int
 }
 
 // Admit assigns a request to an endpoint, after waiting in the queue if necessary, or returns why
-// it can't be assigned. The caller must call Ended with each place that it gets.
+// it can't be assigned. The caller must call Release with each place that it gets.
 //
 // Under overload, a request waits for as long as its answer can meet its target, and then behind
 // all other requests for as long as it is expected to be assigned before the caller's deadline.
@@ -236,7 +237,7 @@
 	}
 }
 
-// Pump assigns or refuses waiting requests according to the current state.
+// DispatchWaiting assigns or refuses waiting requests according to the current state.
 func (st *State) DispatchWaiting(now time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -16,7 +16,7 @@
 // maxAnswerBytes bounds the size of an answer that is buffered until it is complete.
 const maxAnswerBytes = 8 << 20
 
-// Whole is a complete buffered answer.
+// BufferedAnswer is a complete buffered answer.
 type BufferedAnswer struct {
 	Status int
 	Header http.Header
@@ -123,7 +123,7 @@
 	}
 }
 
-// brokenOutcome returns the outcome of a stream that failed after a part of it was forwarded.
+// interruptedOutcome returns the outcome of a stream that failed after a part of it was forwarded.
 func (j *job) interruptedOutcome(err error) Outcome {
 	if errors.Is(err, context.Canceled) {
 		return Disconnected{Cause: err}
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// forwardWhole reads the complete answer before it forwards any of it, so that the request can
+// forwardBuffered reads the complete answer before it forwards any of it, so that the request can
 // still be sent to another endpoint if the answer is cut off.
 func (j *job) forwardBuffered(ctx context.Context, assigned Assignment, a *direct.Answer) Outcome {
 	body, err := io.ReadAll(io.LimitReader(a, maxAnswerBytes+1))
@@ -245,7 +245,7 @@
 	return Delivered{}
 }
 
-// Sweep closes idle connections once a second until ctx ends.
+// CloseIdleConns closes idle connections once a second until ctx ends.
 func (r *Relay) CloseIdleConns(ctx context.Context) error {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
--- a/internal/relay/belief.go
+++ b/internal/relay/belief.go
@@ -15,8 +15,9 @@
 )
 
 const (
-	// lapseHold is how long, after the store comes back, endpoints whose entries vanished while it
-	// was away are kept. Running endpoints write their entries again within about two seconds.
+	// retentionAfterOutage is how long, after the store comes back, endpoints whose entries
+	// vanished while it was away are kept. Running endpoints write their entries again within about
+	// two seconds.
 	retentionAfterOutage = 2 * time.Second
 	// startupHold is how long after its start the process holds requests that arrive before it
 	// knows a configuration.
@@ -29,7 +30,7 @@
 	// maxLoadAge is the age from which a load report is no better than this entry's own count: half
 	// of the requests that ran then have ended.
 	maxLoadAge = 1500 * time.Millisecond
-	// maxWorkAge is the age from which another entry's report of its work is ignored. Entries
+	// maxEntryLoadAge is the age from which another entry's report of its work is ignored. Entries
 	// report at least once a second.
 	maxEntryLoadAge = 2500 * time.Millisecond
 	// failureThreshold is the number of reported failures in a row after which an endpoint gets no
@@ -41,7 +42,7 @@
 	extraQueue = 4
 )
 
-// Budget is the retry budget of the whole fleet.
+// RetryBudget is the retry budget of the whole fleet.
 type RetryBudget struct {
 	// Share is the fraction of requests that may be retried. Slack is the number of further retries
 	// allowed in each Window.
@@ -49,12 +50,13 @@
 	Window       time.Duration
 }
 
-// Load is one endpoint's load as reported by a process beside it.
+// EndpointLoad is one endpoint's load as reported by a process beside it.
 type EndpointLoad struct {
 	// Address is the endpoint's IP:port.
 	Address         string
 	Running, Queued int
-	// Pace is the slowdown factor of the endpoint relative to its usual speed; zero means unknown.
+	// Slowdown is the slowdown factor of the endpoint relative to its usual speed; zero means
+	// unknown.
 	Slowdown float64
 	// Closed means that the endpoint's group accepts no requests, and Forming that the group is
 	// about to accept them.
@@ -63,9 +65,9 @@
 	At time.Time
 }
 
-// Work is what another entry reports of its requests at endpoints.
+// EntryLoad is what another entry reports of its requests at endpoints.
 type EntryLoad struct {
-	// Entry is the entry's name. Born and Number order its messages.
+	// Entry is the entry's name. Incarnation and Sequence order its messages.
 	Entry                 string
 	Incarnation, Sequence uint64
 	// Running holds the number of running requests by endpoint ID.
@@ -76,18 +78,18 @@
 	At time.Time
 }
 
-// Belief is an entry's view of the configuration, the endpoints and their load, and its queue of
-// waiting requests. Set the exported fields, then call Begin before any other method. It is safe
+// State is an entry's view of the configuration, the endpoints and their load, and its queue of
+// waiting requests. Set the exported fields, then call Init before any other method. It is safe
 // for concurrent use.
 type State struct {
 	DataCentre string
 	// Name is the entry's own name.
 	Name string
 	Seed uint64
-	// Fresh tracks how old the known configuration and keys are.
+	// Freshness tracks how old the known configuration and keys are.
 	Freshness *Freshness
-	// Changed, if set, is called when this entry's own work or a limit reported to it changes, with
-	// an internal lock held. It must not block and must not call methods of the Belief.
+	// OnChange, if set, is called when this entry's own work or a limit reported to it changes,
+	// with an internal lock held. It must not block and must not call methods of the State.
 	OnChange func()
 
 	mu           sync.Mutex // guards the fields below
@@ -103,7 +105,7 @@
 	addresses    map[string]directory.Endpoint
 	loads        map[string]EndpointLoad
 	entryLoads   map[string]EntryLoad
-	// othersRunning is the sum of the running requests in works, by endpoint.
+	// othersRunning is the sum of the running requests in entryLoads, by endpoint.
 	othersRunning   map[string]int
 	queue           admission.Controller
 	waiters         map[string]*waiter
@@ -134,7 +136,7 @@
 	startedAt time.Time
 }
 
-// Begin initialises b. The time now counts as the start of the process.
+// Init initialises st. The time now counts as the start of the process.
 func (st *State) Init(now time.Time) {
 	st.dir.RetentionAfterOutage = retentionAfterOutage
 	st.dir.ColdStart = st.coldStart
@@ -219,7 +221,7 @@
 // can't clash.
 const anonymousAccount = "no account"
 
-// Change calls f with the directory. f must not call methods of b.
+// UpdateDirectory calls f with the directory. f must not call methods of st.
 func (st *State) UpdateDirectory(f func(*directory.Directory)) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -227,7 +229,7 @@
 	st.dirty = true
 }
 
-// Listed records that all endpoints have been read once.
+// EndpointsListed records that all endpoints have been read once.
 func (st *State) EndpointsListed() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -242,7 +244,7 @@
 	}
 }
 
-// AwaitKnown waits until a configuration and the endpoints are known, or ctx ends, or startupHold
+// AwaitReady waits until a configuration and the endpoints are known, or ctx ends, or startupHold
 // has passed since the start of the process.
 //
 // When a whole fleet restarts, callers arrive a few tenths of a second before the store has
@@ -262,7 +264,7 @@
 	}
 }
 
-// Known reports whether a configuration and the endpoints are known.
+// Ready reports whether a configuration and the endpoints are known.
 func (st *State) Ready() bool {
 	select {
 	case <-st.ready:
@@ -272,7 +274,7 @@
 	}
 }
 
-// LongestLeft records the time that a caller of the route has left and returns the largest value
+// MaxTimeLeft records the time that a caller of the route has left and returns the largest value
 // recorded for the route.
 func (st *State) MaxTimeLeft(route string, left time.Duration) time.Duration {
 	st.mu.Lock()
@@ -281,8 +283,8 @@
 	return st.longestTimeLeft[route]
 }
 
-// Waiting returns the services with waiting requests that can meet their target. Late requests
-// claim no share of the slots.
+// WaitingServices returns the services with waiting requests that can meet their target. Late
+// requests claim no share of the slots.
 func (st *State) WaitingServices() []string {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -298,14 +300,14 @@
 	return out
 }
 
-// Own returns the number of this entry's running requests by endpoint ID.
+// OwnRunning returns the number of this entry's running requests by endpoint ID.
 func (st *State) OwnRunning() map[string]int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return maps.Clone(st.ownRunning)
 }
 
-// Turned records how long an endpoint reports that it will stay cold.
+// SetCold records how long an endpoint reports that it will stay cold.
 func (st *State) SetCold(id string, cold time.Duration, now time.Time) {
 	st.UpdateDirectory(func(d *directory.Directory) { d.ExtendColdStart(id, cold, now) })
 }
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -12,7 +12,7 @@
 // benchSizes are numbers of engines of a service, as in existing deployments and beyond.
 var benchSizes = []int{12, 64, 129, 512}
 
-// benchBelief returns the view of an entry in a fleet of 36 with n engines.
+// benchState returns the state of an entry in a fleet of 36 with n engines.
 func benchState(n int) (*State, *routing.Service) {
 	e := testEngine()
 	e.Experts.Sets = 12
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -6,21 +6,21 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/caller/admission"
 )
 
-// First counts a first attempt towards the retry budget of a service.
+// CountFirstAttempt counts a first attempt towards the retry budget of a service.
 func (st *State) CountFirstAttempt(service string, now time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.budget(service, now).RecordFirstAttempt(now)
 }
 
-// Spend takes one retry from the budget of a service and reports whether there was one.
+// TakeRetry takes one retry from the budget of a service and reports whether there was one.
 func (st *State) TakeRetry(service string, now time.Time) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.budget(service, now).TrySpend(now)
 }
 
-// MaySpend reports whether Spend would succeed.
+// MayRetry reports whether TakeRetry would succeed.
 func (st *State) MayRetry(service string, now time.Time) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/internal/relay/dialect.go
+++ b/internal/relay/dialect.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Dialect translates between the relay's terms and the headers of requests and answers.
+// HeaderCodec translates between the relay's terms and the headers of requests and answers.
 type HeaderCodec interface {
 	// ReadRequest parses the headers of a caller's request.
 	ReadRequest(h http.Header) RequestInfo
@@ -15,7 +15,7 @@
 	ReadAnswer(status int, h http.Header) AnswerInfo
 }
 
-// Facts holds what a caller states about its request.
+// RequestInfo holds what a caller states about its request.
 type RequestInfo struct {
 	// ID identifies this attempt of the caller.
 	ID string
@@ -27,19 +27,19 @@
 	Resume string
 	// PromptTokens and OutputTokens are the size of a generation request.
 	PromptTokens, OutputTokens int
-	// Subject identifies the last part of the prompt's prefix, which is the most specific to the
+	// PromptID identifies the last part of the prompt's prefix, which is the most specific to the
 	// request.
 	PromptID string
 }
 
-// Stamp holds what the relay tells an endpoint about a request.
+// EndpointInfo holds what the relay tells an endpoint about a request.
 type EndpointInfo struct {
 	// Account is the name of the caller's account, or "".
 	Account string
 	// Endpoint is the ID of the intended endpoint; another endpoint at the same address does not
 	// run the request.
 	Endpoint string
-	// Left is how long the endpoint may work on the request.
+	// TimeLeft is how long the endpoint may work on the request.
 	TimeLeft time.Duration
 	// Urgency orders requests at the endpoint: 0 goes first, 9 last.
 	Urgency int
@@ -47,14 +47,14 @@
 	Resume string
 }
 
-// Told holds what an endpoint states in the headers of an answer.
+// AnswerInfo holds what an endpoint states in the headers of an answer.
 type AnswerInfo struct {
 	// ID identifies the attempt that is answered, or is "" if the endpoint doesn't say.
 	ID string
 	// Signed means that the answer carries the endpoint's signature.
 	Signed bool
-	// NotRun means that the endpoint did not run the request, and Wrong that it is not the endpoint
-	// that the request was meant for.
+	// NotRun means that the endpoint did not run the request, and Misdirected that it is not the
+	// endpoint that the request was meant for.
 	NotRun, Misdirected bool
 	// Cold is how long the endpoint stays cold; zero if it doesn't say.
 	Cold time.Duration
--- a/internal/relay/late_test.go
+++ b/internal/relay/late_test.go
@@ -11,7 +11,7 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// newGroup returns a belief with n endpoints of a service whose engines work in one group.
+// newGroup returns a state with n endpoints of a service whose engines work in one group.
 func newGroup(n int) (*State, *routing.Service) {
 	e := testEngine()
 	e.Experts.Sets = 4
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -31,14 +31,14 @@
 	burstBase    = 3
 )
 
-// Limit is the request rate that an endpoint last reported to accept.
+// RateLimit is the request rate that an endpoint last reported to accept.
 type RateLimit struct {
-	// Endpoint is the endpoint's ID, and Born the start time of the instance that reported the
-	// limit.
+	// Endpoint is the endpoint's ID, and Incarnation the start time of the instance that reported
+	// the limit.
 	Endpoint    string
 	Incarnation uint64
 	// PerSecond is the number of requests per second that the endpoint accepts from all entries
-	// together. None means that it reports no limit.
+	// together. Unlimited means that it reports no limit.
 	PerSecond float64
 	Unlimited bool
 	// At is the latest possible time of the report.
@@ -106,8 +106,9 @@
 	return known, true
 }
 
-// Limited records the limit, in requests per second, that an endpoint reports in an answer to this
-// entry. A negative value means that it reports none. It returns whether the known limit changed.
+// RecordLimit records the limit, in requests per second, that an endpoint reports in an answer to
+// this entry. A negative value means that it reports none. It returns whether the known limit
+// changed.
 func (st *State) RecordLimit(assigned Assignment, perSecond float64, now time.Time) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -125,10 +126,10 @@
 	maps.DeleteFunc(l.own, old)
 }
 
-// OwnLimits returns the limits that endpoints have reported to this entry within limitShareAge,
-// latest first, to be passed on to the other entries. Their number is bounded: messages are sent
-// each 20 ms, and would otherwise grow with the number of limited endpoints, which may be a
-// thousand.
+// RecentOwnLimits returns the limits that endpoints have reported to this entry within
+// limitShareAge, latest first, to be passed on to the other entries. Their number is bounded:
+// messages are sent each 20 ms, and would otherwise grow with the number of limited endpoints,
+// which may be a thousand.
 func (st *State) RecentOwnLimits(now time.Time) []RateLimit {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -143,7 +144,7 @@
 	return out[:min(len(out), maxSharedLimits)]
 }
 
-// HearLimits merges the limits that endpoints have reported to another entry, and returns those
+// MergeLimits merges the limits that endpoints have reported to another entry, and returns those
 // that were new. In a large fleet each entry sends an endpoint a request only now and then; without
 // the exchange each would learn of a limit only by sending one request too many.
 func (st *State) MergeLimits(received []RateLimit) []RateLimit {
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -28,8 +28,8 @@
 	st.dispatchWaiting(now)
 }
 
-// SetWorks stores other entries' reports of their work. It ignores reports that are older than the
-// known ones.
+// SetEntryLoads stores other entries' reports of their work. It ignores reports that are older than
+// the known ones.
 func (st *State) SetEntryLoads(entryLoads []EntryLoad, now time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -53,14 +53,14 @@
 	st.dispatchWaiting(now)
 }
 
-// Informers returns the number of other entries whose work is known.
+// ReportingEntries returns the number of other entries whose work is known.
 func (st *State) ReportingEntries() int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return len(st.entryLoads)
 }
 
-// addWork adds an entry's requests to othersRunning, or subtracts them if sign is -1.
+// addEntryLoad adds an entry's requests to othersRunning, or subtracts them if sign is -1.
 func (st *State) addEntryLoad(l EntryLoad, sign int) {
 	for id, n := range l.Running {
 		if st.othersRunning[id] += sign * n; st.othersRunning[id] == 0 {
@@ -69,13 +69,13 @@
 	}
 }
 
-// removeWork deletes the report of an entry.
+// removeEntryLoad deletes the report of an entry.
 func (st *State) removeEntryLoad(entry string) {
 	st.addEntryLoad(st.entryLoads[entry], -1)
 	delete(st.entryLoads, entry)
 }
 
-// removeStaleWorks deletes reports older than maxWorkAge.
+// removeStaleEntryLoads deletes reports older than maxEntryLoadAge.
 func (st *State) removeStaleEntryLoads(now time.Time) {
 	for name, l := range st.entryLoads {
 		if now.Sub(l.At) >= maxEntryLoadAge {
@@ -123,9 +123,9 @@
 	return int(float64(n) * (fastest / slowdown) * (fastest / slowdown))
 }
 
-// paces returns the slowdown factor of an endpoint and the lowest one of its service. Both are 1
-// for an endpoint that is not slow, which is the usual case, so that a report seldom has to look at
-// all other endpoints.
+// slowdowns returns the slowdown factor of an endpoint and the lowest one of its service. Both are
+// 1 for an endpoint that is not slow, which is the usual case, so that a report seldom has to look
+// at all other endpoints.
 func (st *State) slowdowns(ep directory.Endpoint) (slowdown, fastest float64) {
 	slowdown = st.loads[ep.ID].Slowdown
 	if slowdown < batch.SlowFrom {
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -21,7 +21,7 @@
 	return &Metrics{registry: r, running: metrics.GetOrRegisterCounter("relay.running", r)}
 }
 
-// Watch registers gauges for the state of b.
+// RegisterGauges registers gauges for the state of st.
 func (m *Metrics) RegisterGauges(st *State, now func() time.Time) {
 	gauge := func(name string, f func() int64) { metrics.NewRegisteredFunctionalGauge(name, m.registry, f) }
 	gauge("relay.knownAge", func() int64 { return st.Freshness.Age(now()).Milliseconds() })
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -10,7 +10,7 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/routing"
 )
 
-// slowGroup is a belief with four engines, each of which runs some movable streams of this entry.
+// slowGroup is a state with four engines, each of which runs some movable streams of this entry.
 type slowGroup struct {
 	st      *State
 	service *routing.Service
@@ -41,7 +41,7 @@
 	return g
 }
 
-// report delivers load reports with the engines' paces and the placed requests.
+// report delivers load reports with the engines' slowdowns and the placed requests.
 func (g *slowGroup) report(now time.Time, slowdowns ...float64) {
 	var loads []EndpointLoad
 	for i, slowdown := range slowdowns {
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -12,7 +12,8 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Place is the assignment of a request to an endpoint. It must be given back with Belief.Ended.
+// Assignment is the assignment of a request to an endpoint. It must be given back with
+// State.Release.
 type Assignment struct {
 	Endpoint directory.Endpoint
 	// LoadAge is the age of the load report on which the choice is based, or negative if there was
@@ -112,7 +113,7 @@
 	return minWait
 }
 
-// Heard records that a part of the answer has arrived.
+// PartReceived records that a part of the answer has arrived.
 func (st *State) PartReceived(assigned Assignment, now time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -140,7 +141,7 @@
 	return true
 }
 
-// Ended gives a place back and records how the attempt ended.
+// Release gives a place back and records how the attempt ended.
 func (st *State) Release(assigned Assignment, o Outcome, now time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -44,15 +44,15 @@
 	maxKeyAge atomic.Int64
 }
 
-// SetKeyAge sets the greatest age of the configuration at which account keys are still accepted.
+// SetMaxKeyAge sets the greatest age of the configuration at which account keys are still accepted.
 // The default of zero accepts none.
 func (r *Relay) SetMaxKeyAge(d time.Duration) { r.maxKeyAge.Store(int64(d)) }
 
-// KeyAge returns the value set by SetKeyAge.
+// KeyAge returns the value set by SetMaxKeyAge.
 func (r *Relay) KeyAge() time.Duration { return time.Duration(r.maxKeyAge.Load()) }
 
-// Refuse makes the relay answer each further request as not run, because the process is about to
-// exit and could not finish it.
+// StopAccepting makes the relay answer each further request as not run, because the process is
+// about to exit and could not finish it.
 func (r *Relay) StopAccepting() { r.stopping.Store(true) }
 
 // job is the state of one request.
@@ -86,7 +86,7 @@
 	pauseEndedAt time.Time
 }
 
-// Pass implements caller.Passer.
+// Forward implements caller.Passer.
 func (r *Relay) Forward(ctx context.Context, raw *caller.Raw, w *caller.Reply) {
 	r.State.AwaitReady(ctx, r.Now())
 	now := r.Now()
--- a/internal/relay/retry.go
+++ b/internal/relay/retry.go
@@ -7,8 +7,8 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Outcome is how one attempt at an endpoint ended: Delivered, NotRun, Failed, Unknown, Broken,
-// Moved, Gone or Unused.
+// Outcome is how one attempt at an endpoint ended: Delivered, NotRun, Failed, Unknown,
+// Interrupted, Moved, Disconnected or Unused.
 type Outcome interface{ outcome() }
 
 // Delivered means that the caller has the complete answer.
@@ -28,14 +28,14 @@
 // Unknown means that the request may have run and that no part of its answer was forwarded.
 type Unknown struct{ Cause error }
 
-// Broken means that a part of the answer was forwarded and the rest did not arrive.
+// Interrupted means that a part of the answer was forwarded and the rest did not arrive.
 type Interrupted struct{ Cause error }
 
 // Moved means that the request continues at another endpoint, already assigned, because this one
 // holds up its group.
 type Moved struct{}
 
-// Gone means that the caller disconnected or stopped reading.
+// Disconnected means that the caller disconnected or stopped reading.
 type Disconnected struct{ Cause error }
 
 // Unused means that the place was given back before anything was sent to the endpoint.
@@ -50,18 +50,18 @@
 func (Disconnected) outcome() {}
 func (Unused) outcome()       {}
 
-// Step is the decision after an attempt.
+// Decision is the decision after an attempt.
 type Decision int
 
-// Values of Step.
+// Values of Decision.
 const (
 	// End means that the last outcome decides the request's answer.
 	End Decision = iota
-	// Again means that the request is sent to another endpoint.
+	// Retry means that the request is sent to another endpoint.
 	Retry
 )
 
-// Tries counts the attempts of a request.
+// AttemptCounts counts the attempts of a request.
 type AttemptCounts struct {
 	// Sent is the number of endpoints to which the request was sent, and Unsent the number that
 	// received no byte of it.
--- a/internal/relay/shares.go
+++ b/internal/relay/shares.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Shares decides whether this entry may send a request now to an endpoint that accepts a limited
-// rate from all entries together: a cold one, or one that reports a limit.
+// RateShares decides whether this entry may send a request now to an endpoint that accepts a
+// limited rate from all entries together: a cold one, or one that reports a limit.
 //
 // When a data centre comes back, or endpoints become cold under traffic, they look idle. All
 // entries would choose them at the same moment, and an endpoint fails well above the rate that it
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Repeat says whether a request may run more than once.
+// RetrySemantics says whether a request may run more than once.
 type RetrySemantics int
 
-// Values of Repeat.
+// Values of RetrySemantics.
 const (
 	// RunOnce requests run at most once for each attempt of a caller.
 	RunOnce RetrySemantics = iota
@@ -40,8 +40,9 @@
 	Repeat RetrySemantics
 	// Timeout bounds the handling of a request; zero means no bound.
 	Timeout time.Duration
-	// Target is the time to the first part of the answer (for a plain answer, the whole of it) up
-	// to which the answer has its full value. Gap is the longest acceptable pause between events.
+	// TargetLatency is the time to the first part of the answer (for a plain answer, the whole of
+	// it) up to which the answer has its full value. MaxGap is the longest acceptable pause between
+	// events.
 	TargetLatency, MaxGap time.Duration
 	// Patience is the time without any part of the answer after which a caller gives up; zero means
 	// that it waits until its deadline.
@@ -107,10 +108,10 @@
 	// Stride is the number of token steps in one pass.
 	Stride int
 	// Step is the duration of a token step. Each request that is producing output adds PerSequence
-	// to it, and each thousand tokens of context add PerThousand.
+	// to it, and each thousand tokens of context add PerThousandTokens.
 	Step, PerSequence, PerThousandTokens time.Duration
-	// ReadRate is the number of prompt tokens read per second, and Chunk the largest number of them
-	// read in one step.
+	// PrefillRate is the number of prompt tokens read per second, and PrefillChunk the largest
+	// number of them read in one step.
 	PrefillRate  float64
 	PrefillChunk int
 	// MeanPrompt and MeanOutput are the mean numbers of tokens of a request.
@@ -123,8 +124,8 @@
 // Experts describes how the experts of a model are placed on the ranks of a group.
 type Experts struct {
 	// Sets is the number of sets of layers with a placement of their own, and Count the number of
-	// experts in a set. Of each set a rank holds Slots experts, and can load Spare more while those
-	// are in use.
+	// experts in a set. Of each set a rank holds Slots experts, and can load SpareSlots more while
+	// those are in use.
 	Sets, Count, Slots, SpareSlots int
 	// Bytes is the size of one expert's weights, and LinkRate the rate, in bytes per second, at
 	// which a rank loads weights.
@@ -160,7 +161,7 @@
 	limits   Limits
 }
 
-// Keyed is an account together with its keys.
+// AccountKeys is an account together with its keys.
 type AccountKeys struct {
 	Account Account
 	Keys    []string
@@ -241,8 +242,8 @@
 	return out
 }
 
-// Gaps returns the smallest Gap of all routes to each service. Services whose routes set no Gap are
-// absent.
+// MaxGaps returns the smallest MaxGap of all routes to each service. Services whose routes set no
+// MaxGap are absent.
 func (t *Table) MaxGaps() map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for _, routes := range t.hosts {
