--- a/cmd/hyssoprelay/ranker_test.go
+++ b/cmd/hyssoprelay/ranker_test.go
@@ -47,7 +47,7 @@
 // leader returns the process that leads the group, or -1.
 func (r *rankers) leader() int {
 	for i, p := range r.procs {
-		if p.log.Has("group led from here") {
+		if p.log.Has("group leadership acquired") {
 			return i
 		}
 	}
--- a/internal/operator/command/explain.go
+++ b/internal/operator/command/explain.go
@@ -23,11 +23,11 @@
 	longestLine = 1 << 20
 )
 
-// beliefs are the messages that tell of a change of what a process believes.
-var beliefs = []string{
+// stateMessages are the messages that report a change of the state of a process.
+var stateMessages = []string{
 	"dependency lost", "dependency regained", "configuration in force", "data centre order in force",
 	"endpoint entry removed", "freshness of keys confirmed by another entry", "settings reloaded", "full store listing applied",
-	"group led from here", "group no longer led from here", "relay started", "relay draining", "relay stopping",
+	"group leadership acquired", "group leadership lost", "relay started", "relay draining", "relay stopping",
 	"log lines left out", "log lines lost, the output is not read", "agent does not answer, its engine is asked directly",
 }
 
@@ -182,10 +182,10 @@
 	}
 	msg := l.field("msg")
 	if strings.HasPrefix(msg, "group ") {
-		return slices.Contains(beliefs, msg)
+		return slices.Contains(stateMessages, msg)
 	}
 	if endpoints[l.field("endpoint")] {
 		return processes[l.field("process")]
 	}
-	return processes[l.field("process")] && msg != "endpoint entry removed" && slices.Contains(beliefs, msg)
+	return processes[l.field("process")] && msg != "endpoint entry removed" && slices.Contains(stateMessages, msg)
 }
--- a/internal/ranker/members.go
+++ b/internal/ranker/members.go
@@ -97,7 +97,7 @@
 	m, ok, err := fleet.Decode(item.Key(), item.Value())
 	switch {
 	case err != nil:
-		r.Log.WithField("cause", err.Error()).Warn("cannot decode member key; ignored")
+		r.Log.WithField("cause", err.Error()).Warn("malformed store entry ignored")
 	case ok && m.Kind == fleet.Agent:
 		r.agents[m.Name] = m
 		delete(r.lapsed, m.Name)
--- a/internal/ranker/ranker.go
+++ b/internal/ranker/ranker.go
@@ -235,14 +235,14 @@
 	previous, known := r.leader.last()
 	token, until, err := lease.Acquire(ctx, now)
 	if err != nil {
-		r.Log.WithFields(logrus.Fields{"group": s.Group, "cause": err.Error()}).Info("group not led from here")
+		r.Log.WithFields(logrus.Fields{"group": s.Group, "cause": err.Error()}).Info("group leadership not acquired")
 		return
 	}
 	own := leaderInfo{name: r.Settings.Name, Predecessor: lockstep.Predecessor{Token: token, Rank: s.Rank}}
 	r.leader.observe(own, now)
 	defer func() { r.leader.observe(own, boottime.Now()) }()
 	r.counters.terms.Inc(1)
-	r.Log.WithFields(logrus.Fields{"group": s.Group, "token": token, "epoch": s.Epoch}).Info("group led from here")
+	r.Log.WithFields(logrus.Fields{"group": s.Group, "token": token, "epoch": s.Epoch}).Info("group leadership acquired")
 	r.leading.Store(true)
 	defer r.leading.Store(false)
 	t := newTerm(r, lease, s, token, until)
@@ -254,7 +254,7 @@
 	stopMembers := r.watchMembers(ctx)
 	t.run(ctx)
 	stopMembers()
-	r.Log.WithFields(logrus.Fields{"group": s.Group, "token": token}).Info("group no longer led from here")
+	r.Log.WithFields(logrus.Fields{"group": s.Group, "token": token}).Info("group leadership lost")
 }
 
 // leaseIsFree reports whether no agent holds the group's lease. It records the holder
--- a/internal/ranker/ranker_test.go
+++ b/internal/ranker/ranker_test.go
@@ -100,7 +100,7 @@
 
 func (g *testGroup) leader() int {
 	for i, l := range g.logs {
-		if l.Has("group led from here") {
+		if l.Has("group leadership acquired") {
 			return i
 		}
 	}
@@ -158,7 +158,7 @@
 	g.stops[old]()
 	g.eventually("another agent leads the group", func() bool {
 		for i, l := range g.logs {
-			if i != old && l.Has("group led from here") {
+			if i != old && l.Has("group leadership acquired") {
 				return true
 			}
 		}
@@ -202,7 +202,7 @@
 	g.store.SetFault(standin.Busy)
 	time.Sleep(2 * leaseTTL)
 	g.awaitProgress()
-	if g.logs[g.leader()].Has("group no longer led from here") {
+	if g.logs[g.leader()].Has("group leadership lost") {
 		t.Fatal("the term ended during the outage")
 	}
 	g.store.SetFault(standin.Well)
