--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -95,7 +95,7 @@
 // isOwnAnswer reports whether an answer carries this request's ID, or none.
 func (j *job) isOwnAnswer(h http.Header) bool {
 	id := j.relay.HeaderCodec.ReadAnswer(http.StatusOK, h).ID
-	return id == "" || id == j.info.ID
+	return id == "" || id == j.requestInfo.ID
 }
 
 // maxUrgency is the least urgent value that endpoints accept.
@@ -152,7 +152,7 @@
 		return nil
 	case !info.Signed:
 		return errUnsigned
-	case info.ID != j.info.ID:
+	case info.ID != j.requestInfo.ID:
 		return errRequestIDMismatch
 	}
 	return nil
--- a/internal/relay/jobadmit.go
+++ b/internal/relay/jobadmit.go
@@ -11,7 +11,7 @@
 // query returns the placement query for the next attempt.
 func (j *job) query() placement.Query {
 	return placement.Query{
-		Tokens:  j.info.PromptTokens + j.info.OutputTokens,
+		Tokens:  j.requestInfo.PromptTokens + j.requestInfo.OutputTokens,
 		Tried:   j.tried,
 		RunOnce: !j.route.MayRepeat(),
 	}
@@ -53,7 +53,7 @@
 		return st.Choose(j.service, q, now)
 	}
 	req := AdmitRequest{
-		Service: j.service, Query: q, ID: j.info.ID, Account: anonymousAccount,
+		Service: j.service, Query: q, ID: j.requestInfo.ID, Account: anonymousAccount,
 		FirstPartDeadline: j.firstPartDeadline(), Deadline: j.deadline, Priority: j.urgency(),
 		TargetLatency: j.route.TargetLatency, AskedBefore: j.askedBefore(), AbandonAt: j.abandonTime(),
 	}
@@ -93,14 +93,14 @@
 // refused or failed. It returns zero if such a caller can't be told from one with a shorter time
 // limit.
 func (j *job) timeUsed() time.Duration {
-	if j.info.TimeLeft <= 0 {
+	if j.requestInfo.TimeLeft <= 0 {
 		return 0
 	}
-	longest := j.relay.State.MaxTimeLeft(j.route.Name, j.info.TimeLeft)
-	if j.info.TimeLeft >= time.Duration(firstAskFraction*float64(longest)) {
+	longest := j.relay.State.MaxTimeLeft(j.route.Name, j.requestInfo.TimeLeft)
+	if j.requestInfo.TimeLeft >= time.Duration(firstAskFraction*float64(longest)) {
 		return 0
 	}
-	return longest - j.info.TimeLeft
+	return longest - j.requestInfo.TimeLeft
 }
 
 // firstPartDeadline returns when the first part of the answer must arrive to meet the latency
--- a/internal/relay/late_test.go
+++ b/internal/relay/late_test.go
@@ -276,7 +276,7 @@
 		askedBefore bool
 	}{{8 * time.Second, false}, {6900 * time.Millisecond, false}, {5300 * time.Millisecond, true}} {
 		t.Run(fmt.Sprint(c.left), func(t *testing.T) {
-			j := &job{relay: &Relay{State: st}, route: &routing.Route{Name: "r"}, info: RequestInfo{TimeLeft: c.left}}
+			j := &job{relay: &Relay{State: st}, route: &routing.Route{Name: "r"}, requestInfo: RequestInfo{TimeLeft: c.left}}
 			if j.askedBefore() != c.askedBefore {
 				t.Errorf("asked before: %v", !c.askedBefore)
 			}
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -96,7 +96,7 @@
 	}
 	j.relay.Metrics.countResult(code, kind, service, sinceOrZero(j.firstPartAt, j.raw.At), now.Sub(j.raw.At))
 	f := logrus.Fields{
-		"request": j.info.ID, "code": int(code), "result": code.String(), "status": status,
+		"request": j.requestInfo.ID, "code": int(code), "result": code.String(), "status": status,
 		"effect": code.Effect().String(), "took": now.Sub(j.raw.At).Milliseconds(),
 		"knownAge": j.relay.State.Freshness.Age(now).Milliseconds(),
 	}
@@ -131,7 +131,7 @@
 // logAttempt writes the log line of an attempt that is followed by another one.
 func (j *job) logAttempt(assigned Assignment, o Outcome, now time.Time) {
 	f := logrus.Fields{
-		"request": j.info.ID, "endpoint": assigned.Endpoint.ID, "loadAge": assigned.LoadAge.Milliseconds(),
+		"request": j.requestInfo.ID, "endpoint": assigned.Endpoint.ID, "loadAge": assigned.LoadAge.Milliseconds(),
 		"sent": j.attempts.Sent, "unsent": j.attempts.Unsent, "left": j.deadline.Sub(now).Milliseconds(),
 	}
 	f["outcome"] = outcomeName(o)
@@ -169,7 +169,7 @@
 // logLimit logs a limit that an endpoint reports, or, if it is negative, that it reports none any
 // more.
 func (j *job) logLimit(assigned Assignment, perSecond float64) {
-	fields := logrus.Fields{"endpoint": assigned.Endpoint.ID, "born": assigned.Endpoint.StartMillis, "service": assigned.Endpoint.Service, "request": j.info.ID}
+	fields := logrus.Fields{"endpoint": assigned.Endpoint.ID, "born": assigned.Endpoint.StartMillis, "service": assigned.Endpoint.Service, "request": j.requestInfo.ID}
 	if perSecond < 0 {
 		j.relay.Log.WithFields(fields).Info("endpoint names no limit any more")
 		return
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -57,14 +57,14 @@
 
 // job is the state of one request.
 type job struct {
-	relay   *Relay
-	raw     *caller.Raw
-	reply   *caller.Reply
-	info    RequestInfo
-	table   *routing.Table
-	route   *routing.Route
-	service *routing.Service
-	account *routing.Account
+	relay       *Relay
+	raw         *caller.Raw
+	reply       *caller.Reply
+	requestInfo RequestInfo
+	table       *routing.Table
+	route       *routing.Route
+	service     *routing.Service
+	account     *routing.Account
 	// deadline is the earlier of the caller's and the route's deadline.
 	deadline time.Time
 	attempts AttemptCounts
@@ -90,7 +90,7 @@
 func (r *Relay) Forward(ctx context.Context, raw *caller.Raw, w *caller.Reply) {
 	r.State.AwaitReady(ctx, r.Now())
 	now := r.Now()
-	j := &job{relay: r, raw: raw, reply: w, info: r.HeaderCodec.ReadRequest(raw.Header)}
+	j := &job{relay: r, raw: raw, reply: w, requestInfo: r.HeaderCodec.ReadRequest(raw.Header)}
 	if e := j.resolve(now); e != nil {
 		j.refuse(e, now)
 		return
@@ -122,7 +122,7 @@
 	if e := j.checkKey(now); e != nil {
 		return e
 	}
-	j.service = j.table.Service(j.route.Pick(hashFraction(j.info.ID + j.raw.Target)))
+	j.service = j.table.Service(j.route.Pick(hashFraction(j.requestInfo.ID + j.raw.Target)))
 	if j.service == nil {
 		return result.New(result.NoEndpoint, "the route has no service").WithRetryAfter(retryAfterNoEndpoint)
 	}
@@ -130,7 +130,7 @@
 	if !now.Before(j.deadline) {
 		return result.New(result.DeadlinePassed, "")
 	}
-	j.lastEventID, _ = strconv.ParseInt(j.info.Resume, 10, 64)
+	j.lastEventID, _ = strconv.ParseInt(j.requestInfo.Resume, 10, 64)
 	return nil
 }
 
@@ -143,8 +143,8 @@
 
 func (j *job) timeout() time.Duration {
 	d := j.route.Timeout
-	if j.info.TimeLeft > 0 && (d <= 0 || j.info.TimeLeft < d) {
-		d = j.info.TimeLeft
+	if j.requestInfo.TimeLeft > 0 && (d <= 0 || j.requestInfo.TimeLeft < d) {
+		d = j.requestInfo.TimeLeft
 	}
 	if d <= 0 {
 		d = defaultTimeout
@@ -164,7 +164,7 @@
 	if e := j.checkKeyAge(now); e != nil {
 		return e
 	}
-	j.account = j.table.Account(j.info.Key)
+	j.account = j.table.Account(j.requestInfo.Key)
 	if j.account == nil {
 		return result.New(result.BadAccountKey, "")
 	}
