--- a/internal/caller/admission/fairness_test.go
+++ b/internal/caller/admission/fairness_test.go
@@ -33,7 +33,7 @@
 			}
 			// Each small account asks for 2 of 20 requests per second. If the
 			// large account is worth more, each small one is entitled to a
-			// tenth of the fair part: 0.5 requests per second.
+			// tenth of the fair fraction: 0.5 requests per second.
 			minFraction := 0.9
 			if worth > 1 {
 				minFraction = 0.2
@@ -76,7 +76,7 @@
 // Guards against an account that returns from an idle period and then occupies
 // all slots until it has caught up with the others.
 func TestIdleAccountEarnsNoClaim(t *testing.T) {
-	h := newHarness(t, 4, &Controller{FairPart: 1}, Limits{Account: "busy"}, Limits{Account: "idle"})
+	h := newHarness(t, 4, &Controller{FairFraction: 1}, Limits{Account: "busy"}, Limits{Account: "idle"})
 	send := func(account string, i int) {
 		h.arrive(h.newRequest(fmt.Sprint(account, ".", i), account, time.Second, 30*time.Second), time.Second)
 	}
--- a/internal/caller/admission/request.go
+++ b/internal/caller/admission/request.go
@@ -21,11 +21,11 @@
 	// precedence over other accounts.
 	Priority int
 	// Deadline is the time by which the answer must be complete. Zero means the
-	// arrival time plus Controller.MaxWait.
+	// arrival time plus Controller.DefaultDeadline.
 	Deadline time.Time
-	// ExpectedRun is the estimated running time at an endpoint. Zero or less
-	// means the mean running time of the route.
-	ExpectedRun time.Duration
+	// ExpectedRunTime is the estimated running time at an endpoint. Zero or
+	// less means the mean running time of the route.
+	ExpectedRunTime time.Duration
 	// RunOnce marks a request that must not be run more than once.
 	RunOnce bool
 	// Tokens is the number of prompt tokens plus expected output tokens. The
@@ -38,7 +38,7 @@
 // Controller.
 type Placer func(r *Request) bool
 
-// Decision is the result of an arrival: Start, Wait or Refuse.
+// Decision is the result of an arrival: Start, Wait or Refused.
 type Decision interface{ decision() }
 
 // Start means that the Placer has assigned the request to a slot.
@@ -52,11 +52,11 @@
 	Expected time.Duration
 	// Displaced lists the waiting requests that were removed to make room for
 	// this one.
-	Displaced []Refusal
+	Displaced []QueuedRefusal
 }
 
-// Refuse means that the request has not been run and will not be.
-type Refuse struct {
+// Refused means that the request has not been run and will not be.
+type Refused struct {
 	// Code is a result code whose effect is result.NotRun.
 	Code result.Code
 	// RetryAfter is the delay after which the caller should retry. It is zero
@@ -64,12 +64,12 @@
 	RetryAfter time.Duration
 }
 
-func (Start) decision()  {}
-func (Wait) decision()   {}
-func (Refuse) decision() {}
+func (Start) decision()   {}
+func (Wait) decision()    {}
+func (Refused) decision() {}
 
-// Refusal is the refusal of a request that was waiting.
-type Refusal struct {
+// QueuedRefusal is the refusal of a request that was waiting.
+type QueuedRefusal struct {
 	ID string
-	Refuse
+	Refused
 }
--- a/internal/endpoint/batch/batch.go
+++ b/internal/endpoint/batch/batch.go
@@ -30,7 +30,7 @@
 // experts: the load of the busiest rank over the mean.
 func Pass(e *routing.Engine, size int, skew float64) time.Duration {
 	context := float64(e.MeanPrompt+e.MeanOutput) / 1000
-	perRequest := float64(e.PerSequence) + context*float64(e.PerThousand)
+	perRequest := float64(e.PerSequence) + context*float64(e.PerThousandTokens)
 	step := float64(e.Step) + float64(size)*perRequest
 	share := e.Experts.Share
 	return time.Duration(float64(e.Stride) * step * (1 - share + share*skew))
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -13,17 +13,17 @@
 // groups that send to it, before and after their members changed.
 const maxLists = 16
 
-// Lists caches lists of targets by name, so that messages sent several times a second
-// need not contain them. It is safe for concurrent use.
-type Lists struct {
+// TargetLists caches lists of targets by name, so that messages sent several times a
+// second need not contain them. It is safe for concurrent use.
+type TargetLists struct {
 	mu     sync.Mutex
 	byName map[uint64][]*fleetpb.Target
 }
 
-// Learn returns the targets of a message that names its list by id. Targets contained
-// in the message are cached under id; a message without targets gets those cached
-// under id, or nil if there are none.
-func (l *Lists) Learn(id uint64, targets []*fleetpb.Target) []*fleetpb.Target {
+// Resolve returns the targets of a message that names its list by id. Targets
+// contained in the message are cached under id; a message without targets gets those
+// cached under id, or nil if there are none.
+func (l *TargetLists) Resolve(id uint64, targets []*fleetpb.Target) []*fleetpb.Target {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(targets) == 0 {
@@ -36,8 +36,8 @@
 	return targets
 }
 
-// ListName returns a hash of the targets, in their order, which names the list.
-func ListName(targets []*fleetpb.Target) uint64 {
+// TargetListHash returns a hash of the targets, in their order, which names the list.
+func TargetListHash(targets []*fleetpb.Target) uint64 {
 	h := xxhash.New()
 	writeString := func(s string) {
 		var size [4]byte
@@ -54,29 +54,29 @@
 	return h.Sum64()
 }
 
-// Told records the list that was last sent to each process. It is safe for concurrent
-// use.
-type Told struct {
+// SentLists records the list that was last sent to each process. It is safe for
+// concurrent use.
+type SentLists struct {
 	mu    sync.Mutex
 	lists map[string]uint64
 }
 
-// Knows reports whether the list was the last one sent to a process, and records it as
-// sent.
-func (t *Told) Knows(process string, list uint64) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.lists == nil {
-		t.lists = map[string]uint64{}
+// MarkSent reports whether the list was the last one sent to a process, and records it
+// as sent.
+func (s *SentLists) MarkSent(process string, list uint64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.lists == nil {
+		s.lists = map[string]uint64{}
 	}
-	known, ok := t.lists[process]
-	t.lists[process] = list
+	known, ok := s.lists[process]
+	s.lists[process] = list
 	return ok && known == list
 }
 
 // Forget records that a process may not have the list that was sent to it.
-func (t *Told) Forget(process string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	delete(t.lists, process)
+func (s *SentLists) Forget(process string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.lists, process)
 }
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -78,10 +78,10 @@
 }
 
 const (
-	// LeaseTime is the time after which a process that no longer renews its lease
+	// LeaseTTL is the time after which a process that no longer renews its lease
 	// counts as gone. A dead process that is still listed does little harm, so the
 	// time is long and renewals cost few calls.
-	LeaseTime = 9 * time.Second
+	LeaseTTL = 9 * time.Second
 	// minRetryDelay is the delay after a failed call. It doubles with each further
 	// failure, up to maxRetryDelay.
 	minRetryDelay = 500 * time.Millisecond
@@ -95,21 +95,22 @@
 type Registrar struct {
 	Store  Store
 	Member Member
-	// Failed, if set, is called with the error of each failed call.
-	Failed func(error)
-	// Returned, if set, is called when a call succeeds after others failed.
-	Returned func()
-	// Doubt is raised when leases may have expired; the lease is then renewed at once.
-	Doubt *wake.Signal
+	// OnError, if set, is called with the error of each failed call.
+	OnError func(error)
+	// OnRecovered, if set, is called when a call succeeds after others failed.
+	OnRecovered func()
+	// RenewNow is raised when leases may have expired; the lease is then renewed at
+	// once.
+	RenewNow *wake.Signal
 }
 
 // Run keeps the key registered until ctx ends, and then revokes its lease. It always
 // returns nil.
 //
 // All leases expire in an outage of the store. A process notices the loss of its own
-// only when it renews it, up to a third of LeaseTime later, and is invisible to the
+// only when it renews it, up to a third of LeaseTTL later, and is invisible to the
 // others until then. A process that sees a key of the fleet vanish therefore raises
-// Doubt to renew its own lease at once.
+// RenewNow to renew its own lease at once.
 //
 // The delay between retries grows because in an outage hundreds of processes would
 // otherwise each call the store twice a second, and use up its capacity as it
@@ -118,7 +119,7 @@
 	var lease platform.LeaseID
 	failed, retryDelay := false, minRetryDelay
 	for ctx.Err() == nil {
-		delay := LeaseTime / 3
+		delay := LeaseTTL / 3
 		var err error
 		if lease == 0 {
 			lease, err = r.register(ctx)
@@ -132,8 +133,8 @@
 		} else {
 			retryDelay = minRetryDelay
 		}
-		if failed && err == nil && r.Returned != nil {
-			r.Returned()
+		if failed && err == nil && r.OnRecovered != nil {
+			r.OnRecovered()
 		}
 		failed = err != nil
 		r.wait(ctx, delay)
@@ -149,20 +150,20 @@
 	return nil
 }
 
-// wait returns after d, or earlier if Doubt is raised or ctx ends.
+// wait returns after d, or earlier if RenewNow is raised or ctx ends.
 func (r *Registrar) wait(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
-	case <-r.Doubt.Raised():
+	case <-r.RenewNow.Raised():
 	case <-t.C:
 	case <-ctx.Done():
 	}
 }
 
 func (r *Registrar) reportFailure(err error) {
-	if r.Failed != nil {
-		r.Failed(err)
+	if r.OnError != nil {
+		r.OnError(err)
 	}
 }
 
@@ -170,7 +171,7 @@
 // process of the same name. The expiry of that process's lease doesn't delete the key,
 // because a key belongs to the lease of its last write.
 func (r *Registrar) register(ctx context.Context) (platform.LeaseID, error) {
-	lease, err := r.Store.Grant(ctx, LeaseTime)
+	lease, err := r.Store.Grant(ctx, LeaseTTL)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/fleet/member_test.go
+++ b/internal/fleet/member_test.go
@@ -36,7 +36,7 @@
 	if s.lapsed.Load() {
 		return 0, platform.Refused("no such lease", true)
 	}
-	return LeaseTime, nil
+	return LeaseTTL, nil
 }
 
 func (s *fakeStore) Revoke(context.Context, platform.LeaseID) error { return nil }
@@ -46,14 +46,14 @@
 // a held step stayed held for as long.
 func TestLapsedKeyIsWrittenAgainAtOnce(t *testing.T) {
 	t.Parallel()
-	store, doubt := &fakeStore{}, &wake.Signal{}
-	r := &Registrar{Store: store, Member: Member{Kind: Agent, Name: "a"}, Doubt: doubt}
+	store, renewNow := &fakeStore{}, &wake.Signal{}
+	r := &Registrar{Store: store, Member: Member{Kind: Agent, Name: "a"}, RenewNow: renewNow}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- r.Run(ctx) }()
 	eventually(t, func() bool { return store.writes.Load() == 1 })
 	store.lapsed.Store(true)
-	doubt.Raise()
+	renewNow.Raise()
 	eventually(t, func() bool { return store.writes.Load() == 2 })
 	cancel()
 	if err := <-done; err != nil {
@@ -61,21 +61,21 @@
 	}
 }
 
-// The store is unreachable and recovers. Checks that Returned is called: the process
+// The store is unreachable and recovers. Checks that OnRecovered is called: the process
 // can't rely on its polls to notice, which may hang for long.
 func TestStoreRecoveryIsReported(t *testing.T) {
 	t.Parallel()
-	store, returned := &fakeStore{}, make(chan struct{}, 1)
+	store, recovered := &fakeStore{}, make(chan struct{}, 1)
 	store.lapsed.Store(true)
 	store.unreachable.Store(true)
 	r := &Registrar{
-		Store: store, Member: Member{Kind: Agent, Name: "a"}, Doubt: &wake.Signal{},
-		Returned: func() { returned <- struct{}{} }, Failed: func(error) { store.unreachable.Store(false) },
+		Store: store, Member: Member{Kind: Agent, Name: "a"}, RenewNow: &wake.Signal{},
+		OnRecovered: func() { recovered <- struct{}{} }, OnError: func(error) { store.unreachable.Store(false) },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- r.Run(ctx) }()
-	<-returned
+	<-recovered
 	cancel()
 	if err := <-done; err != nil {
 		t.Fatal(err)
@@ -92,8 +92,8 @@
 		store.unreachable.Store(true)
 		calls := 0
 		r := &Registrar{
-			Store: store, Member: Member{Kind: Agent, Name: "a"}, Doubt: &wake.Signal{},
-			Failed: func(error) { calls++ },
+			Store: store, Member: Member{Kind: Agent, Name: "a"}, RenewNow: &wake.Signal{},
+			OnError: func(error) { calls++ },
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
@@ -116,11 +116,11 @@
 	})
 }
 
-// eventually fails the test unless the condition holds within a third of LeaseTime,
+// eventually fails the test unless the condition holds within a third of LeaseTTL,
 // after which a process renews its lease without any signal.
 func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(LeaseTime / 3); !condition(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(LeaseTTL / 3); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the key was not written in time")
 		}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -73,12 +73,12 @@
 	Output io.Writer
 	// Reload loads the settings again; nil means that they never change.
 	Reload func() (*settings.Relay, error)
-	// Hangup receives a value when the settings may have changed.
-	Hangup <-chan os.Signal
+	// ReloadSignal receives a value when the settings may have changed.
+	ReloadSignal <-chan os.Signal
 
 	store        *platform.Store
 	mirror       *mirror.Mirror
-	state        *relay.Belief
+	state        *relay.State
 	freshness    relay.Freshness
 	relay        *relay.Relay
 	callerServer *caller.Server
@@ -87,25 +87,25 @@
 	peerConns    *peer.Conns
 	stopping     atomic.Bool
 	bounds       atomic.Pointer[settings.Bounds]
-	storeStatus  readers.Basis
+	storeStatus  readers.Freshness
 	// documents holds the configuration in force as it is stored, documentSender passes
 	// it to other entries, and missing is a configuration that another entry holds and
 	// this one does not.
-	documents      document.Holder
+	documents      document.Versions
 	documentSender document.Sender
 	missing        missingTracker
 	members        memberSet
 	workReporter   *workReporter
 	hub            hub
 	// storeCopy holds what was received from the store, to be passed to other entries,
-	// and sourceChoice selects the entry from which updates are requested. Only the
-	// mirror's goroutine uses sourceChoice and the fields from source to
+	// and sourceSelector selects the entry from which updates are requested. Only the
+	// mirror's goroutine uses sourceSelector and the fields from source to
 	// storeLostByPeer. Once hasSource is set, source and sourceAddress identify the
 	// entry asked last; an empty source is the store. sourceOrigin is the entry that
 	// received the source's updates from the store itself. storeRecovered is the last
 	// recovery of the store that other entries reported.
 	storeCopy      mirror.Copy
-	sourceChoice   readers.Choice
+	sourceSelector readers.SourceSelector
 	sourceMetrics  sourceMetrics
 	source         string
 	sourceAddress  string
@@ -118,7 +118,7 @@
 	// to poll the store because another one lost it has not seen the outage itself.
 	storeLostByPeer bool
 	// targetLists holds the lists of engines to which load reports refer.
-	targetLists fleet.Lists
+	targetLists fleet.TargetLists
 	// leaseSuspect is raised when leases in the store may have expired.
 	leaseSuspect wake.Signal
 }
@@ -170,40 +170,40 @@
 		Budget: kv.Budget{PerSecond: storeCallsPerSecond}, Metrics: f.Registry,
 	}
 	f.store.Open()
-	f.state = &relay.Belief{
-		DataCentre: s.DataCentre, Name: s.Name, Seed: xxhash.Sum64String(s.Name), Fresh: &f.freshness,
+	f.state = &relay.State{
+		DataCentre: s.DataCentre, Name: s.Name, Seed: xxhash.Sum64String(s.Name), Freshness: &f.freshness,
 	}
 	f.workReporter = newWorkReporter(f)
-	f.state.Changed = f.workReporter.changed.Raise
-	f.state.Begin(now)
+	f.state.OnChange = f.workReporter.changed.Raise
+	f.state.Init(now)
 	f.mirror = &mirror.Mirror{
-		Reader: f.store, Wait: pollWait, Asking: f.storeStatus.Ask, Settle: changeBatchDelay, MostSettle: maxChangeBatchDelay, StartTime: startupPeriod,
-		Now: boottime.Now, Apply: f.apply, Failed: f.storeFailed,
+		Reader: f.store, Wait: pollWait, OnRequest: f.storeStatus.NoteRequest, Settle: changeBatchDelay, MaxSettle: maxChangeBatchDelay, StartupPeriod: startupPeriod,
+		Now: boottime.Now, Apply: f.apply, OnError: f.storeFailed,
 	}
-	f.sourceChoice.Own = s.Name
-	f.storeStatus.Own, f.storeStatus.Wait = s.Name, pollWait
+	f.sourceSelector.Self = s.Name
+	f.storeStatus.Self, f.storeStatus.Wait = s.Name, pollWait
 	f.sourceMetrics = newSourceMetrics(f.Registry)
-	f.storeCopy.Apart = platform.DocumentKey
-	f.documentSender.Holder = &f.documents
-	f.documentSender.Pace = &document.Pace{BytesPerSecond: documentBandwidthShare * s.LineRate}
-	f.mirror.Neighbour = f.followPeer
+	f.storeCopy.SeparateKey = platform.DocumentKey
+	f.documentSender.Versions = &f.documents
+	f.documentSender.Pacer = &document.Pacer{BytesPerSecond: documentBandwidthShare * s.LineRate}
+	f.mirror.Peer = f.followPeer
 	f.relay = &relay.Relay{
-		Belief: f.state, Client: &direct.Client{}, Dialect: platform.Dialect{},
+		State: f.state, Client: &direct.Client{}, HeaderCodec: platform.Dialect{},
 		Now: boottime.Now, Log: f.Log.Logger,
 		Metrics: relay.NewMetrics(f.Registry),
 	}
-	f.relay.Metrics.Watch(f.state, boottime.Now)
+	f.relay.Metrics.RegisterGauges(f.state, boottime.Now)
 	f.applyBounds(s.Bounds)
 }
 
 // Run serves until ctx is done, then drains without interrupting requests.
 func (f *Frontend) Run(ctx context.Context) error {
-	registrar := &fleet.Registrar{Store: f.store, Failed: f.callFailed, Doubt: &f.leaseSuspect, Member: fleet.Member{
+	registrar := &fleet.Registrar{Store: f.store, OnError: f.callFailed, RenewNow: &f.leaseSuspect, Member: fleet.Member{
 		Kind: fleet.Entry, Name: f.Settings.Name, DataCentre: f.Settings.DataCentre,
 		Address: f.peerServer.Address(),
 	}}
 	parts := []process.Part{
-		f.mirror.Run, registrar.Run, f.workReporter.run, f.forwardWork, f.refreshFromPeers, f.fetchDocuments, f.watchSettings, f.peerServer.Run, f.relay.Sweep,
+		f.mirror.Run, registrar.Run, f.workReporter.run, f.forwardWork, f.refreshFromPeers, f.fetchDocuments, f.watchSettings, f.peerServer.Run, f.relay.CloseIdleConns,
 		func(ctx context.Context) error { return f.Log.Run(ctx, f.Output) },
 		f.runServers,
 	}
@@ -229,8 +229,8 @@
 // readiness answers the check whether the process accepts connections.
 type readiness struct{ frontend *Frontend }
 
-// Pass implements caller.Passer.
-func (r readiness) Pass(_ context.Context, raw *caller.Raw, w *caller.Reply) {
+// Forward implements caller.Passer.
+func (r readiness) Forward(_ context.Context, raw *caller.Raw, w *caller.Reply) {
 	status := http.StatusServiceUnavailable
 	switch {
 	case raw.Path != platform.ReadyPath:
@@ -247,7 +247,7 @@
 // by an entry that has no configuration yet, is about to stop, or would refuse all
 // keys because it is cut off from the store.
 func (f *Frontend) isReady(now time.Time) bool {
-	if f.stopping.Load() || !f.state.Known() {
+	if f.stopping.Load() || !f.state.Ready() {
 		return false
 	}
 	return f.freshness.Age(now) <= f.relay.KeyAge()
--- a/internal/frontend/source.go
+++ b/internal/frontend/source.go
@@ -27,9 +27,9 @@
 		changes: counter("turns"),
 		age:     metrics.GetOrRegisterTimer("relay.source.age", r),
 		withoutUpdate: map[readers.Answer]metrics.Counter{
-			readers.Silent: counter("silent"), readers.Away: counter("away"),
-			readers.Lost: counter("lost"), readers.Echo: counter("echo"),
-			readers.Leaving: counter("leaving"),
+			readers.NoAnswer: counter("silent"), readers.NotCurrent: counter("away"),
+			readers.StoreLost: counter("lost"), readers.OwnState: counter("echo"),
+			readers.ShuttingDown: counter("leaving"),
 		},
 	}
 }
@@ -46,7 +46,7 @@
 	if f.freshness.Known() {
 		f.sourceMetrics.age.Update(f.freshness.Age(now))
 	}
-	f.freshness.Learn(asOf)
+	f.freshness.Advance(asOf)
 }
 
 // setSource records the source from which store updates are now requested, and logs
--- a/internal/ranker/ranker.go
+++ b/internal/ranker/ranker.go
@@ -171,7 +171,7 @@
 	if group == "" {
 		return nil
 	}
-	registrar := &fleet.Registrar{Store: r.store, Failed: r.logStoreFailure, Doubt: &r.leaseInDoubt, Returned: r.storeReturned.Raise, Member: fleet.Member{
+	registrar := &fleet.Registrar{Store: r.store, OnError: r.logStoreFailure, RenewNow: &r.leaseInDoubt, OnRecovered: r.storeReturned.Raise, Member: fleet.Member{
 		Kind: fleet.Agent, Name: r.Settings.Name, DataCentre: r.Settings.DataCentre,
 		Address: r.peers.Address(), Endpoint: r.Settings.EndpointAddress.String(), Group: group,
 	}}
@@ -235,26 +235,26 @@
 	previous, known := r.leader.last()
 	token, until, err := lease.Acquire(ctx, now)
 	if err != nil {
-		r.Log.WithFields(logrus.Fields{"group": s.Group, "cause": err.Error()}).Info("group not led from here")
+		r.Log.WithFields(logrus.Fields{"group": s.Group, "cause": err.Error()}).Info("group leadership not acquired")
 		return
 	}
 	own := leaderInfo{name: r.Settings.Name, Predecessor: lockstep.Predecessor{Token: token, Rank: s.Rank}}
 	r.leader.observe(own, now)
 	defer func() { r.leader.observe(own, boottime.Now()) }()
 	r.counters.terms.Inc(1)
-	r.Log.WithFields(logrus.Fields{"group": s.Group, "token": token, "epoch": s.Epoch}).Info("group led from here")
+	r.Log.WithFields(logrus.Fields{"group": s.Group, "token": token, "epoch": s.Epoch}).Info("group leadership acquired")
 	r.leading.Store(true)
 	defer r.leading.Store(false)
 	t := newTerm(r, lease, s, token, until)
 	if known && previous.name != r.Settings.Name {
 		t.leader.Before = &previous.Predecessor
 		t.poller.expectSilent(previous.name, now)
-		t.tree.Failed(previous.name, now)
+		t.tree.NoteFailure(previous.name, now)
 	}
 	stopMembers := r.watchMembers(ctx)
 	t.run(ctx)
 	stopMembers()
-	r.Log.WithFields(logrus.Fields{"group": s.Group, "token": token}).Info("group no longer led from here")
+	r.Log.WithFields(logrus.Fields{"group": s.Group, "token": token}).Info("group leadership lost")
 }
 
 // leaseIsFree reports whether no agent holds the group's lease. It records the holder
--- a/internal/relay/freshness.go
+++ b/internal/relay/freshness.go
@@ -12,8 +12,8 @@
 	knownAsOf atomic.Int64
 }
 
-// Learn records that all changes made before asked are known.
-func (f *Freshness) Learn(asked time.Time) {
+// Advance records that all changes made before asked are known.
+func (f *Freshness) Advance(asked time.Time) {
 	ns := asked.UnixNano()
 	for {
 		old := f.knownAsOf.Load()
