--- a/internal/platform/claim/batcher.go
+++ b/internal/platform/claim/batcher.go
@@ -13,73 +13,75 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Errors of Batcher.Run and Batcher.Conclude.
+// Errors returned by Batcher.Run and Batcher.Conclude.
 var (
-	ErrFields  = errors.New("claim: Batcher needs KV, Now, Window, Retention, MaxQueue and MaxBacklog")
-	ErrBacklog = errors.New("claim: too many outcomes wait to be stored")
+	ErrFields  = errors.New("claim: Batcher requires KV, Now, Window, Retention, MaxQueue and MaxBacklog")
+	ErrBacklog = errors.New("claim: too many outcomes are waiting to be stored")
 )
 
 // Batcher makes claims and stores outcomes for one agent. Set the fields, then
-// Run it. It may be used by several goroutines.
+// call Run. It is safe for concurrent use.
 //
-// State lock order: Batcher.mu is its only lock and is not held while the
-// platform is called.
+// Batcher.mu is its only lock and is not held while the platform is called.
 type Batcher struct {
-	// KV is the platform's service.
+	// KV is the platform's key-value service.
 	KV platform.KV
-	// Agent is the agent's address, Endpoint its endpoint's name, Incarnation
-	// its start; they go into each record.
+	// Agent is the agent's address, Endpoint the name of its endpoint, and
+	// Incarnation identifies the start of the agent. They go into each record.
 	Agent       string
 	Endpoint    string
 	Incarnation uint64
-	// Window is how long after its claim was sent a request may be dispatched.
+	// Window is the dispatch window: how long after its claim was first sent a
+	// request may be dispatched.
 	Window time.Duration
-	// Retention is how long closed records are kept at least, and Bucket for how
-	// long one lease is given to new ones; zero means an eighth of Retention.
+	// Retention is the minimum time that closed records are kept. Bucket is how
+	// long one lease is used for new records; zero means an eighth of
+	// Retention.
 	Retention time.Duration
 	Bucket    time.Duration
-	// Interval is the least time between two transactions. An idle batcher sends
-	// at once.
+	// Interval is the minimum time between two transactions. An idle Batcher
+	// sends at once.
 	Interval time.Duration
-	// Linger is how long an outcome may wait for a claim to share a transaction
-	// with. A claim never waits for it.
+	// Linger is how long an outcome may wait to share a transaction with a
+	// claim. Claims are not delayed by it.
 	Linger time.Duration
-	// MaxQueue bounds the claims that wait, MaxBacklog the outcomes that are
-	// kept through an outage.
+	// MaxQueue bounds the waiting claims, MaxBacklog the outcomes that are not
+	// stored yet, for example during an outage.
 	MaxQueue   int
 	MaxBacklog int
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
-	// Log receives changes of state; nil means the standard logger.
+	// Log receives warnings; nil means the standard logger.
 	Log *logrus.Logger
-	// Metrics receives the counters; nil means the default registry.
+	// Metrics receives the metrics; nil means the default registry.
 	Metrics metrics.Registry
 
-	once   sync.Once
-	wake   chan struct{}
-	counts counts
-	lease  bucketLease // of the goroutine that runs Run
+	once     sync.Once
+	wake     chan struct{}
+	counters counters
+	lease    bucketLease // used only by the goroutine of Run
 
-	mu      sync.Mutex // guards all below and the fields of each op
-	claims  []*op      // wait to be sent
-	closes  []*op      // conclude and closeKey steps that wait to be sent
-	flight  int        // closes that are on their way
-	idle    chan struct{}
-	stopped bool
+	mu               sync.Mutex // guards the fields below and those of each op
+	pendingClaims    []*op      // claims that wait to be sent
+	pendingOutcomes  []*op      // storeOutcome and closeKey operations that wait to be sent
+	inFlightOutcomes int        // pendingOutcomes operations in the current transaction
+	drained          chan struct{}
+	stopped          bool
 }
 
-// op is one operation on its way to a verdict.
+// op is a queued operation. Batcher.mu guards its fields, but Run uses mutation
+// and firstSentAt of an operation in flight without it.
 type op struct {
-	step    step
-	since   time.Time // when it was queued
-	sentAt  time.Time // when a create that may take effect was first sent
-	maybe   bool      // a send got no answer
-	inUse   bool      // it is in the batch on its way
-	left    bool      // nobody waits for the verdict any more
-	verdict chan Verdict
+	mutation       mutation
+	queuedAt       time.Time // when it was queued
+	firstSentAt    time.Time // first send of a createClaim that may take effect
+	mayHaveApplied bool      // the outcome of a send is unknown
+	inFlight       bool      // part of the current transaction
+	abandoned      bool      // the caller no longer waits for the verdict
+	verdict        chan Verdict
 }
 
-// Request is what is to be claimed.
+// Request describes the request to claim.
 type Request struct {
 	Key        Key
 	BodyDigest string
@@ -90,7 +92,7 @@
 func (b *Batcher) init() {
 	b.once.Do(func() {
 		b.wake = make(chan struct{}, 1)
-		b.counts = newCounts(b.Metrics)
+		b.counters = newCounters(b.Metrics)
 		if b.Log == nil {
 			b.Log = logrus.StandardLogger()
 		}
@@ -106,20 +108,21 @@
 	b.init()
 	o, refused := b.enqueue(r)
 	if refused != nil {
-		return b.counts.verdict(NotMade{Err: refused})
+		return b.counters.countVerdict(NotMade{Err: refused})
 	}
 	select {
 	case v := <-o.verdict:
-		return b.counts.verdict(v)
+		return b.counters.countVerdict(v)
 	case <-ctx.Done():
-		return b.counts.verdict(b.leave(o))
+		return b.counters.countVerdict(b.cancelClaim(o))
 	}
 }
 
-// enqueue decides whether a claim may wait. Its load is a burst of orders or a
-// slow service; without the bound callers would wait past their deadlines in a
-// queue that the service's few hundred writes a second can't empty. MaxQueue
-// should be what the service takes within the shortest deadline.
+// enqueue queues a claim, or refuses it if Run has ended or MaxQueue claims
+// wait. Without that limit, a burst of orders or a slow service would make
+// callers wait past their deadlines in a queue that the service, at a few
+// hundred writes per second, can't drain. MaxQueue should be the number of
+// claims that the service handles within the shortest deadline.
 func (b *Batcher) enqueue(r Request) (*op, error) {
 	now := b.Now()
 	rec := Record{
@@ -132,27 +135,28 @@
 		incarnation: b.Incarnation,
 	}
 	o := &op{
-		step:    create{record: rec.with(Claimed, Answer{}, now)},
-		since:   now,
-		verdict: make(chan Verdict, 1),
+		mutation: createClaim{record: rec.withState(Claimed, Answer{}, now)},
+		queuedAt: now,
+		verdict:  make(chan Verdict, 1),
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.stopped {
 		return nil, result.New(result.ShuttingDown, "claims have stopped")
 	}
-	if len(b.claims) >= b.MaxQueue {
+	if len(b.pendingClaims) >= b.MaxQueue {
 		return nil, result.New(result.PlatformDown, "too many claims wait for the platform").WithRetryAfter(b.Window)
 	}
-	b.claims = append(b.claims, o)
+	b.pendingClaims = append(b.pendingClaims, o)
 	b.signal()
 	return o, nil
 }
 
-// leave is called when a caller waits no longer. A claim that was never sent is
-// truly not made. One that was sent may take effect; it is abandoned in the
-// background, so that it does not stay open for operators to settle.
-func (b *Batcher) leave(o *op) Verdict {
+// cancelClaim returns the verdict for a caller that stops waiting. A claim that
+// was never sent is certainly not made. One that was sent may take effect; it
+// is abandoned in the background, so that it does not stay open for operators
+// to settle.
+func (b *Batcher) cancelClaim(o *op) Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
@@ -160,19 +164,19 @@
 		return v
 	default:
 	}
-	if !o.inUse && !o.maybe {
-		b.claims = remove(b.claims, o)
+	if !o.inFlight && !o.mayHaveApplied {
+		b.pendingClaims = removeOp(b.pendingClaims, o)
 		return NotMade{Err: result.New(result.PlatformDown, "the request ended before its claim was sent")}
 	}
-	o.left = true
-	if !o.inUse {
-		b.claims = remove(b.claims, o)
+	o.abandoned = true
+	if !o.inFlight {
+		b.pendingClaims = removeOp(b.pendingClaims, o)
 		b.abandon(o)
 	}
 	return Unknown{Err: errors.New("the platform has not told whether the claim was made")}
 }
 
-func remove(ops []*op, o *op) []*op {
+func removeOp(ops []*op, o *op) []*op {
 	for i, p := range ops {
 		if p == o {
 			return append(ops[:i], ops[i+1:]...)
@@ -181,56 +185,57 @@
 	return ops
 }
 
-// Conclude stores the outcome of a granted claim, in the background and through
-// outages. The state is Completed, Failed, Unsettled or NotRun; NotRun gives
-// the claim up and is only true when the request was not dispatched. When the
-// backlog is full the claim stays open for operators and ErrBacklog is
-// returned.
+// Conclude queues the outcome of a granted claim, which is stored in the
+// background and retried through outages. The state is Completed, Failed,
+// Unsettled or NotRun. NotRun gives the claim up and is valid only if the
+// request was not dispatched. Conclude returns ErrBacklog, and the claim stays
+// open for operators, when the backlog is full or Run has ended.
 func (b *Batcher) Conclude(g Grant, s State, a Answer) error {
 	b.init()
 	now := b.Now()
-	o := &op{step: conclude{record: g.record.with(s, a, now), revision: g.revision}, since: now}
+	o := &op{mutation: storeOutcome{record: g.record.withState(s, a, now), revision: g.revision}, queuedAt: now}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.stopped || len(b.closes)+b.flight >= b.MaxBacklog {
-		b.counts.dropped.Inc(1)
+	if b.stopped || len(b.pendingOutcomes)+b.inFlightOutcomes >= b.MaxBacklog {
+		b.counters.dropped.Inc(1)
 		return ErrBacklog
 	}
-	b.closes = append(b.closes, o)
+	b.pendingOutcomes = append(b.pendingOutcomes, o)
 	b.signal()
 	return nil
 }
 
-// Pending returns how many outcomes are not stored yet.
+// Pending returns the number of outcomes that are not stored yet.
 func (b *Batcher) Pending() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.closes) + b.flight
+	return len(b.pendingOutcomes) + b.inFlightOutcomes
 }
 
-// Flush waits until all outcomes are stored, or returns the error of ctx.
+// Flush waits until no outcome waits to be stored, or returns the error of ctx
+// if that ends first.
 func (b *Batcher) Flush(ctx context.Context) error {
 	b.init()
 	for {
 		b.mu.Lock()
-		if len(b.closes)+b.flight == 0 {
+		if len(b.pendingOutcomes)+b.inFlightOutcomes == 0 {
 			b.mu.Unlock()
 			return nil
 		}
-		if b.idle == nil {
-			b.idle = make(chan struct{})
+		if b.drained == nil {
+			b.drained = make(chan struct{})
 		}
-		idle := b.idle
+		drained := b.drained
 		b.mu.Unlock()
 		select {
-		case <-idle:
+		case <-drained:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// signal wakes Run.
+// signal wakes up Run. It does not block.
 func (b *Batcher) signal() {
 	select {
 	case b.wake <- struct{}{}:
@@ -238,24 +243,26 @@
 	}
 }
 
-// abandon queues the end of a claim that nobody waits for. The caller holds mu.
+// abandon queues a closeKey that ends a claim no caller waits for. The caller
+// must hold mu.
 func (b *Batcher) abandon(o *op) {
-	c, ok := o.step.(create)
+	c, ok := o.mutation.(createClaim)
 	if !ok {
 		return
 	}
-	b.counts.abandoned.Inc(1)
-	r := c.record.with(NotRun, Answer{}, o.since)
-	b.background(closeKey{record: r, guard: c.guard}, o.since)
+	b.counters.abandoned.Inc(1)
+	r := c.record.withState(NotRun, Answer{}, o.queuedAt)
+	b.enqueueBackground(closeKey{record: r, precondition: c.precondition}, o.queuedAt)
 }
 
-// background queues a step that no caller waits for. Beyond the backlog's bound
-// the claim stays open, which is safe. The caller holds mu.
-func (b *Batcher) background(s step, now time.Time) {
-	if len(b.closes)+b.flight >= b.MaxBacklog {
-		b.counts.dropped.Inc(1)
+// enqueueBackground queues a mutation that no caller waits for. When the
+// backlog is full the mutation is dropped and the claim stays open, which is
+// safe. The caller must hold mu.
+func (b *Batcher) enqueueBackground(m mutation, queuedAt time.Time) {
+	if len(b.pendingOutcomes)+b.inFlightOutcomes >= b.MaxBacklog {
+		b.counters.dropped.Inc(1)
 		return
 	}
-	b.closes = append(b.closes, &op{step: s, since: now})
+	b.pendingOutcomes = append(b.pendingOutcomes, &op{mutation: m, queuedAt: queuedAt})
 	b.signal()
 }
--- a/internal/platform/claim/batcher_test.go
+++ b/internal/platform/claim/batcher_test.go
@@ -13,16 +13,17 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// bench is one agent on a stand-in with a fake clock.
-type bench struct {
+// batcherTest is a test with one agent, a fake key-value service and a fake
+// clock.
+type batcherTest struct {
 	*testing.T
 	server *kv.Server
 	b      *Batcher
 	claims *Registry
 }
 
-// withBatcher runs f in a bubble with one agent.
-func withBatcher(t *testing.T, f func(*bench)) {
+// withBatcher runs f with one agent in a synctest bubble.
+func withBatcher(t *testing.T, f func(*batcherTest)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -32,22 +33,22 @@
 		done := make(chan error, 1)
 		go func() { done <- b.Run(ctx) }()
 		r := &Registry{KV: d, Window: testWindow, Margin: testMargin, Retention: time.Hour, Now: time.Now}
-		f(&bench{T: t, server: s, b: b, claims: r})
+		f(&batcherTest{T: t, server: s, b: b, claims: r})
 		cancel()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
-		time.Sleep(time.Minute) // late calls end in the bubble
+		time.Sleep(time.Minute) // lets delayed calls end inside the synctest bubble
 	})
 }
 
-func (t *bench) claim(k Key, attempt, digest string, wait time.Duration) Verdict {
+func (t *batcherTest) claim(k Key, attempt, digest string, wait time.Duration) Verdict {
 	ctx, cancel := context.WithTimeout(t.Context(), wait)
 	defer cancel()
 	return t.b.Claim(ctx, Request{Key: k, BodyDigest: digest, RequestID: attempt, AttemptID: attempt})
 }
 
-func (t *bench) granted(k Key, attempt string) Grant {
+func (t *batcherTest) mustClaim(k Key, attempt string) Grant {
 	t.Helper()
 	v := t.claim(k, attempt, "d", time.Minute)
 	g, ok := v.(Granted)
@@ -57,14 +58,14 @@
 	return g.Grant
 }
 
-func (t *bench) conclude(g Grant, s State, a Answer) {
+func (t *batcherTest) conclude(g Grant, s State, a Answer) {
 	t.Helper()
 	if err := t.b.Conclude(g, s, a); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (t *bench) flush() {
+func (t *batcherTest) flush() {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
@@ -73,7 +74,7 @@
 	}
 }
 
-func (t *bench) wantOpen(n int) {
+func (t *batcherTest) wantOpenClaims(n int) {
 	t.Helper()
 	p, err := t.claims.List(t.Context(), "", 100)
 	if err != nil || len(p.Claims()) != n || p.Unreadable() != 0 {
@@ -89,101 +90,106 @@
 }
 
 func TestRepeatGetsStoredAnswer(t *testing.T) {
-	withBatcher(t, func(t *bench) {
+	withBatcher(t, func(t *batcherTest) {
 		k := testKey(1)
-		g := t.granted(k, "a")
+		g := t.mustClaim(k, "a")
 		if _, ok := t.claim(k, "b", "d", time.Minute).(HeldBy); !ok {
-			t.Error("a second attempt is not told of the first")
+			t.Error("a second attempt was not answered with HeldBy")
 		}
 		t.conclude(g, Completed, Answer{Status: 201, ContentType: "text/plain", Body: []byte("printed")})
 		t.flush()
 		v, ok := t.claim(k, "c", "d", time.Minute).(Done)
-		if a, whole := v.Record.Answer(); !ok || !whole || a.Status != 201 || string(a.Body) != "printed" {
-			t.Errorf("repeat got %v, whole %v", a, whole)
+		if a, complete := v.Record.Answer(); !ok || !complete || a.Status != 201 || string(a.Body) != "printed" {
+			t.Errorf("repeat got %v, complete %v", a, complete)
 		}
 		_, reused := t.claim(k, "d", "other", time.Minute).(KeyReused)
 		if !reused {
 			t.Error("another body under the same key was not refused")
 		}
-		t.wantOpen(0)
+		t.wantOpenClaims(0)
 	})
 }
 
 func TestLargeAnswerIsNotKept(t *testing.T) {
-	withBatcher(t, func(t *bench) {
-		t.conclude(t.granted(testKey(1), "a"), Completed, Answer{Status: 200, Body: make([]byte, MaxAnswer+1)})
+	withBatcher(t, func(t *batcherTest) {
+		t.conclude(t.mustClaim(testKey(1), "a"), Completed, Answer{Status: 200, Body: make([]byte, MaxAnswer+1)})
 		t.flush()
 		v, ok := t.claim(testKey(1), "b", "d", time.Minute).(Done)
-		if _, whole := v.Record.Answer(); !ok || whole {
-			t.Error("an answer that was cut is given as whole")
+		if _, complete := v.Record.Answer(); !ok || complete {
+			t.Error("an answer without its body is reported as complete")
 		}
 	})
 }
 
-// The service is down. The caller of a print order must hear that it was not
-// run, which is true, and may send it again when the service is back.
+// Guards against an unknown outcome while the service is down. The claim was
+// not made, so the caller must be told that its order was not run; it may send
+// the order again when the service is back.
 func TestDownIsTrulyNotMade(t *testing.T) {
-	withBatcher(t, func(t *bench) {
+	withBatcher(t, func(t *batcherTest) {
 		t.server.SetDown(true)
 		wantCode(t.T, Err(t.claim(testKey(1), "a", "d", time.Minute)), result.PlatformDown)
 		t.server.SetDown(false)
-		t.granted(testKey(1), "b")
+		t.mustClaim(testKey(1), "b")
 	})
 }
 
-// The answers to the claim and its repeats are lost. A caller would hear "not
-// run" of an order that holds a claim, or the order would stay open for ever.
-// The third write finds the attempt's own record.
+// Guards against a lost reply that is reported as not run although the order
+// holds a claim, or that leaves the order open for ever. The replies to the
+// claim and its first repeat are lost; the third write finds the attempt's own
+// record.
 func TestLostAnswerIsSettledByOwnAttempt(t *testing.T) {
-	withBatcher(t, func(t *bench) {
+	withBatcher(t, func(t *batcherTest) {
 		t.server.LoseAnswers(2)
-		g := t.granted(testKey(1), "a")
+		g := t.mustClaim(testKey(1), "a")
 		if !g.MayDispatch(time.Now()) {
-			t.Error("the window is closed although little time has passed")
+			t.Error("the window is closed before its end")
 		}
-		t.wantOpen(1)
+		t.wantOpenClaims(1)
 	})
 }
 
-// The first write of a claim takes effect at once, its answers are lost for
-// longer than the window. An operator who saw the claim then has released it;
-// counting the window from the last write would let the agent print it too.
+// Guards against a dispatch after a release. The first write of a claim takes
+// effect at once, but its replies are lost for longer than the window.
+// Meanwhile an operator may release the claim; if the window counted from the
+// last write, the agent would run the order as well.
 func TestWindowCountsFromFirstSend(t *testing.T) {
-	withBatcher(t, func(t *bench) {
+	withBatcher(t, func(t *batcherTest) {
 		t.server.LoseAnswers(1000)
-		lost := time.AfterFunc(testWindow+time.Second, func() { t.server.LoseAnswers(0) })
-		defer lost.Stop()
-		g := t.granted(testKey(1), "a")
+		recovery := time.AfterFunc(testWindow+time.Second, func() { t.server.LoseAnswers(0) })
+		defer recovery.Stop()
+		g := t.mustClaim(testKey(1), "a")
 		if g.MayDispatch(time.Now()) {
-			t.Error("an agent may dispatch after the window from its first write")
+			t.Error("an agent may dispatch after the window that began with its first write")
 		}
 	})
 }
 
-// A caller leaves while its claim's write is on its way, delayed by ten seconds.
-// When it lands after all, nobody is there to run the order, and every repeat
-// would be refused as held until an operator steps in.
+// Guards against an abandoned claim that takes effect later. The caller leaves
+// while the write is delayed by ten seconds. If the write took effect, nobody
+// would run the order and each repeat would be refused as held until an
+// operator releases the claim.
 func TestAbandonedClaimCannotLandLater(t *testing.T) {
-	withBatcher(t, func(t *bench) {
+	withBatcher(t, func(t *batcherTest) {
 		t.server.SetSlow(10 * time.Second)
 		if _, ok := t.claim(testKey(1), "a", "d", 100*time.Millisecond).(Unknown); !ok {
-			t.Error("a claim on its way was not answered as unknown")
+			t.Error("a claim in flight was not answered as unknown")
 		}
 		t.server.SetSlow(0)
 		t.flush()
 		time.Sleep(20 * time.Second)
-		t.wantOpen(0)
-		t.granted(testKey(1), "b")
+		t.wantOpenClaims(0)
+		t.mustClaim(testKey(1), "b")
 	})
 }
 
-// The order is printed and then the service goes down for a minute, so the
-// outcome can't be stored. A repeat after the outage must get the answer.
+// Guards against the loss of an outcome in an outage: the service goes down for
+// a minute after the order was run. A repeat after the outage must get the
+// answer.
 func TestOutcomeSurvivesOutage(t *testing.T) {
-	withBatcher(t, func(t *bench) {
-		t.conclude(t.granted(testKey(2), "lease"), Completed, Answer{})
+	withBatcher(t, func(t *batcherTest) {
+		t.conclude(t.mustClaim(testKey(2), "lease"), Completed, Answer{})
 		t.flush()
-		g := t.granted(testKey(1), "a")
+		g := t.mustClaim(testKey(1), "a")
 		t.server.SetDown(true)
 		t.conclude(g, Completed, Answer{Status: 200})
 		time.Sleep(time.Minute)
@@ -195,12 +201,13 @@
 	})
 }
 
-// The service is restored from a copy that is older than the claim. The agent
-// that ran the order still knows the outcome and stores it.
+// Guards against the loss of an outcome when the service is restored from a
+// copy that is older than the claim. The agent that ran the order still has the
+// outcome and must store it.
 func TestOutcomeSurvivesRestore(t *testing.T) {
-	withBatcher(t, func(t *bench) {
+	withBatcher(t, func(t *batcherTest) {
 		old := t.server.Copy()
-		g := t.granted(testKey(1), "a")
+		g := t.mustClaim(testKey(1), "a")
 		t.server.Restore(old)
 		t.conclude(g, Completed, Answer{Status: 200})
 		t.flush()
@@ -210,28 +217,30 @@
 	})
 }
 
-// Leases lapse early when their holder is paused. A closed record that went
-// with one would let a repeated order be printed again.
+// Guards against closed records that expire early. A lease that has to be kept
+// alive expires when its holder is paused; without the closed record a repeated
+// order would run again.
 func TestClosedRecordsOutliveLapses(t *testing.T) {
-	withBatcher(t, func(t *bench) {
-		t.conclude(t.granted(testKey(1), "a"), Completed, Answer{Status: 200})
+	withBatcher(t, func(t *batcherTest) {
+		t.conclude(t.mustClaim(testKey(1), "a"), Completed, Answer{Status: 200})
 		t.flush()
 		t.server.LapseLeases(time.Hour)
 		if _, ok := t.claim(testKey(1), "b", "d", time.Minute).(Done); !ok {
-			t.Error("the closed record went with a lapsed lease")
+			t.Error("the closed record expired with the lease of a paused holder")
 		}
 		time.Sleep(28 * time.Hour)
-		t.granted(testKey(1), "c")
+		t.mustClaim(testKey(1), "c")
 	})
 }
 
-// The bucket's lease is gone although the agent believes in it: the service
-// refuses the transaction, and the outcome must be stored with a new lease.
+// Guards against the loss of an outcome when the lease of the bucket no longer
+// exists: the service refuses the transaction, and the outcome must be stored
+// with a new lease.
 func TestMissingLeaseIsReplaced(t *testing.T) {
-	withBatcher(t, func(t *bench) {
-		t.conclude(t.granted(testKey(1), "a"), Completed, Answer{Status: 200})
+	withBatcher(t, func(t *batcherTest) {
+		t.conclude(t.mustClaim(testKey(1), "a"), Completed, Answer{Status: 200})
 		t.flush()
-		g := t.granted(testKey(2), "b")
+		g := t.mustClaim(testKey(2), "b")
 		t.server.LapseLeases(100 * time.Hour)
 		t.conclude(g, Completed, Answer{Status: 200})
 		t.flush()
@@ -242,8 +251,8 @@
 }
 
 func TestBoundsOfQueueAndBacklog(t *testing.T) {
-	withBatcher(t, func(t *bench) {
-		g := t.granted(testKey(1), "a")
+	withBatcher(t, func(t *batcherTest) {
+		g := t.mustClaim(testKey(1), "a")
 		t.b.MaxBacklog, t.b.MaxQueue = 1, 1
 		t.server.SetDown(true)
 		t.conclude(g, Completed, Answer{})
@@ -271,18 +280,18 @@
 }
 
 func TestManyClaimsShareTransactions(t *testing.T) {
-	withBatcher(t, func(t *bench) {
+	withBatcher(t, func(t *batcherTest) {
 		t.server.SetSlow(3 * time.Millisecond)
 		var wg sync.WaitGroup
 		for i := range 1000 {
 			wg.Go(func() {
 				a := Answer{Status: 200, Body: bytes.Repeat([]byte("x"), MaxAnswer)}
-				t.conclude(t.granted(testKey(i), fmt.Sprint(i)), Completed, a)
+				t.conclude(t.mustClaim(testKey(i), fmt.Sprint(i)), Completed, a)
 			})
 		}
 		wg.Wait()
 		t.flush()
-		t.wantOpen(0)
+		t.wantOpenClaims(0)
 		if n := t.server.Counts().Writes(); n > 60 {
 			t.Errorf("%d writes for 1000 claims and outcomes", n)
 		}
@@ -291,7 +300,7 @@
 
 func TestWindowIsOpenUntilItsEnd(t *testing.T) {
 	sent := time.Now()
-	g := Grant{sentAt: sent, window: testWindow}
+	g := Grant{firstSentAt: sent, window: testWindow}
 	if !g.MayDispatch(sent.Add(testWindow-1)) || g.MayDispatch(sent.Add(testWindow)) {
 		t.Error("the window is not open exactly until its end")
 	}
--- a/internal/platform/claim/history_test.go
+++ b/internal/platform/claim/history_test.go
@@ -11,89 +11,91 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// history records what agents and operators asked and heard, for a check
-// against the sequential claim table of claimModel.
+// history records the calls of agents and operators with their results, to be
+// checked against claimModel, a sequential model of claims.
 type history struct {
 	mu    sync.Mutex
 	clock int64
 	ops   []porcupine.Operation
 }
 
-// event is the input of a recorded operation: a claim, or the closing of one.
-type event struct {
-	key     Key
-	attempt string
-	closes  State // zero for a claim
+// opInput is the input of a recorded operation: a claim, or the closing of one.
+type opInput struct {
+	key        Key
+	attempt    string
+	closeState State // zero for a claim
 }
 
-// heard is the output of a recorded operation.
-type heard struct {
-	verdict Verdict // of a claim
-	stored  bool    // of a release: it surely took effect
-	open    bool    // the effect is not known
+// opOutput is the output of a recorded operation.
+type opOutput struct {
+	verdict       Verdict // of a claim
+	applied       bool    // of a release: it certainly took effect
+	effectUnknown bool    // it may have taken effect or still may
 }
 
-func (h *history) begin() int64 {
+// callTime returns the logical time at which an operation is called.
+func (h *history) callTime() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.clock++
 	return h.clock
 }
 
-func (h *history) add(call int64, e event, out heard) {
+func (h *history) record(call int64, in opInput, out opOutput) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.clock++
 	end := h.clock
-	if out.open {
+	if out.effectUnknown {
 		end = math.MaxInt64
 	}
 	h.ops = append(h.ops, porcupine.Operation{
-		ClientId: len(h.ops), Input: e, Call: call, Output: out, Return: end,
+		ClientId: len(h.ops), Input: in, Call: call, Output: out, Return: end,
 	})
 }
 
-// claimed records a verdict. A claim whose verdict is unknown may take effect
-// at any time later, and is closed as not run in the background.
-func (h *history) claimed(call int64, k Key, attempt string, v Verdict) {
+// recordClaim records a verdict. A claim whose verdict is unknown may take
+// effect at any later time, and is closed as not run in the background.
+func (h *history) recordClaim(call int64, k Key, attempt string, v Verdict) {
 	_, unknown := v.(Unknown)
-	h.add(call, event{key: k, attempt: attempt}, heard{verdict: v, open: unknown})
+	h.record(call, opInput{key: k, attempt: attempt}, opOutput{verdict: v, effectUnknown: unknown})
 	if unknown {
-		h.closing(k, attempt, NotRun)
+		h.recordBackgroundClose(k, attempt, NotRun)
 	}
 }
 
-// closing records an outcome that is stored in the background, if ever.
-func (h *history) closing(k Key, attempt string, s State) {
-	h.add(h.begin(), event{key: k, attempt: attempt, closes: s}, heard{open: true})
+// recordBackgroundClose records an outcome that is stored in the background, if
+// at all.
+func (h *history) recordBackgroundClose(k Key, attempt string, s State) {
+	h.record(h.callTime(), opInput{key: k, attempt: attempt, closeState: s}, opOutput{effectUnknown: true})
 }
 
-func (h *history) released(call int64, r Record, s State, err error) {
+func (h *history) recordRelease(call int64, r Record, s State, err error) {
 	code := result.CodeOf(err)
-	out := heard{stored: err == nil, open: code == result.WriteUnknown}
-	if err != nil && !out.open {
+	out := opOutput{applied: err == nil, effectUnknown: code == result.WriteUnknown}
+	if err != nil && !out.effectUnknown {
 		return
 	}
-	h.add(call, event{key: r.key, attempt: r.attemptID, closes: s}, out)
+	h.record(call, opInput{key: r.key, attempt: r.attemptID, closeState: s}, out)
 }
 
-// table is the sequential state of one key: the attempt whose claim is open,
-// and what the last one closed as.
-type table struct {
+// keyState is the state of one key in the sequential model: the attempt whose
+// claim is open, and the state and attempt of the last closed one.
+type keyState struct {
 	open     string
 	closed   State
 	closedBy string
 }
 
-func (s table) free() bool { return s.open == "" && (s.closed == 0 || s.closed == NotRun) }
+func (s keyState) claimable() bool { return s.open == "" && (s.closed == 0 || s.closed == NotRun) }
 
-// stepClaim returns the states after a claim that was answered so.
-func stepClaim(s table, e event, out heard) []any {
+// stepClaim returns the possible states after a claim with this output.
+func stepClaim(s keyState, in opInput, out opOutput) []any {
 	granted := s
-	granted.open = e.attempt
+	granted.open = in.attempt
 	switch v := out.verdict.(type) {
 	case Granted:
-		if s.free() {
+		if s.claimable() {
 			return []any{granted}
 		}
 	case HeldBy:
@@ -107,7 +109,7 @@
 	case NotMade:
 		return []any{s}
 	case Unknown:
-		if s.free() {
+		if s.claimable() {
 			return []any{s, granted}
 		}
 		return []any{s}
@@ -115,15 +117,15 @@
 	return nil
 }
 
-// stepClose returns the states after an attempt was closed.
-func stepClose(s table, e event, out heard) []any {
-	closed := table{closed: e.closes, closedBy: e.attempt}
+// stepClose returns the possible states after the closing of an attempt.
+func stepClose(s keyState, in opInput, out opOutput) []any {
+	closed := keyState{closed: in.closeState, closedBy: in.attempt}
 	switch {
-	case s.open == e.attempt && out.open:
+	case s.open == in.attempt && out.effectUnknown:
 		return []any{closed, s}
-	case s.open == e.attempt:
+	case s.open == in.attempt:
 		return []any{closed}
-	case out.stored:
+	case out.applied:
 		return nil
 	default:
 		return []any{s}
@@ -134,7 +136,7 @@
 	Partition: func(ops []porcupine.Operation) [][]porcupine.Operation {
 		byKey := make(map[Key][]porcupine.Operation)
 		for _, o := range ops {
-			k := o.Input.(event).key
+			k := o.Input.(opInput).key
 			byKey[k] = append(byKey[k], o)
 		}
 		var parts [][]porcupine.Operation
@@ -143,63 +145,64 @@
 		}
 		return parts
 	},
-	Init: func() []any { return []any{table{}} },
+	Init: func() []any { return []any{keyState{}} },
 	Step: func(state, input, output any) []any {
-		s, e, out := state.(table), input.(event), output.(heard)
-		if e.closes == 0 {
-			return stepClaim(s, e, out)
+		s, in, out := state.(keyState), input.(opInput), output.(opOutput)
+		if in.closeState == 0 {
+			return stepClaim(s, in, out)
 		}
-		return stepClose(s, e, out)
+		return stepClose(s, in, out)
 	},
-	Equal: func(a, b any) bool { return a.(table) == b.(table) },
+	Equal: func(a, b any) bool { return a.(keyState) == b.(keyState) },
 }
 
-// relevant leaves out what can't change the check's verdict but multiplies its
-// search: claims that were not made, and unknown ones that nobody has met, which
-// are as if they had no effect.
-func (h *history) relevant() []porcupine.Operation {
-	met := make(map[string]bool)
+// relevantOps omits operations that can't change the result of the check but
+// multiply its search: claims that were not made, and claims with an unknown
+// verdict that no other operation observed, which may as well have had no
+// effect.
+func (h *history) relevantOps() []porcupine.Operation {
+	observed := make(map[string]bool)
 	for _, o := range h.ops {
-		switch v := o.Output.(heard).verdict.(type) {
+		switch v := o.Output.(opOutput).verdict.(type) {
 		case HeldBy:
-			met[v.Record.attemptID] = true
+			observed[v.Record.attemptID] = true
 		case Done:
-			met[v.Record.attemptID] = true
+			observed[v.Record.attemptID] = true
 		case Granted:
-			met[o.Input.(event).attempt] = true
+			observed[o.Input.(opInput).attempt] = true
 		}
-		if o.Output.(heard).stored {
-			met[o.Input.(event).attempt] = true
+		if o.Output.(opOutput).applied {
+			observed[o.Input.(opInput).attempt] = true
 		}
 	}
 	var ops []porcupine.Operation
 	for _, o := range h.ops {
-		v := o.Output.(heard).verdict
-		_, settled := v.(HeldBy)
+		v := o.Output.(opOutput).verdict
+		_, held := v.(HeldBy)
 		_, done := v.(Done)
-		if settled || done || met[o.Input.(event).attempt] {
+		if held || done || observed[o.Input.(opInput).attempt] {
 			ops = append(ops, o)
 		}
 	}
 	return ops
 }
 
-// check fails the test when no order of the operations explains what was heard.
+// check fails the test if the recorded history is not linearizable.
 func (h *history) check(t *testing.T) {
 	t.Helper()
 	model := claimModel.ToModel()
-	switch porcupine.CheckOperationsTimeout(model, h.relevant(), time.Minute) {
+	switch porcupine.CheckOperationsTimeout(model, h.relevantOps(), time.Minute) {
 	case porcupine.Illegal:
 		t.Error("the history of claims is not linearizable")
 	case porcupine.Unknown:
-		t.Error("the history of claims could not be checked in time")
+		t.Error("the check of the history of claims timed out")
 	}
 }
 
 func TestHistoryCheckFindsDoubleGrant(t *testing.T) {
 	h := &history{}
 	for _, a := range []string{"a", "b"} {
-		h.claimed(h.begin(), testKey(0), a, Granted{})
+		h.recordClaim(h.callTime(), testKey(0), a, Granted{})
 	}
 	res := porcupine.CheckOperations(claimModel.ToModel(), h.ops)
 	if res {
--- a/internal/platform/claim/key.go
+++ b/internal/platform/claim/key.go
@@ -6,34 +6,35 @@
 	"strings"
 )
 
-// Prefixes of the records in the platform's service.
+// Key prefixes of open and closed records in the platform's key-value service.
 const (
 	OpenPrefix   = "/hyssoprelay/claims/open/"
 	ClosedPrefix = "/hyssoprelay/claims/closed/"
 )
 
-// maxKeyPart bounds each part of a key in bytes, before escaping.
-const maxKeyPart = 256
+// maxKeyPartBytes bounds the length in bytes of each part of a key, before
+// escaping.
+const maxKeyPartBytes = 256
 
-// ErrKey says that a part of a key is empty or too long.
+// ErrKey means that a part of a key is empty or too long.
 var ErrKey = errors.New("claim: a key's parts must have 1 to 256 bytes")
 
-// Key names what is claimed. The same idempotency key of two accounts or for
-// two services is two keys.
+// Key identifies a claimed request. The same idempotency key used by two
+// accounts or for two services makes two different keys.
 type Key struct {
-	service     string
-	account     string
-	idempotency string
+	service        string
+	account        string
+	idempotencyKey string
 }
 
-// NewKey returns a key, or ErrKey.
-func NewKey(service, account, idempotency string) (Key, error) {
-	for _, s := range []string{service, account, idempotency} {
-		if s == "" || len(s) > maxKeyPart {
+// NewKey returns a Key, or ErrKey if a part is empty or longer than 256 bytes.
+func NewKey(service, account, idempotencyKey string) (Key, error) {
+	for _, s := range []string{service, account, idempotencyKey} {
+		if s == "" || len(s) > maxKeyPartBytes {
 			return Key{}, ErrKey
 		}
 	}
-	return Key{service: service, account: account, idempotency: idempotency}, nil
+	return Key{service: service, account: account, idempotencyKey: idempotencyKey}, nil
 }
 
 // Service returns the service that runs the request.
@@ -43,28 +44,29 @@
 func (k Key) Account() string { return k.account }
 
 // Idempotency returns the idempotency key.
-func (k Key) Idempotency() string { return k.idempotency }
+func (k Key) Idempotency() string { return k.idempotencyKey }
 
-// String returns the key as one path, which ParseKey reads.
+// String returns the key as a path with escaped parts, which ParseKey reads.
 func (k Key) String() string {
-	return url.PathEscape(k.service) + "/" + url.PathEscape(k.account) + "/" + url.PathEscape(k.idempotency)
+	return url.PathEscape(k.service) + "/" + url.PathEscape(k.account) + "/" + url.PathEscape(k.idempotencyKey)
 }
 
-// ParseKey reads what String wrote.
+// ParseKey parses the path that Key.String returns. It returns ErrKey if s is
+// not such a path.
 func ParseKey(s string) (Key, error) {
 	parts := strings.Split(s, "/")
 	if len(parts) != 3 {
 		return Key{}, ErrKey
 	}
 	for i, p := range parts {
-		u, err := url.PathUnescape(p)
+		unescaped, err := url.PathUnescape(p)
 		if err != nil {
 			return Key{}, ErrKey
 		}
-		parts[i] = u
+		parts[i] = unescaped
 	}
 	return NewKey(parts[0], parts[1], parts[2])
 }
 
-func (k Key) open() string   { return OpenPrefix + k.String() }
-func (k Key) closed() string { return ClosedPrefix + k.String() }
+func (k Key) openKey() string   { return OpenPrefix + k.String() }
+func (k Key) closedKey() string { return ClosedPrefix + k.String() }
--- a/internal/platform/claim/lease.go
+++ b/internal/platform/claim/lease.go
@@ -8,31 +8,32 @@
 )
 
 // bucketLease is the lease that the closed records of one time bucket share.
-// One lease a record would cost a write each; one a bucket costs eight writes
-// an agent in the retention time. Nobody keeps it alive, so no pause of a
-// holder can end it early.
+// One lease per record would cost a write for each record; one lease per bucket
+// costs an agent eight writes in the retention time, with the default Bucket.
+// The lease is never kept alive, so a paused holder can't make it expire early.
 type bucketLease struct {
-	id    platform.LeaseID
-	since time.Time
+	id        platform.LeaseID
+	grantedAt time.Time
 }
 
-// get returns the lease for a batch, zero when it needs none.
-func (l *bucketLease) get(ctx context.Context, b *Batcher, batch []*op) (platform.LeaseID, error) {
+// leaseFor returns the lease for a batch, or zero if the batch needs none. It
+// grants a new lease when the bucket has ended.
+func (l *bucketLease) leaseFor(ctx context.Context, b *Batcher, batch []*op) (platform.LeaseID, error) {
 	needed := false
 	for _, o := range batch {
-		needed = needed || needsLease(o.step)
+		needed = needed || needsLease(o.mutation)
 	}
 	if !needed {
 		return 0, nil
 	}
 	now := b.Now()
-	if l.id != 0 && now.Sub(l.since) < b.Bucket {
+	if l.id != 0 && now.Sub(l.grantedAt) < b.Bucket {
 		return l.id, nil
 	}
 	id, err := b.KV.Grant(ctx, b.Retention+b.Bucket)
 	if err != nil {
 		return 0, err
 	}
-	*l = bucketLease{id: id, since: now}
+	*l = bucketLease{id: id, grantedAt: now}
 	return id, nil
 }
--- a/internal/platform/claim/loop.go
+++ b/internal/platform/claim/loop.go
@@ -12,25 +12,27 @@
 )
 
 const (
-	// MaxBatch is how many operations one transaction holds: what the service
-	// allows less what each of them holds itself.
+	// MaxBatch is the maximum number of operations per transaction: the
+	// service's limit less the operations of the largest nested transaction,
+	// which the service counts too.
 	MaxBatch = platform.MaxTxnOps - nestedOps
 
-	// maxBatchBytes keeps a transaction below the request size that the service
-	// takes, which is a megabyte and a half.
+	// maxBatchBytes keeps a transaction below the service's request size limit
+	// of a megabyte and a half.
 	maxBatchBytes = 768 << 10
 )
 
-// After a failed transaction the next one waits, from minBackoff up to
-// maxBackoff: a service in trouble is not asked without end, and one that is
-// back is found within a second, inside the usual window.
+// The wait after a failed transaction doubles from minBackoff up to maxBackoff.
+// It limits the load on a failing service, and a recovered service is used again
+// within a second, inside the usual window.
 const (
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = time.Second
 )
 
-// Run sends what is queued until ctx ends. Claims that wait then are answered:
-// not made when they were never sent, else unknown.
+// Run sends queued operations until ctx ends. Claims that still wait then get
+// NotMade if none of their sends may have had an effect, otherwise Unknown. It
+// returns ErrFields if a required field is not set.
 func (b *Batcher) Run(ctx context.Context) error {
 	if b.KV == nil || b.Now == nil || b.Window <= 0 || b.Retention <= 0 || b.MaxQueue <= 0 || b.MaxBacklog <= 0 {
 		return ErrFields
@@ -38,12 +40,12 @@
 	b.init()
 	backoff := time.Duration(0)
 	for ctx.Err() == nil {
-		batch, wait := b.take(b.Now())
+		batch, wait := b.nextBatch(b.Now())
 		if len(batch) == 0 {
-			b.sleep(ctx, wait)
+			b.waitForWork(ctx, wait)
 			continue
 		}
-		if b.send(ctx, batch) {
+		if b.sendBatch(ctx, batch) {
 			backoff = 0
 			pause.For(ctx, b.Interval)
 			continue
@@ -55,85 +57,91 @@
 	return nil
 }
 
-// sleep waits for a signal, at most d when d is positive.
-func (b *Batcher) sleep(ctx context.Context, d time.Duration) {
-	var after <-chan time.Time
+// waitForWork waits until signal is called, ctx ends or, if d is positive, d
+// has passed.
+func (b *Batcher) waitForWork(ctx context.Context, d time.Duration) {
+	var timeout <-chan time.Time
 	if d > 0 {
 		t := time.NewTimer(d)
 		defer t.Stop()
-		after = t.C
+		timeout = t.C
 	}
 	select {
 	case <-b.wake:
-	case <-after:
+	case <-timeout:
 	case <-ctx.Done():
 	}
 }
 
-// take picks the next batch, or says how long the next outcome may linger.
+// nextBatch removes the next batch from the queues. If there is nothing to send
+// yet, it returns how long the oldest outcome may still wait.
 //
-// Its load is more claims and outcomes than the service takes writes: they
-// share transactions, so writes grow with the number of agents and not with the
-// number of requests. Claims go first, because callers wait for them; outcomes
-// keep half of the places, because a backlog that only grew would in the end
-// drop outcomes. A key is in a batch once at most: the service refuses a
-// transaction that writes a key twice, and everyone in it would be refused.
-func (b *Batcher) take(now time.Time) ([]*op, time.Duration) {
+// Claims and outcomes may exceed the writes that the service can take, so they
+// share transactions: writes grow with the number of agents and not with the
+// number of requests. Claims go first, because callers wait for them. Half of
+// the batch is reserved for outcomes, because a backlog that only grows would
+// eventually drop outcomes. A batch holds each key at most once: the service
+// refuses a transaction that writes a key twice, and with it all operations of
+// the batch.
+func (b *Batcher) nextBatch(now time.Time) ([]*op, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if wait := b.lingers(now); len(b.claims) == 0 && (len(b.closes) == 0 || wait > 0) {
+	if wait := b.lingerRemaining(now); len(b.pendingClaims) == 0 && (len(b.pendingOutcomes) == 0 || wait > 0) {
 		return nil, wait
 	}
-	p := picker{keys: make(map[Key]bool)}
-	forCloses := min(len(b.closes), MaxBatch/2)
-	b.claims = p.pick(b.claims, MaxBatch-forCloses)
-	b.closes = p.pick(b.closes, MaxBatch)
+	p := batchBuilder{keys: make(map[Key]bool)}
+	reservedForOutcomes := min(len(b.pendingOutcomes), MaxBatch/2)
+	b.pendingClaims = p.addOps(b.pendingClaims, MaxBatch-reservedForOutcomes)
+	b.pendingOutcomes = p.addOps(b.pendingOutcomes, MaxBatch)
 	for _, o := range p.batch {
-		o.inUse = true
-		if _, ok := o.step.(create); !ok {
-			b.flight++
+		o.inFlight = true
+		if _, ok := o.mutation.(createClaim); !ok {
+			b.inFlightOutcomes++
 		}
 	}
 	return p.batch, 0
 }
 
-// lingers returns how long the oldest outcome still may wait.
-func (b *Batcher) lingers(now time.Time) time.Duration {
-	if len(b.closes) == 0 || len(b.closes) >= MaxBatch {
+// lingerRemaining returns how long the oldest outcome may still wait for a
+// claim. Zero or less means that outcomes are due or that there are none.
+func (b *Batcher) lingerRemaining(now time.Time) time.Duration {
+	if len(b.pendingOutcomes) == 0 || len(b.pendingOutcomes) >= MaxBatch {
 		return 0
 	}
-	return b.closes[0].since.Add(b.Linger).Sub(now)
+	return b.pendingOutcomes[0].queuedAt.Add(b.Linger).Sub(now)
 }
 
-type picker struct {
+// batchBuilder collects the operations of a batch within its limits.
+type batchBuilder struct {
 	batch []*op
 	keys  map[Key]bool
 	bytes int
 }
 
-// pick moves operations into the batch until it holds limit and returns the
-// rest.
-func (p *picker) pick(ops []*op, limit int) []*op {
-	var rest []*op
+// addOps moves operations into the batch until it holds limit operations, and
+// returns the others. It leaves out operations whose key is already in the
+// batch or that would exceed maxBatchBytes.
+func (p *batchBuilder) addOps(ops []*op, limit int) []*op {
+	var remaining []*op
 	for _, o := range ops {
-		r := recordOf(o.step)
-		size := len(r.answer.Body)*4/3 + maxRecord/16
+		r := recordOf(o.mutation)
+		size := len(r.answer.Body)*4/3 + maxRecordBytes/16
 		if len(p.batch) >= limit || p.keys[r.key] || p.bytes+size > maxBatchBytes {
-			rest = append(rest, o)
+			remaining = append(remaining, o)
 			continue
 		}
 		p.keys[r.key] = true
 		p.bytes += size
 		p.batch = append(p.batch, o)
 	}
-	return rest
+	return remaining
 }
 
-// send does one transaction and reports whether the service answered.
-func (b *Batcher) send(ctx context.Context, batch []*op) bool {
-	id, err := b.lease.get(ctx, b, batch)
+// sendBatch sends one transaction and reports whether it succeeded.
+func (b *Batcher) sendBatch(ctx context.Context, batch []*op) bool {
+	id, err := b.lease.leaseFor(ctx, b, batch)
 	if err != nil {
-		batch = b.postpone(batch)
+		batch = b.requeueLeaseOps(batch)
 		if len(batch) == 0 {
 			return false
 		}
@@ -141,54 +149,56 @@
 	t := platform.Txn{}
 	now := b.Now()
 	for _, o := range batch {
-		if o.sentAt.IsZero() {
-			o.sentAt = now
+		if o.firstSentAt.IsZero() {
+			o.firstSentAt = now
 		}
-		t.Then = append(t.Then, txnOf(o.step, id))
+		t.Then = append(t.Then, mutationTxn(o.mutation, id))
 	}
-	b.counts.txns.Inc(1)
-	b.counts.ops.Inc(int64(len(batch)))
+	b.counters.txns.Inc(1)
+	b.counters.ops.Inc(int64(len(batch)))
 	r, err := b.KV.Txn(ctx, t)
 	if err == nil && len(r.Ops()) != len(batch) {
-		err = errors.New("claim: the answer does not fit the transaction")
+		err = errors.New("claim: reply and transaction differ in the number of operations")
 	}
 	if platform.IsLeaseMissing(err) {
 		b.lease = bucketLease{}
 	}
-	b.settle(batch, r, err)
+	b.applyReply(batch, r, err)
 	return err == nil
 }
 
-// postpone puts the operations that need a lease back into the queue.
-func (b *Batcher) postpone(batch []*op) []*op {
+// requeueLeaseOps returns the operations that need a lease to their queue, and
+// returns the others.
+func (b *Batcher) requeueLeaseOps(batch []*op) []*op {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var rest []*op
+	var remaining []*op
 	for _, o := range batch {
-		if needsLease(o.step) {
+		if needsLease(o.mutation) {
 			b.requeue(o)
 			continue
 		}
-		rest = append(rest, o)
+		remaining = append(remaining, o)
 	}
-	return rest
+	return remaining
 }
 
-// stop answers everyone who waits.
+// stop answers all waiting claims. The claims of outcomes that are not stored
+// stay open.
 func (b *Batcher) stop() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stopped = true
-	for _, o := range b.claims {
-		if o.maybe {
+	for _, o := range b.pendingClaims {
+		if o.mayHaveApplied {
 			o.verdict <- Unknown{Err: errors.New("the agent stopped before the platform answered")}
 			continue
 		}
 		o.verdict <- NotMade{Err: result.New(result.ShuttingDown, "claims have stopped")}
 	}
-	b.claims = nil
-	if n := len(b.closes); n > 0 {
-		b.counts.dropped.Inc(int64(n))
+	b.pendingClaims = nil
+	if n := len(b.pendingOutcomes); n > 0 {
+		b.counters.dropped.Inc(int64(n))
 		b.Log.WithField("outcomes", n).Warn("stopped before all outcomes were stored; their claims stay open")
 	}
 }
--- a/internal/platform/claim/loopback_test.go
+++ b/internal/platform/claim/loopback_test.go
@@ -13,8 +13,9 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/standin/kv"
 )
 
-// run runs f until the test ends.
-func run(t *testing.T, f func(context.Context) error) {
+// runInBackground runs f in a goroutine until the test ends, and reports its
+// error.
+func runInBackground(t *testing.T, f func(context.Context) error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -27,22 +28,22 @@
 	})
 }
 
-// The whole way over the service's protocol: a claim whose answer is lost is
-// settled, and a repeat through another agent gets the stored answer.
+// Tests a claim over the service's protocol: a claim whose reply is lost is
+// settled, and a repeat at another agent gets the stored answer.
 func TestClaimOverLoopback(t *testing.T) {
-	const long = 20 * time.Second
+	const timeout = 20 * time.Second
 	s := &kv.Server{}
-	run(t, s.Run)
+	runInBackground(t, s.Run)
 	var agents []*claim.Batcher
 	for i := range 2 {
-		c := &platform.Client{Addrs: []string{s.Addr()}, Timeout: long, Metrics: metrics.NewRegistry()}
-		run(t, c.Run)
+		c := &platform.Client{Addrs: []string{s.Addr()}, Timeout: timeout, Metrics: metrics.NewRegistry()}
+		runInBackground(t, c.Run)
 		b := &claim.Batcher{
 			KV: c, Agent: fmt.Sprint("127.0.0.1:", 7000+i), Endpoint: "press",
-			Window: long, Retention: time.Hour, MaxQueue: 10, MaxBacklog: 10,
+			Window: timeout, Retention: time.Hour, MaxQueue: 10, MaxBacklog: 10,
 			Now: time.Now, Metrics: metrics.NewRegistry(),
 		}
-		run(t, b.Run)
+		runInBackground(t, b.Run)
 		agents = append(agents, b)
 	}
 	k, err := claim.NewKey("print", "kennel", "order 1")
@@ -63,6 +64,6 @@
 	}
 	req.AttemptID = "b"
 	if v, ok := agents[1].Claim(t.Context(), req).(claim.Done); !ok || v.Record.AttemptID() != "a" {
-		t.Errorf("the repeat got %+v", v)
+		t.Errorf("the repeat got %+v, want Done by attempt a", v)
 	}
 }
--- a/internal/platform/claim/metrics.go
+++ b/internal/platform/claim/metrics.go
@@ -2,8 +2,8 @@
 
 import "github.com/rcrowley/go-metrics"
 
-// counts are the batcher's counters.
-type counts struct {
+// counters holds the metrics of a Batcher.
+type counters struct {
 	granted    metrics.Counter
 	held       metrics.Counter
 	done       metrics.Counter
@@ -19,14 +19,14 @@
 	backlog    metrics.Gauge
 }
 
-func newCounts(r metrics.Registry) counts {
+func newCounters(r metrics.Registry) counters {
 	if r == nil {
 		r = metrics.DefaultRegistry
 	}
 	counter := func(name string) metrics.Counter {
 		return metrics.GetOrRegisterCounter("claim."+name, r)
 	}
-	return counts{
+	return counters{
 		granted:    counter("granted"),
 		held:       counter("held"),
 		done:       counter("done"),
@@ -43,7 +43,8 @@
 	}
 }
 
-func (c counts) verdict(v Verdict) Verdict {
+// countVerdict counts v and returns it.
+func (c counters) countVerdict(v Verdict) Verdict {
 	switch v.(type) {
 	case Granted:
 		c.granted.Inc(1)
--- a/internal/platform/claim/record.go
+++ b/internal/platform/claim/record.go
@@ -9,17 +9,19 @@
 	"time"
 )
 
-// MaxAnswer is the largest answer in bytes that is kept with a record. With the
-// batch limit it keeps a transaction below a megabyte.
+// MaxAnswer is the maximum size in bytes of an answer that is stored with a
+// record. Together with the batch limit it keeps a transaction below a
+// megabyte.
 const MaxAnswer = 16 << 10
 
-// maxRecord bounds an encoded record: the answer in base64 and the rest.
-const maxRecord = 2*MaxAnswer + 16<<10
+// maxRecordBytes bounds an encoded record: the answer in base64 plus the other
+// fields.
+const maxRecordBytes = 2*MaxAnswer + 16<<10
 
-// ErrRecord says that a stored record can't be read.
+// ErrRecord means that a stored record can't be decoded.
 var ErrRecord = errors.New("claim: the record can't be read")
 
-// State is what is known of a claimed request.
+// State is the state of a claimed request.
 type State int
 
 const (
@@ -32,9 +34,10 @@
 	Completed
 	// Failed means that the endpoint ran the request and reported a failure.
 	Failed
-	// Ran means that an operator found that the request was run.
+	// Ran means that an operator determined that the request was run.
 	Ran
-	// NotRun means that the request was not run and that this claim never will.
+	// NotRun means that the request was not run and won't be run under this
+	// claim.
 	NotRun
 )
 
@@ -50,36 +53,36 @@
 // String returns the state's camel-case name.
 func (s State) String() string { return stateNames[s] }
 
-// open reports whether a record in this state is kept as open.
-func (s State) open() bool { return s == Claimed || s == Unsettled }
+// isOpen reports whether records in this state are stored under OpenPrefix.
+func (s State) isOpen() bool { return s == Claimed || s == Unsettled }
 
-// Answer is what an endpoint answered.
+// Answer is the answer of an endpoint.
 type Answer struct {
 	// Status is the HTTP status.
 	Status int
 	// ContentType describes Body.
 	ContentType string
-	// Body is the answer, not kept when larger than MaxAnswer.
+	// Body is the answer's body. It is not stored when larger than MaxAnswer.
 	Body []byte
 }
 
 // Record is a claim as it is stored.
 type Record struct {
-	key         Key
-	bodyDigest  string
-	requestID   string
-	attemptID   string
-	agent       string
-	endpoint    string
-	incarnation uint64
-	state       State
-	at          time.Time
-	releasedBy  string
-	answer      Answer
-	dropped     bool
+	key           Key
+	bodyDigest    string
+	requestID     string
+	attemptID     string
+	agent         string
+	endpoint      string
+	incarnation   uint64
+	state         State
+	updatedAt     time.Time
+	releasedBy    string
+	answer        Answer
+	answerDropped bool
 }
 
-// Key returns what is claimed.
+// Key returns the key of the claimed request.
 func (r Record) Key() Key { return r.key }
 
 // BodyDigest returns the digest of the request's body.
@@ -94,34 +97,35 @@
 // Agent returns the address of the agent that made the claim.
 func (r Record) Agent() string { return r.agent }
 
-// Endpoint returns the name of the endpoint that the agent stands for.
+// Endpoint returns the name of the agent's endpoint.
 func (r Record) Endpoint() string { return r.endpoint }
 
 // Incarnation returns the agent's incarnation.
 func (r Record) Incarnation() uint64 { return r.incarnation }
 
-// State returns what is known.
+// State returns the state of the claimed request.
 func (r Record) State() State { return r.state }
 
-// At returns the agent's wall clock when the state was set, for information.
-func (r Record) At() time.Time { return r.at }
+// At returns when the state was set, by the wall clock of the process that set
+// it. It is informational only.
+func (r Record) At() time.Time { return r.updatedAt }
 
 // ReleasedBy returns the operator who released the claim, or "".
 func (r Record) ReleasedBy() string { return r.releasedBy }
 
-// Answer returns the stored answer and whether its body is whole: it is not
-// when the body was too large to keep or when nothing was answered.
+// Answer returns the stored answer and whether it is complete. It is incomplete
+// when the body was too large to store and when there is no answer.
 func (r Record) Answer() (Answer, bool) {
-	return r.answer, !r.dropped && r.answer.Status != 0
+	return r.answer, !r.answerDropped && r.answer.Status != 0
 }
 
-func (r Record) with(s State, a Answer, now time.Time) Record {
+func (r Record) withState(s State, a Answer, now time.Time) Record {
 	r.state = s
-	r.at = time.UnixMicro(now.UnixMicro()).UTC()
+	r.updatedAt = time.UnixMicro(now.UnixMicro()).UTC()
 	r.answer = a
 	if len(a.Body) > MaxAnswer {
 		r.answer.Body = nil
-		r.dropped = true
+		r.answerDropped = true
 	}
 	return r
 }
@@ -145,12 +149,13 @@
 	AnswerDropped  bool   `json:"answerDropped,omitempty"`
 }
 
-// Encode returns the record as JSON with camelCase keys.
+// Encode returns the record as JSON with camelCase keys, which DecodeRecord
+// reads.
 func (r Record) Encode() []byte {
 	b, err := json.Marshal(recordJSON{
 		Service:        r.key.service,
 		Account:        r.key.account,
-		IdempotencyKey: r.key.idempotency,
+		IdempotencyKey: r.key.idempotencyKey,
 		BodyDigest:     r.bodyDigest,
 		RequestID:      r.requestID,
 		AttemptID:      r.attemptID,
@@ -158,22 +163,22 @@
 		Endpoint:       r.endpoint,
 		Incarnation:    r.incarnation,
 		State:          r.state.String(),
-		AtMicros:       r.at.UnixMicro(),
+		AtMicros:       r.updatedAt.UnixMicro(),
 		ReleasedBy:     r.releasedBy,
 		Status:         r.answer.Status,
 		ContentType:    r.answer.ContentType,
 		Answer:         r.answer.Body,
-		AnswerDropped:  r.dropped,
+		AnswerDropped:  r.answerDropped,
 	})
 	if err != nil {
-		panic(err) // strings, integers and bytes can't fail
+		panic(err) // strings, integers and byte slices can always be marshalled
 	}
 	return b
 }
 
-// DecodeRecord reads an encoded record. The error wraps ErrRecord.
+// DecodeRecord decodes a record that Encode returned. Its errors wrap ErrRecord.
 func DecodeRecord(b []byte) (Record, error) {
-	if len(b) > maxRecord {
+	if len(b) > maxRecordBytes {
 		return Record{}, fmt.Errorf("%w: %d bytes", ErrRecord, len(b))
 	}
 	var j recordJSON
@@ -193,27 +198,27 @@
 	if err != nil {
 		return Record{}, fmt.Errorf("%w: %w", ErrRecord, err)
 	}
-	s, ok := stateFrom(j.State)
+	s, ok := parseState(j.State)
 	if !ok || j.AttemptID == "" || len(j.Answer) > MaxAnswer {
 		return Record{}, fmt.Errorf("%w: state %q", ErrRecord, j.State)
 	}
 	return Record{
-		key:         k,
-		bodyDigest:  j.BodyDigest,
-		requestID:   j.RequestID,
-		attemptID:   j.AttemptID,
-		agent:       j.Agent,
-		endpoint:    j.Endpoint,
-		incarnation: j.Incarnation,
-		state:       s,
-		at:          time.UnixMicro(j.AtMicros).UTC(),
-		releasedBy:  j.ReleasedBy,
-		answer:      Answer{Status: j.Status, ContentType: j.ContentType, Body: j.Answer},
-		dropped:     j.AnswerDropped,
+		key:           k,
+		bodyDigest:    j.BodyDigest,
+		requestID:     j.RequestID,
+		attemptID:     j.AttemptID,
+		agent:         j.Agent,
+		endpoint:      j.Endpoint,
+		incarnation:   j.Incarnation,
+		state:         s,
+		updatedAt:     time.UnixMicro(j.AtMicros).UTC(),
+		releasedBy:    j.ReleasedBy,
+		answer:        Answer{Status: j.Status, ContentType: j.ContentType, Body: j.Answer},
+		answerDropped: j.AnswerDropped,
 	}, nil
 }
 
-func stateFrom(name string) (State, bool) {
+func parseState(name string) (State, bool) {
 	for s, n := range stateNames {
 		if n == name {
 			return s, true
--- a/internal/platform/claim/registry.go
+++ b/internal/platform/claim/registry.go
@@ -12,47 +12,48 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// maxSeen bounds the open claims whose first sight is remembered.
-const maxSeen = 4096
+// maxFirstSeen bounds the revisions whose first-seen time is kept. When it is
+// reached, all times are discarded and the waits start again.
+const maxFirstSeen = 4096
 
-// retryPause is the wait between two tries to settle a release whose answer was
-// lost.
-const retryPause = 50 * time.Millisecond
+// retryInterval is the wait between two attempts to write a release when a
+// reply was lost.
+const retryInterval = 50 * time.Millisecond
 
 // Registry lists open claims and releases them for operators. Set the fields
-// before the first call. It may be used by several goroutines.
+// before the first call. It is safe for concurrent use.
 type Registry struct {
-	// KV is the platform's service.
+	// KV is the platform's key-value service.
 	KV platform.KV
-	// Window is the agents' dispatch window and Margin what is added to it for
-	// the time that an agent needs between its check and the dispatch, and for
-	// clocks of unequal speed.
+	// Window is the agents' dispatch window. Margin is added to it for the time
+	// that an agent needs between its check and the dispatch, and for clocks
+	// that run at different speeds.
 	Window time.Duration
 	Margin time.Duration
 	// Retention is how long a released record is kept.
 	Retention time.Duration
-	// Alive, when set, reports whether an agent's incarnation still lives.
+	// Alive, if set, reports whether an agent's incarnation is still alive.
 	Alive func(agent string, incarnation uint64) bool
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
 
-	mu   sync.Mutex // guards seen
-	seen map[int64]time.Time
+	mu        sync.Mutex // guards firstSeen
+	firstSeen map[int64]time.Time
 }
 
-// Open is an open claim as operators see it.
+// Open is an open claim as it is listed for operators.
 type Open struct {
-	record Record
-	rest   time.Duration
+	record          Record
+	releasableAfter time.Duration
 }
 
 // Record returns the claim.
 func (o Open) Record() Record { return o.record }
 
-// Rest returns after how long the claim can be released; zero is at once.
-func (o Open) Rest() time.Duration { return o.rest }
+// Rest returns the time until the claim can be released. Zero means now.
+func (o Open) Rest() time.Duration { return o.releasableAfter }
 
-// Page is a part of the list of open claims.
+// Page is a page of the list of open claims.
 type Page struct {
 	claims     []Open
 	more       bool
@@ -62,14 +63,15 @@
 // Claims returns the claims in the order of their keys.
 func (p Page) Claims() []Open { return p.claims }
 
-// More reports whether there are more after this page.
+// More reports whether more claims follow this page.
 func (p Page) More() bool { return p.more }
 
-// Unreadable returns how many records were left out because they can't be read.
+// Unreadable returns how many records were omitted because they can't be
+// decoded.
 func (p Page) Unreadable() int { return p.unreadable }
 
-// List returns open claims from the key after on, which is the String of a Key.
-// The first page has after "".
+// List returns a page of at most limit open claims whose keys follow after, the
+// String of a Key. The first page has after "".
 func (g *Registry) List(ctx context.Context, after string, limit int) (Page, error) {
 	if after != "" {
 		after = OpenPrefix + after
@@ -86,52 +88,57 @@
 			p.unreadable++
 			continue
 		}
-		p.claims = append(p.claims, Open{record: rec, rest: max(0, g.rest(kv.Revision(), now))})
+		p.claims = append(p.claims, Open{record: rec, releasableAfter: max(0, g.remainingWindow(kv.Revision(), now))})
 	}
 	return p, nil
 }
 
-// sight returns when the revision was first seen here.
-func (g *Registry) sight(revision int64, now time.Time) time.Time {
+// firstSeenAt returns when this Registry first saw the revision, which is now
+// if it did not see it before.
+func (g *Registry) firstSeenAt(revision int64, now time.Time) time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if at, ok := g.seen[revision]; ok {
+	if at, ok := g.firstSeen[revision]; ok {
 		return at
 	}
-	if g.seen == nil || len(g.seen) >= maxSeen {
-		g.seen = make(map[int64]time.Time)
+	if g.firstSeen == nil || len(g.firstSeen) >= maxFirstSeen {
+		g.firstSeen = make(map[int64]time.Time)
 	}
-	g.seen[revision] = now
+	g.firstSeen[revision] = now
 	return now
 }
 
-// Release closes an open claim as Ran or NotRun, on the word of the operator
-// by. It refuses while the dispatch window may be open: the operator must look
-// at the endpoint after that, because what was seen there before can still
-// change. Errors are results: UnknownClaim; ClaimRunning, with the time to come
-// back, when the window may be open or the claim's agent lives; Conflict when
-// the claim changed meanwhile; WriteUnknown; PlatformRefused.
-func (g *Registry) Release(ctx context.Context, k Key, s State, by string) error {
-	if s != Ran && s != NotRun || by == "" {
+// Release closes an open claim as Ran or NotRun, as determined by operator. It
+// refuses while the agent may still dispatch the request. What the endpoint
+// shows until then can still change, so the operator must look at it afterwards.
+//
+// Errors are result errors: MalformedOrder when s is another state or operator
+// is empty; UnknownClaim when no open claim has the key; DocumentUnreadable
+// when the record can't be decoded; ClaimRunning, with the time to retry after,
+// while the window may be open or the claim's agent is alive; Conflict when the
+// claim was changed in the meantime; WriteUnknown when the release may have
+// been written; PlatformRefused when it was not written.
+func (g *Registry) Release(ctx context.Context, k Key, s State, operator string) error {
+	if s != Ran && s != NotRun || operator == "" {
 		return result.New(result.MalformedOrder, "a release says ran or notRun and who says so")
 	}
-	rec, revision, err := g.read(ctx, k)
+	rec, revision, err := g.readOpen(ctx, k)
 	if err != nil {
 		return err
 	}
 	if rec.state == Claimed && g.Alive != nil && g.Alive(rec.agent, rec.incarnation) {
 		return result.New(result.ClaimRunning, "the agent at "+rec.agent+" lives").WithRetryAfter(g.Window)
 	}
-	if rest := g.rest(revision, g.Now()); rest > 0 {
-		return result.New(result.ClaimRunning, "the agent may still dispatch the request; look at the endpoint after that").WithRetryAfter(rest)
+	if remaining := g.remainingWindow(revision, g.Now()); remaining > 0 {
+		return result.New(result.ClaimRunning, "the agent may still dispatch the request; look at the endpoint after that").WithRetryAfter(remaining)
 	}
-	closed := rec.with(s, Answer{}, g.Now())
-	closed.releasedBy = by
-	return g.close(ctx, conclude{record: closed, revision: revision})
+	closed := rec.withState(s, Answer{}, g.Now())
+	closed.releasedBy = operator
+	return g.commitRelease(ctx, storeOutcome{record: closed, revision: revision})
 }
 
-func (g *Registry) read(ctx context.Context, k Key) (Record, int64, error) {
-	r, err := g.KV.Get(ctx, k.open())
+func (g *Registry) readOpen(ctx context.Context, k Key) (Record, int64, error) {
+	r, err := g.KV.Get(ctx, k.openKey())
 	if err != nil {
 		return Record{}, 0, result.New(result.PlatformRefused, err.Error())
 	}
@@ -146,34 +153,36 @@
 	return rec, kv.Revision(), nil
 }
 
-// rest returns for how long the window of the claim's agent may still be open.
+// remainingWindow returns for how long the window of the claim's agent, with
+// the margin, may still be open; zero or less means that it is closed.
 //
-// It guards against a release that overtakes the dispatch: the operator sees
-// that nothing was printed, releases the claim, the agent prints, and the order
+// It prevents a release from overtaking the dispatch: the operator sees that
+// nothing was printed and releases the claim, the agent prints, and the order
 // that the caller sends again is printed too. The claim was sent before it was
-// seen, so counting from the first sight can only be too long; the clocks of
-// agent and operator are not compared.
-func (g *Registry) rest(revision int64, now time.Time) time.Duration {
-	return g.sight(revision, now).Add(g.Window + g.Margin).Sub(now)
+// first seen, so counting from then can only make the wait too long. The clocks
+// of agent and operator are not compared.
+func (g *Registry) remainingWindow(revision int64, now time.Time) time.Duration {
+	return g.firstSeenAt(revision, now).Add(g.Window + g.Margin).Sub(now)
 }
 
-// close writes the release and settles a lost answer by writing again.
-func (g *Registry) close(ctx context.Context, c conclude) error {
+// commitRelease writes the release. It repeats the write until ctx ends while
+// the outcome is unknown or no lease was obtained.
+func (g *Registry) commitRelease(ctx context.Context, c storeOutcome) error {
 	unknown := false
 	for {
-		stored, err := g.try(ctx, c)
+		stored, err := g.tryRelease(ctx, c)
 		switch {
 		case err == nil && stored:
 			return nil
 		case err == nil:
 			return result.New(result.Conflict, "the claim was changed meanwhile")
-		case errors.Is(err, errGrant):
+		case errors.Is(err, errNoLease):
 		case platform.IsUnknown(err):
 			unknown = true
 		case !unknown:
 			return result.New(result.PlatformRefused, err.Error())
 		}
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryInterval)
 		if ctx.Err() == nil {
 			continue
 		}
@@ -184,24 +193,25 @@
 	}
 }
 
-// errGrant says that the lease of a released record was not granted, or that
-// the answer was lost; either way the release itself was not written.
-var errGrant = errors.New("claim: no lease for the released record")
+// errNoLease means that the grant of a lease for a released record got no
+// reply, so the release itself was not written.
+var errNoLease = errors.New("claim: lease grant for the released record got no reply")
 
-// try reports whether the release is stored. Only an unknown outcome of the
-// transaction itself leaves that open.
-func (g *Registry) try(ctx context.Context, c conclude) (bool, error) {
+// tryRelease writes the release once and reports whether it is stored. Its error
+// satisfies platform.IsUnknown only if the outcome of the transaction itself is
+// unknown.
+func (g *Registry) tryRelease(ctx context.Context, c storeOutcome) (bool, error) {
 	id, err := g.KV.Grant(ctx, g.Retention)
 	if platform.IsUnknown(err) {
-		return false, errGrant
+		return false, errNoLease
 	}
 	if err != nil {
 		return false, err
 	}
-	r, err := g.KV.Txn(ctx, platform.Txn{Then: []platform.Op{txnOf(c, id)}})
+	r, err := g.KV.Txn(ctx, platform.Txn{Then: []platform.Op{mutationTxn(c, id)}})
 	if err != nil {
 		return false, err
 	}
-	stored, _ := c.judge(r.Ops()[0].Txn())
+	stored, _ := c.interpretReply(r.Ops()[0].Txn())
 	return stored, nil
 }
--- a/internal/platform/claim/registry_test.go
+++ b/internal/platform/claim/registry_test.go
@@ -7,18 +7,19 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// An operator sees an open claim and nothing printed. Releasing at once would
-// let the agent print it afterwards, and the caller's repeat as well.
+// Guards against a release that precedes the dispatch: an operator sees an open
+// claim and nothing printed and releases the claim, the agent prints the order
+// afterwards, and so does the caller's repeat.
 func TestReleaseWaitsForWindow(t *testing.T) {
-	withBatcher(t, func(t *bench) {
+	withBatcher(t, func(t *batcherTest) {
 		k := testKey(1)
-		g := t.granted(k, "a")
+		g := t.mustClaim(k, "a")
 		release := func(s State) error { return t.claims.Release(t.Context(), k, s, "op") }
 		err := release(NotRun)
 		wantCode(t.T, err, result.ClaimRunning)
 		time.Sleep(result.Of(err).RetryAfter())
 		if g.MayDispatch(time.Now()) {
-			t.Error("the claim can be released while its agent may dispatch")
+			t.Error("the claim can be released while its agent may still dispatch")
 		}
 		alive := true
 		t.claims.Alive = func(string, uint64) bool { return alive }
@@ -28,26 +29,27 @@
 		wantCode(t.T, release(NotRun), result.OK)
 		wantCode(t.T, release(NotRun), result.UnknownClaim)
 		wantCode(t.T, release(Completed), result.MalformedOrder)
-		t.granted(k, "b")
+		t.mustClaim(k, "b")
 	})
 }
 
-// Between the operator's look and the release the agent stores that it does not
-// know the outcome; the release was decided on what is no longer so.
+// Guards against a release that was decided on an outdated record: between the
+// operator's read and the release, the agent stores that the outcome is not
+// known.
 func TestReleaseOfChangedClaimIsConflict(t *testing.T) {
-	withBatcher(t, func(t *bench) {
-		g := t.granted(testKey(1), "a")
-		rec, revision, err := t.claims.read(t.Context(), testKey(1))
+	withBatcher(t, func(t *batcherTest) {
+		g := t.mustClaim(testKey(1), "a")
+		rec, revision, err := t.claims.readOpen(t.Context(), testKey(1))
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.conclude(g, Unsettled, Answer{})
 		t.flush()
-		err = t.claims.close(t.Context(), conclude{record: rec.with(NotRun, Answer{}, time.Now()), revision: revision})
+		err = t.claims.commitRelease(t.Context(), storeOutcome{record: rec.withState(NotRun, Answer{}, time.Now()), revision: revision})
 		wantCode(t.T, err, result.Conflict)
 		wantCode(t.T, Err(t.claim(testKey(1), "b", "d", time.Minute)), result.OutcomeUnknown)
 		t.conclude(g, Completed, Answer{Status: 200})
 		t.flush()
-		t.wantOpen(0)
+		t.wantOpenClaims(0)
 	})
 }
--- a/internal/platform/claim/settle.go
+++ b/internal/platform/claim/settle.go
@@ -7,97 +7,101 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// settle hands each operation its part of the answer.
-func (b *Batcher) settle(batch []*op, r platform.TxnReply, err error) {
+// applyReply passes each operation of a batch its part of the reply, or the
+// error of the transaction.
+func (b *Batcher) applyReply(batch []*op, r platform.TxnReply, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i, o := range batch {
 		if err != nil {
-			b.failed(o, err)
+			b.handleError(o, err)
 			continue
 		}
-		b.answered(o, r.Ops()[i].Txn())
+		b.handleReply(o, r.Ops()[i].Txn())
 	}
-	b.counts.backlog.Update(int64(len(b.closes)))
-	if b.idle != nil && len(b.closes)+b.flight == 0 {
-		close(b.idle)
-		b.idle = nil
+	b.counters.backlog.Update(int64(len(b.pendingOutcomes)))
+	if b.drained != nil && len(b.pendingOutcomes)+b.inFlightOutcomes == 0 {
+		close(b.drained)
+		b.drained = nil
 	}
 }
 
-// requeue puts an operation first in its queue again. The caller holds mu.
+// requeue returns an operation to the front of its queue. The caller must hold
+// mu.
 func (b *Batcher) requeue(o *op) {
-	o.inUse = false
-	if _, ok := o.step.(create); ok {
-		b.claims = append([]*op{o}, b.claims...)
+	o.inFlight = false
+	if _, ok := o.mutation.(createClaim); ok {
+		b.pendingClaims = append([]*op{o}, b.pendingClaims...)
 		return
 	}
-	b.flight--
-	b.closes = append([]*op{o}, b.closes...)
+	b.inFlightOutcomes--
+	b.pendingOutcomes = append([]*op{o}, b.pendingOutcomes...)
 }
 
-// failed handles an operation whose transaction has no answer or was refused.
+// handleError handles an operation whose transaction was refused or got no
+// reply. The caller must hold mu.
 //
-// It guards the truth of NotMade: a claim is answered so only if no send of it
-// is without an answer. A claim with such a send stays queued until an answer
-// settles it or its caller leaves.
-func (b *Batcher) failed(o *op, err error) {
-	notSent := result.CodeOf(err) == result.PlatformDown
-	if !notSent {
-		o.maybe = true
+// A claim gets NotMade only if each of its sends is known to have had no
+// effect. After a send whose outcome is unknown, the claim stays queued until a
+// reply settles it or its caller stops waiting.
+func (b *Batcher) handleError(o *op, err error) {
+	notMade := result.CodeOf(err) == result.PlatformDown
+	if !notMade {
+		o.mayHaveApplied = true
 	}
-	if _, ok := o.step.(create); !ok {
+	if _, ok := o.mutation.(createClaim); !ok {
 		b.requeue(o)
 		return
 	}
 	switch {
-	case o.maybe && o.left:
+	case o.mayHaveApplied && o.abandoned:
 		b.abandon(o)
-	case o.maybe, platform.IsLeaseMissing(err) && !o.left:
+	case o.mayHaveApplied, platform.IsLeaseMissing(err) && !o.abandoned:
 		b.requeue(o)
-	case !o.left:
-		o.inUse = false
+	case !o.abandoned:
+		o.inFlight = false
 		o.verdict <- NotMade{Err: err}
 	}
 }
 
-// answered handles an operation whose transaction was answered.
-func (b *Batcher) answered(o *op, r platform.TxnReply) {
-	switch s := o.step.(type) {
-	case create:
-		b.created(o, s, r)
-	case conclude:
-		b.flight--
-		stored, next := s.judge(r)
-		b.concluded(o, stored, next)
+// handleReply handles an operation whose transaction got a reply. The caller
+// must hold mu.
+func (b *Batcher) handleReply(o *op, r platform.TxnReply) {
+	switch s := o.mutation.(type) {
+	case createClaim:
+		b.finishClaim(o, s, r)
+	case storeOutcome:
+		b.inFlightOutcomes--
+		stored, next := s.interpretReply(r)
+		b.finishOutcome(o, stored, next)
 	case closeKey:
-		b.flight--
-		if next := s.judge(r); next != nil {
-			b.background(next, o.since)
+		b.inFlightOutcomes--
+		if next := s.interpretReply(r); next != nil {
+			b.enqueueBackground(next, o.queuedAt)
 		}
 	}
 }
 
-func (b *Batcher) concluded(o *op, stored bool, next step) {
+func (b *Batcher) finishOutcome(o *op, stored bool, next mutation) {
 	switch {
 	case stored:
-		b.counts.concluded.Inc(1)
+		b.counters.concluded.Inc(1)
 	case next != nil:
-		b.background(next, o.since)
+		b.enqueueBackground(next, o.queuedAt)
 	default:
-		b.counts.superseded.Inc(1)
+		b.counters.superseded.Inc(1)
 	}
 }
 
-func (b *Batcher) created(o *op, c create, r platform.TxnReply) {
-	v, next := c.judge(r)
+func (b *Batcher) finishClaim(o *op, c createClaim, r platform.TxnReply) {
+	v, next := c.interpretReply(r)
 	if v == nil {
-		// The answer proves that no earlier send took effect or can any more,
-		// so the window begins anew with the next one.
-		o.step = next
-		o.maybe = false
-		o.sentAt = time.Time{}
-		if o.left {
+		// The reply proves that no earlier send took effect or still can, so
+		// the window starts again with the next send.
+		o.mutation = next
+		o.mayHaveApplied = false
+		o.firstSentAt = time.Time{}
+		if o.abandoned {
 			return
 		}
 		b.requeue(o)
@@ -105,17 +109,17 @@
 	}
 	g, granted := v.(Granted)
 	if granted {
-		g.Grant.sentAt = o.sentAt
+		g.Grant.firstSentAt = o.firstSentAt
 		g.Grant.window = b.Window
 		v = g
 	}
-	o.inUse = false
-	if !o.left {
+	o.inFlight = false
+	if !o.abandoned {
 		o.verdict <- v
 		return
 	}
 	if granted {
-		rec := g.Grant.record.with(NotRun, Answer{}, o.since)
-		b.background(conclude{record: rec, revision: g.Grant.revision}, o.since)
+		rec := g.Grant.record.withState(NotRun, Answer{}, o.queuedAt)
+		b.enqueueBackground(storeOutcome{record: rec, revision: g.Grant.revision}, o.queuedAt)
 	}
 }
--- a/internal/platform/claim/verdict.go
+++ b/internal/platform/claim/verdict.go
@@ -6,30 +6,31 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Verdict is the answer to a claim: Granted, HeldBy, Done, KeyReused, NotMade
+// Verdict is the result of a claim: Granted, HeldBy, Done, KeyReused, NotMade
 // or Unknown.
 type Verdict interface{ isVerdict() }
 
-// Granted says that the claim is the caller's, who may dispatch the request
-// while Grant.MayDispatch holds.
+// Granted means that the caller holds the claim and may dispatch the request
+// while Grant.MayDispatch returns true.
 type Granted struct{ Grant Grant }
 
-// HeldBy says that another attempt holds the claim, or that an earlier one left
-// it unsettled.
+// HeldBy means that another attempt holds the claim, or that an earlier one
+// left it unsettled.
 type HeldBy struct{ Record Record }
 
-// Done says that the request was run before.
+// Done means that the request was already run.
 type Done struct{ Record Record }
 
-// KeyReused says that the key was used for another body.
+// KeyReused means that the key was already used for a request with a different
+// body.
 type KeyReused struct{ Record Record }
 
-// NotMade says that this attempt made no claim and never will: it did not run
-// the request.
+// NotMade means that this attempt has no claim and will not get one: it did not
+// run the request.
 type NotMade struct{ Err error }
 
-// Unknown says that the claim may have been made, now or later. The attempt
-// must not run the request, but can't say either that it was not run.
+// Unknown means that the claim may have been made or may still be made. The
+// attempt must not run the request, but can't report it as not run either.
 type Unknown struct{ Err error }
 
 func (Granted) isVerdict()   {}
@@ -39,14 +40,14 @@
 func (NotMade) isVerdict()   {}
 func (Unknown) isVerdict()   {}
 
-// Err returns the result that a caller gets for a verdict, or nil for Granted
-// and Done.
+// Err returns the result error that a caller gets for v, or nil for Granted and
+// Done.
 func Err(v Verdict) error {
 	switch v := v.(type) {
 	case HeldBy:
 		return heldErr(v.Record)
 	case KeyReused:
-		return result.New(result.KeyReused, v.Record.key.idempotency)
+		return result.New(result.KeyReused, v.Record.key.idempotencyKey)
 	case NotMade:
 		return v.Err
 	case Unknown:
@@ -63,29 +64,29 @@
 	return result.New(result.ClaimHeld, "held by the agent at "+r.agent)
 }
 
-// Grant is a claim that was made.
+// Grant is a claim that the caller holds.
 type Grant struct {
-	record   Record
-	revision int64
-	sentAt   time.Time
-	window   time.Duration
+	record      Record
+	revision    int64
+	firstSentAt time.Time
+	window      time.Duration
 }
 
 // Record returns the claim as it is stored.
 func (g Grant) Record() Record { return g.record }
 
-// MayDispatch reports whether the window is still open at now. The agent calls
-// it immediately before it sends the request to the endpoint, and gives the
-// claim up when it returns false.
+// MayDispatch reports whether the dispatch window is still open at now. The
+// agent must call it immediately before it sends the request to the endpoint,
+// and give the claim up when it returns false.
 //
-// It guards against an agent that was frozen after its claim was made: an
-// operator has meanwhile released the claim as not run, the caller has sent the
-// order again, and both would be printed. The release comes only after the
-// window and a margin, counted from a moment after the claim was sent, so the
-// window is closed by then. The wall clock is compared too, because the
-// monotonic one stands still while a VM is suspended.
+// It prevents a second run by an agent that was suspended after its claim was
+// made: meanwhile an operator may have released the claim as not run, and the
+// caller may have sent the request again. A release comes no earlier than the
+// window and a margin after the claim was sent, so the window has expired by
+// then. Wall-clock times are compared as well, because the monotonic clock
+// stops while a VM is suspended.
 func (g Grant) MayDispatch(now time.Time) bool {
-	monotonic := now.Sub(g.sentAt)
-	wall := now.Round(0).Sub(g.sentAt.Round(0))
+	monotonic := now.Sub(g.firstSentAt)
+	wall := now.Round(0).Sub(g.firstSentAt.Round(0))
 	return max(monotonic, wall) < g.window
 }
--- a/internal/platform/claim/writes_test.go
+++ b/internal/platform/claim/writes_test.go
@@ -9,19 +9,20 @@
 	"time"
 )
 
-// The service takes a few hundred writes a second. The test prints how many it
-// gets a request; the bounds only catch a loss of batching.
+// Logs the store writes per request, because the service handles only a few
+// hundred writes per second. The bounds only detect that batching no longer
+// works.
 func TestWritesPerRequest(t *testing.T) {
 	for _, c := range []struct {
 		perSecond int
-		most      float64
+		maxWrites float64
 	}{{10, 2.1}, {100, 1.6}, {1000, 0.2}} {
 		t.Run(fmt.Sprint(c.perSecond), func(t *testing.T) {
 			var n float64
 			synctest.Test(t, func(t *testing.T) { n = writesPerRequest(t, c.perSecond) })
-			t.Logf("%d requests a second over %d agents: %.2f writes a request", c.perSecond, fleetAgents, n)
-			if n > c.most {
-				t.Errorf("%.2f writes a request, at most %.2f", n, c.most)
+			t.Logf("%d requests per second over %d agents: %.2f writes per request", c.perSecond, clusterAgents, n)
+			if n > c.maxWrites {
+				t.Errorf("%.2f writes per request, want at most %.2f", n, c.maxWrites)
 			}
 		})
 	}
@@ -30,29 +31,29 @@
 func writesPerRequest(t *testing.T, perSecond int) float64 {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	f := newFleet(ctx, 1, fleetAgents)
-	f.server.SetSlow(3 * time.Millisecond)
+	cluster := newTestCluster(ctx, 1, clusterAgents)
+	cluster.server.SetSlow(3 * time.Millisecond)
 	n := 20 * perSecond
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() {
-			time.Sleep(f.rng.upTo(20 * time.Second))
-			b := f.agents[i%fleetAgents]
+			time.Sleep(cluster.rng.durationBelow(20 * time.Second))
+			b := cluster.agents[i%clusterAgents]
 			id := fmt.Sprint(i)
 			v := b.Claim(ctx, Request{Key: testKey(i), BodyDigest: "d", RequestID: id, AttemptID: id})
-			time.Sleep(f.rng.upTo(200 * time.Millisecond))
+			time.Sleep(cluster.rng.durationBelow(200 * time.Millisecond))
 			if err := b.Conclude(v.(Granted).Grant, Completed, Answer{Status: 200}); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 	wg.Wait()
-	for _, b := range f.agents {
+	for _, b := range cluster.agents {
 		if err := b.Flush(ctx); err != nil {
 			t.Error(err)
 		}
 	}
 	cancel()
-	f.stop(t)
-	return float64(f.server.Counts().Writes()) / float64(n)
+	cluster.waitStopped(t)
+	return float64(cluster.server.Counts().Writes()) / float64(n)
 }
