--- a/internal/eventloop/begin.go
+++ b/internal/eventloop/begin.go
@@ -10,17 +10,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// roundsPerPoller bounds the search for a connection to each poller.
-const roundsPerPoller = 8
+// maxProbesPerPoller bounds the probe connections that Begin and Start open, as a multiple of the
+// number of pollers.
+const maxProbesPerPoller = 8
 
-var errNoPoller = errors.New("eventloop: no connection reached a poller")
+var errPollerNotReached = errors.New("eventloop: probe connections did not reach every poller")
 
-// Begin starts e and returns when each of its pollers runs.
+// Begin starts e and returns once each of its pollers is running. It returns an error if the
+// engine does not start, a probe connection fails, or a poller is not reached.
 //
-// Guard: a poller clears the order to stop when its goroutine first runs. An
-// engine that is stopped right after its start may order the stop before that,
-// and then waits for ever: a process that is told to leave as it starts never
-// ends. A poller that has answered once runs, and later orders hold.
+// A poller clears its shutdown flag when its goroutine first runs. If Stop sets the flag before
+// that, right after the start, Stop waits forever and a process told to stop during startup never
+// exits. A poller that has served one connection is running, so a later Stop takes effect.
 func Begin(e *nbio.Engine) error {
 	if err := e.Start(); err != nil {
 		return err
@@ -28,7 +29,7 @@
 	return eris.Wrap(awaitPollers(e), "start the event loop")
 }
 
-// Start is Begin for an engine that serves HTTP.
+// Start does the same as Begin for an HTTP engine.
 func Start(e *nbhttp.Engine) error {
 	if err := e.Start(); err != nil {
 		return err
@@ -36,69 +37,69 @@
 	return eris.Wrap(awaitPollers(e.Engine), "start the event loop")
 }
 
-// awaitPollers gives each poller a connection whose other side has closed, and
-// waits until the poller has closed it as well. Which poller serves a
-// connection follows from its descriptor, so the other sides stay open until
-// all pollers have been met: they hold the lower descriptors, and each round
-// gets the next one. The connections are TCP over loopback: a pair of Unix
-// sockets is not to be had on each platform.
+// awaitPollers returns once each poller has served a probe connection. The client end of a probe
+// is closed for writing, and the poller closes the server end in response. A connection's poller
+// is determined by its file descriptor. Therefore the client ends stay open until all pollers have
+// been reached: they occupy the lower descriptors, so that each probe gets the next one. The
+// probes use TCP over loopback because socketpair is not available on every platform.
 func awaitPollers(e *nbio.Engine) (err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	met := map[int]bool{}
-	var held []net.Conn
+	reached := map[int]bool{}
+	var clients []net.Conn
 	defer func() {
-		for _, c := range held {
+		for _, c := range clients {
 			err = errors.Join(err, c.Close())
 		}
 		err = errors.Join(err, ln.Close())
 	}()
-	for range roundsPerPoller * e.NPoller {
-		ours, theirs, err := pair(ln)
+	for range maxProbesPerPoller * e.NPoller {
+		client, server, err := dialPair(ln)
 		if err != nil {
 			return err
 		}
-		held = append(held, ours)
-		poller, err := meet(e, ours, theirs)
+		clients = append(clients, client)
+		poller, err := probePoller(e, client, server)
 		if err != nil {
 			return err
 		}
-		met[poller] = true
-		if len(met) == e.NPoller {
+		reached[poller] = true
+		if len(reached) == e.NPoller {
 			return nil
 		}
 	}
-	return errNoPoller
+	return errPollerNotReached
 }
 
-// pair returns the two ends of a connection.
-func pair(ln net.Listener) (ours *net.TCPConn, theirs net.Conn, err error) {
+// dialPair connects to ln and returns both ends of the connection.
+func dialPair(ln net.Listener) (client *net.TCPConn, server net.Conn, err error) {
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		return nil, nil, err
 	}
-	theirs, err = ln.Accept()
+	server, err = ln.Accept()
 	if err != nil {
 		return nil, nil, errors.Join(err, c.Close())
 	}
-	return c.(*net.TCPConn), theirs, nil
+	return c.(*net.TCPConn), server, nil
 }
 
-// meet returns the number of the poller that has closed its side of the pair.
-func meet(e *nbio.Engine, ours *net.TCPConn, theirs net.Conn) (int, error) {
-	nb, err := nbio.NBConn(theirs)
+// probePoller adds the server end to e, waits until its poller has closed it, and returns the
+// index of that poller.
+func probePoller(e *nbio.Engine, client *net.TCPConn, server net.Conn) (int, error) {
+	nb, err := nbio.NBConn(server)
 	if err != nil {
-		return 0, errors.Join(err, theirs.Close())
+		return 0, errors.Join(err, server.Close())
 	}
 	poller := nb.Hash() % e.NPoller
-	if err := ours.CloseWrite(); err != nil {
+	if err := client.CloseWrite(); err != nil {
 		return 0, errors.Join(err, nb.Close())
 	}
 	if _, err := e.AddConn(nb); err != nil {
 		return 0, err
 	}
-	_, err = io.Copy(io.Discard, ours)
+	_, err = io.Copy(io.Discard, client)
 	return poller, err
 }
--- a/internal/eventloop/begin_test.go
+++ b/internal/eventloop/begin_test.go
@@ -9,7 +9,8 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// A process is told to leave just as it starts, and never ends.
+// Guards against a Stop that waits forever because it was called before the pollers were running:
+// a process told to stop during startup would never exit.
 func TestStopRightAfterBegin(t *testing.T) {
 	nbio.MaxOpenFiles = 4096
 	logging.SetLevel(logging.LevelNone)
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,4 +1,4 @@
-// Package eventloop holds what all uses of nbio's event loop share.
+// Package eventloop starts nbio event loops and installs their hooks.
 package eventloop
 
 import (
@@ -9,23 +9,22 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// Order makes the order between accepting a connection and reading from it
-// visible to the race detector. The kernel provides that order (a descriptor is
-// handed to the event loop by epoll_ctl), but the race detector does not see
-// it and reports each server that runs under it. Order takes the engine's
-// OnOpen and OnData. Both hooks may be nil; arrived is told how many bytes a
-// connection has sent and returns false to close it.
-func Order(e *nbhttp.Engine, opened func(net.Conn), arrived func(c *nbio.Conn, n int) bool) {
+// Order sets the OnOpen and OnData hooks of e such that the race detector sees that a connection
+// is accepted before it is read. The kernel guarantees that order, because epoll_ctl hands the
+// descriptor to the event loop, but the race detector does not know this and reports a race in
+// every server. Both hooks may be nil. onData receives the number of bytes just read from a
+// connection and returns false to close it.
+func Order(e *nbhttp.Engine, onOpen func(net.Conn), onData func(c *nbio.Conn, n int) bool) {
 	var accepted atomic.Int64
 	e.OnOpen(func(c net.Conn) {
-		if opened != nil {
-			opened(c)
+		if onOpen != nil {
+			onOpen(c)
 		}
 		accepted.Add(1)
 	})
 	e.OnData(func(c *nbio.Conn, data []byte) {
 		accepted.Load()
-		if arrived != nil && !arrived(c, len(data)) {
+		if onData != nil && !onData(c, len(data)) {
 			_ = c.Close()
 			return
 		}
