--- a/internal/inflight/inflight.go
+++ b/internal/inflight/inflight.go
@@ -1,5 +1,4 @@
-// Package inflight counts the work that a process has not ended, so that a
-// graceful stop can wait for it.
+// Package inflight counts operations in progress, so that a graceful shutdown can wait for them.
 package inflight
 
 import (
@@ -8,42 +7,42 @@
 	"sync/atomic"
 )
 
-// Count counts work that has begun and not ended. Its zero value is ready for
-// use by several goroutines; one at a time may Wait.
+// Count counts operations in progress. The zero value is ready to use. It is safe for concurrent
+// use, except that only one goroutine at a time may call Wait.
 type Count struct {
 	n    atomic.Int64
 	once sync.Once
-	// ended holds a token when some work has ended since the last look.
+	// ended holds a token if an operation has ended since Wait last received from it.
 	ended chan struct{}
 }
 
-// Begin notes that one piece of work has begun.
+// Begin records the start of an operation.
 func (c *Count) Begin() { c.n.Add(1) }
 
-// End notes that one piece of work has ended. It never waits.
+// End records the end of an operation. It does not block.
 func (c *Count) End() {
 	c.n.Add(-1)
 	select {
-	case c.signal() <- struct{}{}:
+	case c.endedChan() <- struct{}{}:
 	default:
 	}
 }
 
-// Running returns how much work has not ended.
+// Running returns the number of operations in progress.
 func (c *Count) Running() int { return int(c.n.Load()) }
 
-// Wait returns when nothing runs any more or ctx ends.
+// Wait blocks until no operation is in progress or ctx is done.
 func (c *Count) Wait(ctx context.Context) {
 	for c.n.Load() > 0 {
 		select {
-		case <-c.signal():
+		case <-c.endedChan():
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (c *Count) signal() chan struct{} {
+func (c *Count) endedChan() chan struct{} {
 	c.once.Do(func() { c.ended = make(chan struct{}, 1) })
 	return c.ended
 }
