--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits, for as long as a context lasts.
+// Package pause provides a sleep that ends early when its context is done.
 package pause
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For returns after d, or when ctx ends if that is sooner. It reports whether
-// ctx still lasts.
+// For waits until d has elapsed or ctx is done, whichever is first. It reports whether ctx is not
+// yet done. If d is zero or negative it returns at once.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
