--- a/internal/wake/wake.go
+++ b/internal/wake/wake.go
@@ -1,16 +1,16 @@
-// Package wake tells a waiting goroutine that there is something to do.
+// Package wake provides a signal by which one goroutine tells another that work is available.
 package wake
 
 import "sync"
 
-// Signal wakes one waiter. Signals that are raised while nobody waits count as one.
-// The zero value is ready to use; a Signal must not be copied.
+// Signal wakes a single waiting goroutine. Calls of Raise are combined into one until the waiter
+// receives it. The zero value is ready to use. A Signal must not be copied.
 type Signal struct {
 	once sync.Once
 	ch   chan struct{}
 }
 
-// Raise wakes the waiter, or the next one to come. It never waits.
+// Raise wakes the waiting goroutine, or the next one that waits. It does not block.
 func (s *Signal) Raise() {
 	select {
 	case s.channel() <- struct{}{}:
@@ -18,8 +18,8 @@
 	}
 }
 
-// Raised returns a channel that yields a value once the signal has been raised.
-// Reading the value takes the signal back.
+// Raised returns the channel that delivers a value after Raise. Receiving the value clears the
+// signal.
 func (s *Signal) Raised() <-chan struct{} { return s.channel() }
 
 func (s *Signal) channel() chan struct{} {
--- a/internal/wake/wake_test.go
+++ b/internal/wake/wake_test.go
@@ -9,7 +9,7 @@
 	<-s.Raised()
 	select {
 	case <-s.Raised():
-		t.Fatal("raised after it was read")
+		t.Fatal("signal is still raised after it was received")
 	default:
 	}
 	s.Raise()
