--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,9 +1,9 @@
-// Package boottime reads a clock that goes on while the VM is suspended.
+// Package boottime reads a monotonic clock that includes the time during which the VM is
+// suspended.
 //
-// Go's own clock for durations stands still while a VM is suspended, so a
-// process that wakes up would take what it knew before for fresh: it would let
-// requests through under account keys that operators took away meanwhile. The
-// time of day goes on but jumps. This clock does neither.
+// Go's monotonic clock stops while a VM is suspended. After a resume, a process would treat the
+// data that it held before as current, and would for example admit requests with account keys that
+// operators have revoked in the meantime. The wall clock includes the suspended time but can jump.
 package boottime
 
 import (
@@ -12,18 +12,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the VM's start as a time.Time that carries no
-// monotonic reading, so that Sub counts suspended time. It is comparable with
-// other readings of the same VM alone. The zero reading is one hour, so that a
-// time before the first reading is still after the zero time.
+// Now returns the time since the VM booted, plus one hour, as a time.Time counted from the Unix
+// epoch. The result has no monotonic reading, so that Sub includes suspended time. Only results
+// from the same VM are comparable. The added hour keeps times shortly before the first reading
+// after the zero time.
 func Now() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Every kernel since 2.6.39 has this clock; the process's own is the
-		// nearest that is left.
-		return time.Unix(3600, 0).Add(time.Since(started))
+		// All Linux kernels since 2.6.39 have CLOCK_BOOTTIME. Without it, the time since the
+		// process started is the closest substitute.
+		return time.Unix(3600, 0).Add(time.Since(processStart))
 	}
 	return time.Unix(3600+ts.Sec, ts.Nsec)
 }
 
-var started = time.Now()
+var processStart = time.Now()
