--- a/internal/caller/conn.go
+++ b/internal/caller/conn.go
@@ -13,193 +13,192 @@
 	"github.com/rotisserie/eris"
 )
 
-// windowBytes is how much of an answer may wait in the entry for one caller.
-// nbio takes any number of bytes into its own buffer; without this bound a
-// caller who reads slowly, or not at all, would hold a whole answer in memory.
-const windowBytes = 64 << 10
+// maxPendingBytes is the number of unsent response bytes at which writes to a caller block. nbio
+// buffers any number of bytes. Without this bound, a caller that reads slowly or not at all would
+// keep a whole response in memory.
+const maxPendingBytes = 64 << 10
 
-// errCallerGone reports a write to a caller who has left.
-var errCallerGone = eris.New("caller has left")
+// errDisconnected is returned by writes to a caller that has disconnected.
+var errDisconnected = eris.New("caller disconnected")
 
-// conn is what the server knows of one caller's connection.
+// conn is the server's state for one caller's connection.
 //
-// Lock order: nbio's lock of the connection is taken before mu, because nbio
-// reports written bytes while it holds its own; nothing here calls nbio with
-// mu held.
+// Lock order: nbio's lock of the connection is acquired before mu, because nbio reports written
+// bytes while it holds its own lock. Therefore nothing here calls nbio while holding mu.
 type conn struct {
-	mu      sync.Mutex
-	pending int
-	gone    bool
-	cancel  context.CancelFunc
-	// room holds a signal when pending fell.
-	room chan struct{}
-	// last closes when the newest request of the connection is answered.
-	last chan struct{}
-	// input counts the bytes that have come since the last whole request.
-	input atomic.Int64
-	// slow answers the request that is arriving when its time is over.
-	slow *time.Timer
-}
-
-// await calls late when the request that has begun to arrive is not whole
-// after d.
-func (c *conn) await(d time.Duration, late func()) {
+	mu           sync.Mutex
+	pending      int
+	disconnected bool
+	cancel       context.CancelFunc
+	// writable receives a signal when pending falls.
+	writable chan struct{}
+	// lastDone is closed when the newest request of the connection has been answered.
+	lastDone chan struct{}
+	// unparsedBytes counts the bytes received since the last complete request.
+	unparsedBytes atomic.Int64
+	// readTimer fires when the request that is being received exceeds its read timeout.
+	readTimer *time.Timer
+}
+
+// startReadTimer calls onTimeout if the request that has begun to arrive is not complete after d.
+func (c *conn) startReadTimer(d time.Duration, onTimeout func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stopWaiting()
-	if !c.gone {
-		c.slow = time.AfterFunc(d, late)
+	c.stopReadTimer()
+	if !c.disconnected {
+		c.readTimer = time.AfterFunc(d, onTimeout)
 	}
 }
 
-// whole notes that a request has arrived whole.
-func (c *conn) whole() {
-	c.input.Store(0)
+// requestRead records that a request has been received completely.
+func (c *conn) requestRead() {
+	c.unparsedBytes.Store(0)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stopWaiting()
+	c.stopReadTimer()
 }
 
-// stopWaiting ends what await began. The lock must be held.
-func (c *conn) stopWaiting() {
-	if c.slow != nil {
-		c.slow.Stop()
-		c.slow = nil
+// stopReadTimer stops the timer of startReadTimer. It must be called with mu held.
+func (c *conn) stopReadTimer() {
+	if c.readTimer != nil {
+		c.readTimer.Stop()
+		c.readTimer = nil
 	}
 }
 
-func (c *conn) arrived(n int) int { return int(c.input.Add(int64(n))) }
+func (c *conn) addUnparsed(n int) int { return int(c.unparsedBytes.Add(int64(n))) }
 
 func newConn() *conn {
-	c := &conn{room: make(chan struct{}, 1), last: make(chan struct{})}
-	close(c.last)
+	c := &conn{writable: make(chan struct{}, 1), lastDone: make(chan struct{})}
+	close(c.lastDone)
 	return c
 }
 
-// enqueue gives a request its place in the order of the connection's answers:
-// it may be answered when before has closed and closes mine at its end.
-func (c *conn) enqueue() (before, mine chan struct{}) {
+// enqueue adds a request to the connection's response order. The request may be answered once
+// prevDone is closed. It must close ownDone when its response has ended.
+func (c *conn) enqueue() (prevDone, ownDone chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	before = c.last
-	mine = make(chan struct{})
-	c.last = mine
-	return before, mine
+	prevDone = c.lastDone
+	ownDone = make(chan struct{})
+	c.lastDone = ownDone
+	return prevDone, ownDone
 }
 
-// newest reports whether no request has come after the one that closes mine.
-func (c *conn) newest(mine chan struct{}) bool {
+// isLast reports whether no request has been enqueued after the one that owns ownDone.
+func (c *conn) isLast(ownDone chan struct{}) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last == mine
+	return c.lastDone == ownDone
 }
 
-// resting reports whether no request is being read or answered.
-func (c *conn) resting() bool {
+// isIdle reports whether no request is being received or answered.
+func (c *conn) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case <-c.last:
+	case <-c.lastDone:
 	default:
 		return false
 	}
-	return c.slow == nil && c.cancel == nil && c.input.Load() == 0 && c.pending == 0
+	return c.readTimer == nil && c.cancel == nil && c.unparsedBytes.Load() == 0 && c.pending == 0
 }
 
-// begin ties cancel to the connection's close.
-func (c *conn) begin(cancel context.CancelFunc) {
+// bindCancel arranges that cancel is called when the connection closes, or at once if it has
+// closed.
+func (c *conn) bindCancel(cancel context.CancelFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cancel = cancel
-	if c.gone {
+	if c.disconnected {
 		cancel()
 	}
 }
 
-// end forgets the request that begin tied to the connection.
-func (c *conn) end() {
+// unbindCancel removes the function set by bindCancel.
+func (c *conn) unbindCancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cancel = nil
 }
 
-func (c *conn) closed() {
+func (c *conn) markDisconnected() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gone = true
-	c.stopWaiting()
+	c.disconnected = true
+	c.stopReadTimer()
 	if c.cancel != nil {
 		c.cancel()
 	}
-	c.signal()
+	c.notifyWritable()
 }
 
-// written notes that n bytes have left for the caller. The bytes of a TLS
-// handshake were never counted as pending, so it stops at zero.
-func (c *conn) written(n int) {
+// markWritten subtracts n sent bytes from pending. The bytes of a TLS handshake are never added to
+// pending, so the result is kept from falling below zero.
+func (c *conn) markWritten(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pending = max(0, c.pending-n)
-	c.signal()
+	c.notifyWritable()
 }
 
-func (c *conn) signal() {
+func (c *conn) notifyWritable() {
 	select {
-	case c.room <- struct{}{}:
+	case c.writable <- struct{}{}:
 	default:
 	}
 }
 
-// wait returns when less than limit bytes are pending, or the caller has left,
-// or ctx ends.
-func (c *conn) wait(ctx context.Context, limit int) error {
+// waitPendingBelow blocks until fewer than limit bytes are pending. It returns an error if the
+// caller has disconnected or ctx is done.
+func (c *conn) waitPendingBelow(ctx context.Context, limit int) error {
 	for {
 		c.mu.Lock()
-		gone, full := c.gone, c.pending >= limit
+		disconnected, full := c.disconnected, c.pending >= limit
 		c.mu.Unlock()
-		if gone {
-			return errCallerGone
+		if disconnected {
+			return errDisconnected
 		}
 		if !full {
 			return nil
 		}
 		select {
-		case <-c.room:
+		case <-c.writable:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// write puts b on its way to the caller, waiting first for room.
+// write sends b to the caller. It blocks while maxPendingBytes or more are pending.
 func (c *conn) write(ctx context.Context, w net.Conn, b []byte) error {
-	if err := c.wait(ctx, windowBytes); err != nil {
+	if err := c.waitPendingBelow(ctx, maxPendingBytes); err != nil {
 		return err
 	}
 	c.mu.Lock()
 	c.pending += wireSize(w, len(b))
 	c.mu.Unlock()
 	if _, err := w.Write(b); err != nil {
-		return errCallerGone
+		return errDisconnected
 	}
 	return nil
 }
 
-// Bytes that TLS adds to a record of at most recordBytes: a header of 5, a tag
-// of 16, and an explicit nonce of 8 or a content type of 1.
+// Sizes of TLS records. TLS adds the following bytes to each record of at most maxRecordBytes: a
+// header of 5, a tag of 16, and an explicit nonce of 8 (GCM in TLS 1.2) or a content type of 1
+// (TLS 1.3).
 const (
-	recordBytes   = 16 << 10
-	overheadGCM12 = 5 + 8 + 16
-	overheadCha12 = 5 + 16
-	overheadTLS13 = 5 + 16 + 1
+	maxRecordBytes      = 16 << 10
+	overheadTLS12GCM    = 5 + 8 + 16
+	overheadTLS12ChaCha = 5 + 16
+	overheadTLS13       = 5 + 16 + 1
 )
 
-// wireSize returns how many bytes n become on the way out.
+// wireSize returns the number of bytes that n bytes of a response occupy on the wire.
 //
-// Guard: a connection that is closed at the end of an answer is closed when
-// nothing is pending. Counted without what TLS adds, the count reaches zero
-// while the last bytes still wait, and closing drops them: the caller would
-// lose the end of its answer.
+// A connection that must close after a response is closed once nothing is pending. If the overhead
+// of TLS were not counted, pending would reach zero while the last bytes are still buffered, and
+// closing would drop them: the caller would lose the end of the response.
 func wireSize(w net.Conn, n int) int {
 	h, ok := w.(*nbhttp.Conn)
 	if !ok {
@@ -209,7 +208,7 @@
 	if !ok {
 		return n
 	}
-	records := (n + recordBytes - 1) / recordBytes
+	records := (n + maxRecordBytes - 1) / maxRecordBytes
 	return n + records*recordOverhead(t.ConnectionState())
 }
 
@@ -219,13 +218,13 @@
 	}
 	switch s.CipherSuite {
 	case tls.TLS_ECDHE_ECDSA_WITH_CHACHA20_POLY1305, tls.TLS_ECDHE_RSA_WITH_CHACHA20_POLY1305:
-		return overheadCha12
+		return overheadTLS12ChaCha
 	}
-	return overheadGCM12
+	return overheadTLS12GCM
 }
 
-// underlying returns the event loop's connection below an HTTP connection,
-// with TLS or without.
+// underlying returns the nbio connection beneath an HTTP connection, with or without TLS, or nil
+// if there is none.
 func underlying(w net.Conn) *nbio.Conn {
 	for {
 		switch v := w.(type) {
--- a/internal/caller/doc.go
+++ b/internal/caller/doc.go
@@ -1,21 +1,20 @@
-// Package caller meets callers over HTTP: it reads their requests, checks
-// their form, and writes answers back, streamed or whole, without letting a
-// part of an answer pass for all of it.
+// Package caller implements the HTTP server for callers. It reads and validates their requests and
+// writes responses, either complete or streamed. A response that is cut short is never ended as if
+// it were complete.
 //
-// The API follows what model clients speak:
+// The API follows the conventions of model clients:
 //
-//	POST /v1/chat/completions          chat, JSON or server-sent events
-//	ANY  /v1/services/{name}/{path...} a plain service
-//	GET  /v1/answers/{requestId}       an answer again, from piece ?from=n
-//	GET  /healthz, /readyz             for the platform's balancer
+//	POST /v1/chat/completions          chat completion, JSON or server-sent events
+//	ANY  /v1/services/{name}/{path...} request to a plain service
+//	GET  /v1/answers/{requestId}       response to an earlier request, from piece ?from=n
+//	GET  /healthz, /readyz             checks by the platform's load balancer
 //
-// Headers of a request: Authorization (Bearer and the account's key),
-// X-Request-Id, Idempotency-Key, X-Deadline-Ms (time left, in milliseconds),
-// X-Priority. A refusal carries Retry-After and a JSON body with its numbered
-// result code and whether the request was run.
+// The request headers are Authorization (Bearer and the account key), X-Request-Id,
+// Idempotency-Key, X-Deadline-Ms (time until the deadline, in milliseconds) and X-Priority. An
+// error response has a JSON body with the numeric result code and whether the request was run. It
+// carries Retry-After if the error states a delay.
 //
-// The server is nbhttp on nbio's event loop. nbhttp does not notice a caller
-// who leaves while a handler runs, so each handler takes the connection over
-// (Hijack), starts a goroutine and returns; from then on the close of the
-// connection ends the request's context within a millisecond.
+// The server is nbhttp on nbio's event loop. nbhttp does not detect that a caller disconnects while
+// a handler runs. Therefore each handler hijacks the connection, starts a goroutine and returns.
+// From then on, the close of the connection cancels the request's context within a millisecond.
 package caller
--- a/internal/caller/fuzz_test.go
+++ b/internal/caller/fuzz_test.go
@@ -12,8 +12,8 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// fuzzServer starts a server for a fuzz target or a flood.
-func fuzzServer(t testing.TB, readTimeout time.Duration) *Server {
+// startFuzzServer starts a server for a fuzz target or a flood test.
+func startFuzzServer(t testing.TB, readTimeout time.Duration) *Server {
 	t.Helper()
 	s := &Server{
 		Addr: "127.0.0.1:0", BodyLimit: testBodyLimit, MaxConns: 256, ReadTimeout: readTimeout, IdleTimeout: time.Hour,
@@ -36,7 +36,7 @@
 	return s
 }
 
-// assertServed sends an ordinary request over a connection of its own.
+// assertServed checks that a valid request on a new connection is served.
 func assertServed(t testing.TB, s *Server) {
 	t.Helper()
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Minute}
@@ -53,12 +53,12 @@
 	defer func() { _ = res.Body.Close() }()
 	b, err := io.ReadAll(res.Body)
 	if err != nil || !strings.Contains(string(b), "served") {
-		t.Fatalf("an ordinary caller got %d %q %v", res.StatusCode, b, err)
+		t.Fatalf("a valid request got %d %q %v", res.StatusCode, b, err)
 	}
 }
 
-// sendRaw sends bytes, says that no more come, and reads what comes back for a
-// moment, so that the server has taken the bytes in.
+// sendRaw sends b, closes the connection for writing and reads the response to its end, for at
+// most 5 s, so that the server has processed b when sendRaw returns.
 func sendRaw(t testing.TB, s *Server, b []byte) {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Address())
@@ -74,8 +74,8 @@
 	_, _ = io.Copy(io.Discard, c)
 }
 
-// A broken or hostile program sends bytes that are no request, or a request
-// with one part wrong. The entry must not fall, and others are served on.
+// Guards against malformed or hostile input that crashes the server: arbitrary bytes, or a request
+// with one invalid part. After each input, the server must still serve a valid request.
 func FuzzCaller(f *testing.F) {
 	head := "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key\r\n"
 	for _, seed := range []string{
@@ -95,20 +95,20 @@
 	} {
 		f.Add([]byte(seed))
 	}
-	s := fuzzServer(f, 2*time.Second)
+	s := startFuzzServer(f, 2*time.Second)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		sendRaw(t, s, b)
 		assertServed(t, s)
 	})
 }
 
-// One program opens many connections and sends a byte at a time, another sends
-// a body without end, a third headers without end. Ordinary callers come in
-// between and are served; the slow ones lose their connections.
+// Guards against callers that exhaust the server: by many connections that send one byte at a
+// time, or by a body, headers or a request line without end. Their connections must be closed, and
+// valid requests must be served in the meantime.
 func TestFloodsDontStopOthers(t *testing.T) {
 	t.Run("slow senders", func(t *testing.T) {
-		s := fuzzServer(t, 2*time.Second)
-		var slow []net.Conn
+		s := startFuzzServer(t, 2*time.Second)
+		var conns []net.Conn
 		for range 100 {
 			c, err := net.Dial("tcp", s.Address())
 			if err != nil {
@@ -118,22 +118,22 @@
 			if _, err := c.Write([]byte("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 100\r\n\r\n{")); err != nil {
 				t.Fatal(err)
 			}
-			slow = append(slow, c)
+			conns = append(conns, c)
 		}
 		assertServed(t, s)
-		for _, c := range slow {
+		for _, c := range conns {
 			_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 			b, err := io.ReadAll(c)
 			if err != nil && strings.Contains(err.Error(), "timeout") {
-				t.Fatal("a slow sender holds its connection")
+				t.Fatal("a slow sender still holds its connection")
 			}
 			if !strings.HasPrefix(string(b), "HTTP/1.1 408 ") || !strings.Contains(string(b), result.RequestTooSlow.String()) {
 				t.Errorf("told %q", b)
 			}
 		}
 	})
-	// A bound of bytes must cut these, not the time.
-	s := fuzzServer(t, time.Hour)
+	// The byte limits must end these requests, not the read timeout.
+	s := startFuzzServer(t, time.Hour)
 	for _, c := range []struct{ name, head, part string }{
 		{"endless body", "POST /v1/chat/completions HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "1000\r\n" + strings.Repeat("x", 0x1000) + "\r\n"},
 		{"endless headers", "GET / HTTP/1.1\r\n", strings.Repeat("a: b\r\n", 1000)},
@@ -141,18 +141,18 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if n := flood(t, s, c.head, c.part); n >= floodBytes {
-				t.Errorf("%d bytes of one request were taken in", n)
+				t.Errorf("the server accepted %d bytes of one request", n)
 			}
 			assertServed(t, s)
 		})
 	}
 }
 
-// floodBytes is more than the buffers of both sockets hold together.
+// floodBytes is more than the socket buffers of both sides hold together.
 const floodBytes = 64 << 20
 
-// flood sends head and then part again and again, until the server closes the
-// connection or floodBytes have gone. It returns how many have.
+// flood sends head and then part repeatedly, until the server closes the connection or floodBytes
+// have been sent. It returns the number of bytes sent.
 func flood(t *testing.T, s *Server, head, part string) int {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Address())
@@ -163,9 +163,9 @@
 	go func() { _, _ = io.Copy(io.Discard, c) }()
 	n, err := io.WriteString(c, head)
 	for err == nil && n < floodBytes {
-		var more int
-		more, err = io.WriteString(c, part)
-		n += more
+		var m int
+		m, err = io.WriteString(c, part)
+		n += m
 	}
 	return n
 }
--- a/internal/caller/parse.go
+++ b/internal/caller/parse.go
@@ -15,9 +15,9 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// read checks a request's form and copies what it needs, because nbhttp uses
-// the request's memory again.
-func (s *Server) read(hr *http.Request) (*Request, error) {
+// parseRequest validates a request and copies what it needs, because nbhttp reuses the request's
+// memory. Its errors carry a result code.
+func (s *Server) parseRequest(hr *http.Request) (*Request, error) {
 	body, err := io.ReadAll(io.LimitReader(hr.Body, int64(s.BodyLimit)+1))
 	if err != nil {
 		return nil, result.New(result.MalformedRequest, "the body can't be read")
@@ -30,26 +30,26 @@
 		contentType:    hr.Header.Get("Content-Type"),
 		body:           body,
 		priority:       hr.Header.Get(headerPriority),
-		idempotencyKey: hr.Header.Get(headerKey),
+		idempotencyKey: hr.Header.Get(headerIdempotencyKey),
 	}
-	if err := r.readHeaders(hr.Header); err != nil {
+	if err := r.parseHeaders(hr.Header); err != nil {
 		return nil, err
 	}
-	return r, r.readPath(hr)
+	return r, r.parsePath(hr)
 }
 
-func (r *Request) readHeaders(h http.Header) error {
+func (r *Request) parseHeaders(h http.Header) error {
 	r.id = h.Get(headerRequestID)
 	if r.id == "" {
-		r.id = newID()
+		r.id = newRequestID()
 	}
 	if !validID(r.id) {
 		return result.Newf(result.BadHeader, "%s: up to %d letters, digits, '-', '_' and '.' are allowed", headerRequestID, maxIDBytes)
 	}
 	if len(r.idempotencyKey) > maxIDBytes {
-		return result.Newf(result.BadHeader, "%s: at most %d bytes are allowed", headerKey, maxIDBytes)
+		return result.Newf(result.BadHeader, "%s: at most %d bytes are allowed", headerIdempotencyKey, maxIDBytes)
 	}
-	r.key, _ = strings.CutPrefix(h.Get(headerAuthorization), bearer)
+	r.accountKey, _ = strings.CutPrefix(h.Get(headerAuthorization), bearerPrefix)
 	v := h.Get(headerDeadline)
 	if v == "" {
 		return nil
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func (r *Request) readPath(hr *http.Request) error {
+func (r *Request) parsePath(hr *http.Request) error {
 	p := hr.URL.Path
 	switch {
 	case p == pathHealth:
@@ -72,16 +72,16 @@
 		r.kind = Readiness{}
 		return nil
 	case p == PathChat:
-		return r.readChat()
+		return r.parseChat()
 	case strings.HasPrefix(p, PathServices):
-		return r.readService(hr)
+		return r.parseService(hr)
 	case strings.HasPrefix(p, PathAnswers):
-		return r.readFetch(hr)
+		return r.parseFetch(hr)
 	}
 	return result.New(result.UnknownRoute, "no such path")
 }
 
-// chatBody is the part of a chat's body that the entry reads.
+// chatBody holds the fields of a chat request that the entry reads.
 type chatBody struct {
 	Model               string          `json:"model"`
 	Stream              bool            `json:"stream"`
@@ -90,7 +90,7 @@
 	Messages            json.RawMessage `json:"messages"`
 }
 
-func (r *Request) readChat() error {
+func (r *Request) parseChat() error {
 	if r.method != http.MethodPost {
 		return result.New(result.MalformedRequest, "chat completions are asked for by POST")
 	}
@@ -101,15 +101,15 @@
 	if b.Model == "" || len(b.Messages) == 0 {
 		return result.New(result.MalformedRequest, "model and messages are needed")
 	}
-	out := max(0, b.MaxTokens, b.MaxCompletionTokens)
+	maxTokens := max(0, b.MaxTokens, b.MaxCompletionTokens)
 	r.route = b.Model
 	r.path = PathChat
 	prefix := b.Messages[:min(len(b.Messages), prefixBytes)]
-	r.kind = Chat{stream: b.Stream, outputTokens: out, prefixHash: xxhash.Sum64(prefix)}
+	r.kind = Chat{stream: b.Stream, outputTokens: maxTokens, prefixHash: xxhash.Sum64(prefix)}
 	return nil
 }
 
-func (r *Request) readService(hr *http.Request) error {
+func (r *Request) parseService(hr *http.Request) error {
 	rest := strings.TrimPrefix(hr.URL.Path, PathServices)
 	name, path, _ := strings.Cut(rest, "/")
 	if name == "" {
@@ -127,17 +127,17 @@
 	return nil
 }
 
-// fetchSeparator stands between the parts of a fetch id: request id, endpoint
-// and serial of the attempt.
+// fetchSeparator separates the parts of a fetch id: the request id, the endpoint and the serial
+// number of the attempt.
 const fetchSeparator = "@"
 
-// FetchID returns the id under which the answer of one attempt can be fetched
-// without asking every agent.
+// FetchID returns the id by which the response of one attempt can be fetched without querying
+// every agent.
 func FetchID(requestID, endpoint string, serial uint64) string {
 	return requestID + fetchSeparator + endpoint + fetchSeparator + strconv.FormatUint(serial, 36)
 }
 
-func (r *Request) readFetch(hr *http.Request) error {
+func (r *Request) parseFetch(hr *http.Request) error {
 	parts := strings.Split(strings.TrimPrefix(hr.URL.Path, PathAnswers), fetchSeparator)
 	r.id = parts[0]
 	if !validID(r.id) {
@@ -180,7 +180,7 @@
 	return true
 }
 
-func newID() string {
+func newRequestID() string {
 	var b [12]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
--- a/internal/caller/raw.go
+++ b/internal/caller/raw.go
@@ -12,7 +12,7 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// readRaw copies the request, because nbhttp uses its memory again.
+// readRaw copies the request, because nbhttp reuses its memory. Its errors carry a result code.
 func (s *Server) readRaw(hr *http.Request) (*Raw, error) {
 	now := time.Now
 	if s.Now != nil {
@@ -21,19 +21,19 @@
 	if err := checkFraming(hr); err != nil {
 		return nil, err
 	}
-	raw := &Raw{
+	r := &Raw{
 		Method: hr.Method,
 		Host:   strings.ToLower(hr.Host),
 		Target: hr.RequestURI,
 		Header: hr.Header.Clone(),
 		At:     now(),
 	}
-	if raw.Target == "" {
-		raw.Target = hr.URL.RequestURI()
+	if r.Target == "" {
+		r.Target = hr.URL.RequestURI()
 	}
-	raw.Path, _, _ = strings.Cut(raw.Target, "?")
+	r.Path, _, _ = strings.Cut(r.Target, "?")
 	if hr.Body == nil {
-		return raw, nil
+		return r, nil
 	}
 	body, err := io.ReadAll(io.LimitReader(hr.Body, int64(s.BodyLimit)+1))
 	if err != nil {
@@ -42,13 +42,13 @@
 	if len(body) > s.BodyLimit {
 		return nil, result.Newf(result.BodyTooLarge, "at most %d bytes are allowed", s.BodyLimit)
 	}
-	raw.Body = body
-	return raw, nil
+	r.Body = body
+	return r, nil
 }
 
-// checkFraming guards against requests smuggled inside another one: a request
-// whose end can be read in two ways would let an endpoint see two requests
-// where this process saw one. Proper callers never send one.
+// checkFraming rejects requests whose end can be determined in two ways. They allow request
+// smuggling: an endpoint could see two requests where this process saw one. Well-behaved callers
+// never send them.
 func checkFraming(hr *http.Request) error {
 	lengths := hr.Header.Values("Content-Length")
 	chunked := len(hr.Header.Values("Transfer-Encoding")) > 0 || len(hr.TransferEncoding) > 0
@@ -61,30 +61,32 @@
 	return nil
 }
 
-// hopHeaders concern one connection alone, and Content-Length is written anew.
-var hopHeaders = map[string]bool{
+// hopByHopHeaders apply to a single connection and are not forwarded. Content-Length is among them
+// because it is written anew.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Expect": true,
 }
 
-// EndToEnd returns the headers of h that are meant for the other end.
+// EndToEnd returns the headers of h that are forwarded, without hop-by-hop headers and those that
+// Connection lists. The values are shared with h.
 func EndToEnd(h http.Header) http.Header {
-	drop := map[string]bool{}
+	dropped := map[string]bool{}
 	for _, v := range h.Values("Connection") {
 		for _, name := range strings.Split(v, ",") {
-			drop[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+			dropped[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
-	out := make(http.Header, len(h))
+	kept := make(http.Header, len(h))
 	for k, v := range h {
-		if !hopHeaders[k] && !drop[k] {
-			out[k] = v
+		if !hopByHopHeaders[k] && !dropped[k] {
+			kept[k] = v
 		}
 	}
-	return out
+	return kept
 }
 
-// AnswerRaw sends a whole answer with the given headers.
+// AnswerRaw sends a complete response with the given headers.
 func (w *Reply) AnswerRaw(status int, h http.Header, body []byte) error {
 	head := w.rawHead(status, h)
 	if status != http.StatusNoContent && status != http.StatusNotModified {
@@ -93,24 +95,25 @@
 	w.started = true
 	w.done = true
 	err := w.send(append([]byte(head+"\r\n"), body...))
-	w.broken = err != nil
+	w.truncated = err != nil
 	return err
 }
 
-// BeginRaw begins an answer whose length is not known yet.
+// BeginRaw begins a response of unknown length with the given headers. It returns an error for a
+// request over HTTP/1.0, which has no chunked encoding.
 func (w *Reply) BeginRaw(status int, h http.Header) error {
-	if w.minor == 0 {
+	if w.protoMinor == 0 {
 		return result.New(result.MalformedRequest, "streamed answers need HTTP/1.1")
 	}
 	w.started = true
-	w.stream = true
-	w.broken = true
+	w.streaming = true
+	w.truncated = true
 	return w.send([]byte(w.rawHead(status, h) + "Transfer-Encoding: chunked\r\n\r\n"))
 }
 
-// Break ends an answer that can't become whole: its connection closes without
-// the end of the body, so that nobody takes the part for the whole.
-func (w *Reply) Break() { w.broken = true }
+// Break aborts a response that cannot be completed. Its connection closes without the end of the
+// body, so that the caller does not treat the partial response as complete.
+func (w *Reply) Break() { w.truncated = true }
 
 func (w *Reply) rawHead(status int, h http.Header) string {
 	var b strings.Builder
@@ -129,10 +132,10 @@
 			writeHeader(&b, name, v)
 		}
 	}
-	if w.closing != nil && w.closing.Load() {
-		w.close = true
+	if w.draining != nil && w.draining.Load() {
+		w.closeAfter = true
 	}
-	if w.close {
+	if w.closeAfter {
 		writeHeader(&b, "Connection", "close")
 	}
 	return b.String()
--- a/internal/caller/reply.go
+++ b/internal/caller/reply.go
@@ -14,76 +14,76 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Names of the headers of an answer.
+// Names of response headers, and constants for writing responses.
 const (
-	// HeaderFetchID names the request, endpoint and attempt to fetch an answer
-	// from.
+	// HeaderFetchID carries the fetch id, which names the request, the endpoint and the attempt
+	// whose response can be fetched again.
 	HeaderFetchID = "X-Fetch-Id"
-	// HeaderResult carries the numbered result code.
+	// HeaderResult carries the numeric result code.
 	HeaderResult = "X-Result-Code"
 
 	contentJSON = "application/json"
 
-	// hangUpTimeout bounds the wait for a caller to read the end of an answer
-	// before its connection closes.
-	hangUpTimeout = 5 * time.Second
+	// flushTimeout bounds the wait for a caller to read the end of a response before its
+	// connection is closed.
+	flushTimeout = 5 * time.Second
 )
 
-// Reply writes one answer. It is used by one goroutine at a time.
+// Reply writes one response. It must not be used by several goroutines at the same time.
 type Reply struct {
-	w         net.Conn
-	conn      *conn
-	ctx       context.Context
-	requestID string
-	minor     int
-	close     bool
-	started   bool
-	stream    bool
-	done      bool
-	// broken says that a part of an answer was sent and its end was not, so
-	// the connection must close to tell the caller.
-	broken bool
-	// before closes when the connection's earlier requests are answered, and
-	// mine is closed when this one is.
-	before, mine chan struct{}
-	// closing, when set, says that the server is about to stop.
-	closing *atomic.Bool
+	netConn    net.Conn
+	conn       *conn
+	ctx        context.Context
+	requestID  string
+	protoMinor int
+	closeAfter bool
+	started    bool
+	streaming  bool
+	done       bool
+	// truncated is set while part of a response has been sent and its end has not, so that the
+	// connection must close to signal this to the caller.
+	truncated bool
+	// prevDone is closed when the connection's earlier requests have been answered. ownDone is
+	// closed when this request has been answered.
+	prevDone, ownDone chan struct{}
+	// draining, if not nil, reports whether the server is about to stop.
+	draining *atomic.Bool
 }
 
-// Within ends the reply's writes when ctx ends, so that a caller who stops
-// reading holds the entry no longer than the request's deadline.
+// Within makes the reply's writes fail once ctx is done, so that a caller that stops reading
+// occupies the entry no longer than the request's deadline.
 func (w *Reply) Within(ctx context.Context) { w.ctx = ctx }
 
-// Started reports whether a part of an answer has left for the caller.
+// Started reports whether part of a response has been sent.
 func (w *Reply) Started() bool { return w.started }
 
-// Whole sends a whole answer.
+// Whole sends a complete response.
 func (w *Reply) Whole(status int, contentType, fetchID string, body []byte) {
 	head := w.head(status, contentType, fetchID, result.OK)
 	head += "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n"
 	w.started = true
 	w.done = true
 	if err := w.send(append([]byte(head), body...)); err != nil {
-		w.broken = true
+		w.truncated = true
 	}
 }
 
-// Stream begins an answer whose length is not known. A caller of HTTP/1.0
-// can't be told where such an answer ends, and gets none.
+// Stream begins a response of unknown length. It returns an error for a request over HTTP/1.0,
+// which has no chunked encoding to mark the end of such a response.
 func (w *Reply) Stream(status int, contentType, fetchID string) error {
-	if w.minor == 0 {
+	if w.protoMinor == 0 {
 		return result.New(result.MalformedRequest, "streamed answers need HTTP/1.1")
 	}
 	head := w.head(status, contentType, fetchID, result.OK)
 	head += "Cache-Control: no-store\r\nTransfer-Encoding: chunked\r\n\r\n"
 	w.started = true
-	w.stream = true
-	w.broken = true
+	w.streaming = true
+	w.truncated = true
 	return w.send([]byte(head))
 }
 
-// Piece sends a part of a streamed answer. It waits while the caller reads
-// slowly, and fails when the caller has left.
+// Piece sends b as one chunk of a streamed response. It blocks while the caller reads slowly and
+// returns an error if the caller has disconnected.
 func (w *Reply) Piece(b []byte) error {
 	if len(b) == 0 {
 		return nil
@@ -96,20 +96,20 @@
 	return w.send(chunk)
 }
 
-// End closes a streamed answer that is whole.
+// End completes a streamed response.
 func (w *Reply) End() error {
 	if err := w.send([]byte("0\r\n\r\n")); err != nil {
 		return err
 	}
-	w.broken = false
+	w.truncated = false
 	w.done = true
 	return nil
 }
 
-// Fail gives the final answer to a request that got no whole one. When a part
-// has been sent already, a server-sent "error" event follows and the
-// connection closes without the end of the body, so that no client takes the
-// part for the whole.
+// Fail sends the error response for a request that has no complete response yet, and otherwise
+// does nothing. If part of a response has been sent, Fail appends a server-sent "error" event if
+// the response is streamed, and the connection closes without the end of the body, so that no
+// client treats the partial response as complete.
 func (w *Reply) Fail(e *result.Error) {
 	if w.done {
 		return
@@ -117,8 +117,8 @@
 	w.done = true
 	body := errorBody(e)
 	if w.started {
-		w.broken = true
-		if w.stream {
+		w.truncated = true
+		if w.streaming {
 			_ = w.Piece([]byte("event: error\ndata: " + string(body) + "\n\n"))
 		}
 		return
@@ -130,18 +130,18 @@
 	}
 	head := w.head(status, contentJSON, "", e.Code())
 	if d := e.RetryAfter(); d > 0 {
-		head += "Retry-After: " + strconv.Itoa(wholeSeconds(d)) + "\r\n"
+		head += "Retry-After: " + strconv.Itoa(ceilSeconds(d)) + "\r\n"
 	}
 	head += "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n"
 	w.started = true
 	if err := w.send(append([]byte(head), body...)); err != nil {
-		w.broken = true
+		w.truncated = true
 	}
 }
 
-// wholeSeconds rounds up, because Retry-After has no smaller unit and an
-// earlier return would be refused again. The JSON body has milliseconds.
-func wholeSeconds(d time.Duration) int {
+// ceilSeconds rounds d up to seconds, the unit of Retry-After, because a caller that retries
+// earlier would be refused again. The JSON body states milliseconds.
+func ceilSeconds(d time.Duration) int {
 	return int((d + time.Second - 1) / time.Second)
 }
 
@@ -181,14 +181,14 @@
 	writeHeader(&b, headerRequestID, w.requestID)
 	writeHeader(&b, HeaderFetchID, fetchID)
 	writeHeader(&b, HeaderResult, strconv.Itoa(int(code)))
-	if w.close {
+	if w.closeAfter {
 		writeHeader(&b, "Connection", "close")
 	}
 	return b.String()
 }
 
-// writeHeader leaves out values with a line break, which would let an
-// endpoint's answer forge headers.
+// writeHeader writes a header line. It omits empty values, and values with a line break, with
+// which an endpoint's response could inject headers.
 func writeHeader(b *strings.Builder, name, value string) {
 	if value == "" || strings.ContainsAny(value, "\r\n") {
 		return
@@ -200,13 +200,14 @@
 }
 
 func (w *Reply) send(b []byte) error {
-	return w.conn.write(w.ctx, w.w, b)
+	return w.conn.write(w.ctx, w.netConn, b)
 }
 
-// hangUp closes the connection once what was written has left.
-func (w *Reply) hangUp() {
-	ctx, cancel := context.WithTimeout(context.Background(), hangUpTimeout)
+// closeAfterFlush closes the connection once all pending bytes have been sent or flushTimeout has
+// passed.
+func (w *Reply) closeAfterFlush() {
+	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
-	_ = w.conn.wait(ctx, 1)
-	_ = w.w.Close()
+	_ = w.conn.waitPendingBelow(ctx, 1)
+	_ = w.netConn.Close()
 }
--- a/internal/caller/request.go
+++ b/internal/caller/request.go
@@ -12,54 +12,53 @@
 	pathHealth   = "/healthz"
 	pathReady    = "/readyz"
 
-	headerAuthorization = "Authorization"
-	headerRequestID     = "X-Request-Id"
-	headerKey           = "Idempotency-Key"
-	headerDeadline      = "X-Deadline-Ms"
-	headerPriority      = "X-Priority"
+	headerAuthorization  = "Authorization"
+	headerRequestID      = "X-Request-Id"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerDeadline       = "X-Deadline-Ms"
+	headerPriority       = "X-Priority"
 
-	bearer = "Bearer "
+	bearerPrefix = "Bearer "
 )
 
 const (
-	// maxIDBytes bounds request ids and idempotency keys, which are kept in
-	// tables and in the platform's service.
+	// maxIDBytes bounds request ids and idempotency keys, which are stored in tables and in the
+	// platform's service.
 	maxIDBytes = 128
-	// maxDeadline bounds what a caller may ask for, so that no request holds
-	// its place for ever.
+	// maxDeadline bounds the deadline that a caller may set, so that no request occupies its slot
+	// indefinitely.
 	maxDeadline = time.Hour
-	// bytesPerToken estimates a prompt's tokens from its length.
+	// bytesPerToken is used to estimate the number of tokens of a prompt from its length.
 	bytesPerToken = 4
-	// prefixBytes is how much of a prompt decides its cache affinity: about
+	// prefixBytes is the length of the start of a prompt that determines its cache affinity: about
 	// the length of a system prompt.
 	prefixBytes = 1024
 )
 
-// Kind is what a caller asks for: Chat, ServiceCall, Fetch, Health or
-// Readiness.
+// Kind is the type of a request: Chat, ServiceCall, Fetch, Health or Readiness.
 type Kind interface{ kind() }
 
-// Chat asks a model.
+// Chat is a chat completion request to a model.
 type Chat struct {
 	stream       bool
 	outputTokens int
 	prefixHash   uint64
 }
 
-// ServiceCall asks a plain service.
+// ServiceCall is a request to a plain service.
 type ServiceCall struct{}
 
-// Fetch asks for an answer again.
+// Fetch is a request for the response to an earlier request.
 type Fetch struct {
 	from     uint64
 	endpoint string
 	serial   uint64
 }
 
-// Health asks whether the process lives.
+// Health is the check whether the process is alive.
 type Health struct{}
 
-// Readiness asks whether the entry may be given requests.
+// Readiness is the check whether the entry accepts requests.
 type Readiness struct{}
 
 func (Chat) kind()        {}
@@ -68,30 +67,28 @@
 func (Health) kind()      {}
 func (Readiness) kind()   {}
 
-// Stream reports whether the caller wants server-sent events.
+// Stream reports whether the caller requests server-sent events.
 func (c Chat) Stream() bool { return c.stream }
 
-// OutputTokens returns the most tokens that the caller allows for, or zero when
-// it names no limit.
+// OutputTokens returns the maximum number of output tokens, or zero if the caller sets none.
 func (c Chat) OutputTokens() int { return c.outputTokens }
 
-// PrefixHash names the start of the prompt.
+// PrefixHash returns the hash of the start of the prompt.
 func (c Chat) PrefixHash() uint64 { return c.prefixHash }
 
-// From returns the number of the first piece that the caller lacks.
+// From returns the number of the first piece that the caller has not received.
 func (f Fetch) From() uint64 { return f.from }
 
-// Serial returns the serial of the attempt that the fetch id names, or zero.
+// Serial returns the serial number of the attempt in the fetch id, or zero if it has none.
 func (f Fetch) Serial() uint64 { return f.serial }
 
-// Endpoint returns the endpoint that the fetch id names, or "" when the caller
-// knows only the request id.
+// Endpoint returns the endpoint in the fetch id, or "" if the caller knows only the request id.
 func (f Fetch) Endpoint() string { return f.endpoint }
 
-// Request is one request whose form has been checked.
+// Request is a validated request.
 type Request struct {
 	id             string
-	key            string
+	accountKey     string
 	kind           Kind
 	route          string
 	method         string
@@ -103,20 +100,20 @@
 	idempotencyKey string
 }
 
-// ID returns the request id, which the entry made up if the caller sent none.
+// ID returns the request id. The entry generates one if the caller sent none.
 func (r *Request) ID() string { return r.id }
 
-// WithID returns a copy of the request under another id.
+// WithID returns a copy of the request with another id.
 func (r *Request) WithID(id string) *Request {
 	c := *r
 	c.id = id
 	return &c
 }
 
-// AccountKey returns the secret that names the caller's account.
-func (r *Request) AccountKey() string { return r.key }
+// AccountKey returns the secret key that identifies the caller's account.
+func (r *Request) AccountKey() string { return r.accountKey }
 
-// Kind returns what is asked for.
+// Kind returns the type of the request.
 func (r *Request) Kind() Kind { return r.kind }
 
 // Route returns the name of the model or service.
@@ -134,14 +131,14 @@
 // Body returns the body. The caller of Body must not change it.
 func (r *Request) Body() []byte { return r.body }
 
-// Priority returns the name of the priority, or "".
+// Priority returns the name of the priority, or "" if the caller sets none.
 func (r *Request) Priority() string { return r.priority }
 
-// Budget returns the time until the deadline, or zero for the route's own.
+// Budget returns the time until the deadline, or zero if the route's default applies.
 func (r *Request) Budget() time.Duration { return r.budget }
 
-// IdempotencyKey returns the caller's idempotency key, or "".
+// IdempotencyKey returns the caller's idempotency key, or "" if there is none.
 func (r *Request) IdempotencyKey() string { return r.idempotencyKey }
 
-// PromptTokens estimates the tokens of the body.
+// PromptTokens estimates the number of prompt tokens from the length of the body.
 func (r *Request) PromptTokens() int { return len(r.body)/bytesPerToken + 1 }
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -19,86 +19,89 @@
 )
 
 const (
-	// oversize is how many times the body limit is still read, so that the
-	// sender gets a numbered answer; a larger body only loses its connection.
-	oversize = 4
-	// headBytes is how much a request's headers may take. nbhttp bounds single
-	// headers and not their number: without a bound of our own, a sender of
-	// endless headers would fill the VM's memory.
+	// readLimitFactor times BodyLimit is the largest body that is still read, so that the caller
+	// receives a response with a result code. If the body is larger, the connection is closed
+	// without a response.
+	readLimitFactor = 4
+	// headBytes is the maximum size of a request's headers. nbhttp bounds the size of each header
+	// but not their number: without this bound, a caller that sends headers endlessly would
+	// exhaust the VM's memory.
 	headBytes = 64 << 10
-	// defaultReadTimeout bounds the time in which a request must arrive, so
-	// that senders of one byte a second don't hold connections for ever.
+	// defaultReadTimeout is the default of ReadTimeout and IdleTimeout. A bound is needed so that
+	// callers that send one byte per second do not hold connections indefinitely.
 	defaultReadTimeout = 30 * time.Second
-	// cutAfter is how long after its time a request's connection is cut when
-	// the answer to it could not be given.
-	cutAfter = time.Second
-	// spareConns are the connections beyond the limit that are still met, to be
-	// told so; more are closed unheard.
-	spareConns = 64
+	// readDeadlineGrace is the time after ReadTimeout at which a connection is closed if the
+	// timeout response could not be sent.
+	readDeadlineGrace = time.Second
+	// maxExcessConns is the number of connections beyond MaxConns that are still accepted, so that
+	// their requests are refused with a result code. Any further connection is closed without a
+	// response.
+	maxExcessConns = 64
 )
 
-// Handler runs the requests that a Server has read. Serve must finish the
-// reply before it returns; ctx ends when the caller leaves.
+// Handler serves the requests that a Server has parsed. Serve must finish the reply before it
+// returns. Its ctx is cancelled when the caller disconnects.
 type Handler interface {
 	Serve(ctx context.Context, r *Request, w *Reply)
-	// Ready returns nil when the entry may be given requests.
+	// Ready returns nil if the entry accepts requests.
 	Ready() error
 }
 
-// Passer runs requests that are passed on as they came. Pass must finish the
-// reply before it returns; ctx ends when the caller leaves. The header and the
-// body belong to Pass.
+// Passer serves requests that are forwarded unchanged. Pass must finish the reply before it
+// returns. Its ctx is cancelled when the caller disconnects. Pass may keep and modify the header
+// and the body.
 type Passer interface {
 	Pass(ctx context.Context, r *Raw, w *Reply)
 }
 
-// Raw is a request as it came.
+// Raw is a request as it was received.
 type Raw struct {
 	Method string
 	// Host is in lower case.
 	Host string
-	// Target is the path with the query as the caller wrote it, and Path the
-	// part before the query.
+	// Target is the path with the query as the caller sent it. Path is the part before the query.
 	Target, Path string
 	Header       http.Header
 	Body         []byte
-	// At is when the request had arrived whole.
+	// At is the time at which the request had been received completely.
 	At time.Time
 }
 
-// Server meets callers at one address. Set the exported fields before Run.
+// Server accepts callers' connections at one address and serves their requests. Set the exported
+// fields before Listen.
 type Server struct {
-	// Addr is where to listen, as IP:port.
+	// Addr is the address to listen on, as IP:port. Listen sets the actual port.
 	Addr string
-	// TLS is nil for plain TCP. It is of nbio's copy of the standard library's
-	// package, which works without blocking.
+	// TLS is nil for plain TCP. Its type is from nbio's copy of crypto/tls, which supports
+	// non-blocking I/O.
 	TLS *tls.Config
-	// BodyLimit is the largest body in bytes.
+	// BodyLimit is the maximum size of a request body in bytes. It must be positive.
 	BodyLimit int
-	// MaxConns is the largest number of callers' connections.
+	// MaxConns is the maximum number of callers' connections. It must be positive.
 	MaxConns int
-	// ReadTimeout bounds the time from a request's first byte to its last, and
-	// IdleTimeout the time between requests.
+	// ReadTimeout bounds the time from the first to the last byte of a request, and IdleTimeout
+	// the time between requests. Zero or less selects the default of 30 s.
 	ReadTimeout time.Duration
 	IdleTimeout time.Duration
-	// Handler runs the requests.
+	// Handler serves the requests.
 	Handler Handler
-	// Passer, when set, runs all requests in place of Handler.
+	// Passer, if not nil, serves all requests in place of Handler.
 	Passer Passer
-	// Now is the clock of Raw.At; nil means the process's own.
+	// Now is the clock for Raw.At. Nil selects time.Now.
 	Now func() time.Time
 
-	engine   *nbhttp.Engine
-	conns    sync.Map // *nbio.Conn to *conn
-	running  inflight.Count
-	refusing atomic.Bool
-	closing  atomic.Bool
+	engine    *nbhttp.Engine
+	conns     sync.Map // *nbio.Conn to *conn
+	running   inflight.Count
+	rejecting atomic.Bool
+	draining  atomic.Bool
 }
 
-// Listen opens the server's address and begins to serve.
+// Listen listens on Addr and starts to serve. It returns an error with result code BadSetting if
+// BodyLimit or MaxConns is not positive, and AddressInUse if it cannot listen.
 func (s *Server) Listen() error {
 	if s.BodyLimit <= 0 || s.MaxConns <= 0 {
-		return result.New(result.BadSetting, "body limit and connections must be above zero")
+		return result.New(result.BadSetting, "BodyLimit and MaxConns must be positive")
 	}
 	if s.ReadTimeout <= 0 {
 		s.ReadTimeout = defaultReadTimeout
@@ -112,23 +115,23 @@
 	}
 	s.Addr = ln.Addr().String()
 	s.engine = nbhttp.NewEngine(s.config(ln))
-	eventloop.Order(s.engine, s.opened, s.arrived)
-	s.engine.OnClose(s.closedConn)
-	s.engine.OnWrittenSize(s.written)
-	return eris.Wrap(eventloop.Start(s.engine), "caller server")
+	eventloop.Order(s.engine, s.handleOpen, s.handleData)
+	s.engine.OnClose(s.handleClose)
+	s.engine.OnWrittenSize(s.handleWritten)
+	return eris.Wrap(eventloop.Start(s.engine), "start the caller server")
 }
 
 func (s *Server) config(ln net.Listener) nbhttp.Config {
 	cfg := nbhttp.Config{
 		Network:         "tcp",
-		MaxLoad:         s.MaxConns + spareConns,
-		MaxHTTPBodySize: s.BodyLimit * oversize,
-		ReadLimit:       s.BodyLimit * oversize,
-		// nbhttp sets this deadline a moment after it begins to read, so a
-		// longer one would replace that of a request which has begun to arrive.
-		KeepaliveTime:  s.ReadTimeout + cutAfter,
+		MaxLoad:         s.MaxConns + maxExcessConns,
+		MaxHTTPBodySize: s.BodyLimit * readLimitFactor,
+		ReadLimit:       s.BodyLimit * readLimitFactor,
+		// nbhttp sets this deadline shortly after it begins to read, so a longer one would replace
+		// that of a request that has begun to arrive.
+		KeepaliveTime:  s.ReadTimeout + readDeadlineGrace,
 		RetainHTTPBody: false,
-		Handler:        http.HandlerFunc(s.take),
+		Handler:        http.HandlerFunc(s.handleHTTP),
 		Listen:         func(string, string) (net.Listener, error) { return ln, nil },
 	}
 	if s.TLS == nil {
@@ -139,107 +142,108 @@
 	return cfg
 }
 
-// Address returns the address listened on, as IP:port.
+// Address returns the address that the server listens on, as IP:port.
 func (s *Server) Address() string { return s.Addr }
 
-// Running returns how many requests have not been answered to their end.
+// Running returns the number of requests that have not been fully answered.
 func (s *Server) Running() int { return s.running.Running() }
 
-// Online returns how many callers are connected.
+// Online returns the number of open connections.
 func (s *Server) Online() int { return s.engine.Online() }
 
-// Announce asks callers to connect elsewhere: each answer from now on closes
-// its connection. Requests are still taken.
-func (s *Server) Announce() { s.closing.Store(true) }
+// Announce makes callers reconnect elsewhere: from now on, each response closes its connection.
+// New requests are still accepted.
+func (s *Server) Announce() { s.draining.Store(true) }
 
-// CloseIdle closes the connections on which no request is being read or
-// answered.
+// CloseIdle closes the connections on which no request is being received or answered.
 func (s *Server) CloseIdle() {
 	s.conns.Range(func(key, value any) bool {
-		if value.(*conn).resting() {
+		if value.(*conn).isIdle() {
 			_ = key.(*nbio.Conn).Close()
 		}
 		return true
 	})
 }
 
-// Refuse answers each further request with shuttingDown.
+// Refuse makes the server answer each further request with shuttingDown. It does not apply to
+// requests that Passer serves, nor to /healthz, except that their responses close the connection.
 func (s *Server) Refuse() {
-	s.closing.Store(true)
-	s.refusing.Store(true)
+	s.draining.Store(true)
+	s.rejecting.Store(true)
 }
 
-// Run serves until ctx ends and then waits until no request runs, or until
-// drain has passed. It must follow Listen.
+// Run serves until ctx is done, and then waits until no request is running or drain has elapsed.
+// It must be called after Listen.
 func (s *Server) Run(ctx context.Context, drain time.Duration) error {
 	<-ctx.Done()
 	s.Refuse()
-	patience, cancel := context.WithTimeout(context.Background(), drain)
+	drainCtx, cancel := context.WithTimeout(context.Background(), drain)
 	defer cancel()
-	s.running.Wait(patience)
+	s.running.Wait(drainCtx)
 	s.engine.Stop()
 	return nil
 }
 
-func (s *Server) opened(w net.Conn) {
+func (s *Server) handleOpen(w net.Conn) {
 	if c := underlying(w); c != nil {
 		s.conns.Store(c, newConn())
 	}
 }
 
-func (s *Server) closedConn(w net.Conn, _ error) {
+func (s *Server) handleClose(w net.Conn, _ error) {
 	v, ok := s.conns.LoadAndDelete(underlying(w))
 	if ok {
-		v.(*conn).closed()
+		v.(*conn).markDisconnected()
 	}
 }
 
-// arrived closes a connection that sends more for one request than any may
-// take.
-func (s *Server) arrived(w *nbio.Conn, n int) bool {
+// handleData counts n received bytes. It returns false, which closes the connection, if a request
+// exceeds the maximum size. The first bytes of a request start its read timer.
+func (s *Server) handleData(w *nbio.Conn, n int) bool {
 	v, ok := s.conns.Load(w)
 	if !ok {
 		return false
 	}
-	total := v.(*conn).arrived(n)
+	total := v.(*conn).addUnparsed(n)
 	if total == n {
-		// A sender of a byte now and then would hold its connection for ever.
-		_ = w.SetReadDeadline(time.Now().Add(s.ReadTimeout + cutAfter))
-		v.(*conn).await(s.ReadTimeout, func() { s.tooSlow(w, v.(*conn)) })
+		// Without a deadline, a caller that sends an occasional byte would hold its connection
+		// indefinitely.
+		_ = w.SetReadDeadline(time.Now().Add(s.ReadTimeout + readDeadlineGrace))
+		v.(*conn).startReadTimer(s.ReadTimeout, func() { s.handleReadTimeout(w, v.(*conn)) })
 	}
-	return total <= s.BodyLimit*oversize+headBytes
+	return total <= s.BodyLimit*readLimitFactor+headBytes
 }
 
-// tooSlow answers a request that has not arrived whole in time, unless an
-// earlier one of the connection still gets its answer.
-func (s *Server) tooSlow(w *nbio.Conn, c *conn) {
+// handleReadTimeout refuses a request that was not received completely in time. If an earlier
+// request of the connection is still being answered, it only closes the connection.
+func (s *Server) handleReadTimeout(w *nbio.Conn, c *conn) {
 	p, ok := w.Session().(*nbhttp.Parser)
 	if !ok {
 		return
 	}
-	before, mine := c.enqueue()
-	defer close(mine)
+	prevDone, ownDone := c.enqueue()
+	defer close(ownDone)
 	select {
-	case <-before:
+	case <-prevDone:
 	default:
 		_ = w.Close()
 		return
 	}
-	reply := &Reply{w: p.Conn, conn: c, ctx: context.Background(), minor: 1, close: true}
+	reply := &Reply{netConn: p.Conn, conn: c, ctx: context.Background(), protoMinor: 1, closeAfter: true}
 	reply.Fail(result.New(result.RequestTooSlow, ""))
-	reply.hangUp()
+	reply.closeAfterFlush()
 }
 
-func (s *Server) written(w *nbio.Conn, _ []byte, n int) {
+func (s *Server) handleWritten(w *nbio.Conn, _ []byte, n int) {
 	v, ok := s.conns.Load(w)
 	if ok {
-		v.(*conn).written(n)
+		v.(*conn).markWritten(n)
 	}
 }
 
-// take copies the request out of nbhttp's buffers, takes its connection over
-// and lets a goroutine of its own answer it.
-func (s *Server) take(w http.ResponseWriter, hr *http.Request) {
+// handleHTTP copies the request out of nbhttp's buffers, hijacks its connection and serves it in a
+// new goroutine.
+func (s *Server) handleHTTP(w http.ResponseWriter, hr *http.Request) {
 	h, ok := w.(http.Hijacker)
 	if !ok {
 		return
@@ -255,31 +259,31 @@
 	_ = nc.SetReadDeadline(time.Time{})
 	c := v.(*conn)
 	if s.Passer != nil {
-		s.takeRaw(hr, nc, c)
+		s.handleRaw(hr, nc, c)
 		return
 	}
-	r, rerr := s.read(hr)
-	reply := &Reply{w: nc, conn: c, close: hr.Close, minor: hr.ProtoMinor}
-	reply.before, reply.mine = c.enqueue()
-	c.whole()
+	r, parseErr := s.parseRequest(hr)
+	reply := &Reply{netConn: nc, conn: c, closeAfter: hr.Close, protoMinor: hr.ProtoMinor}
+	reply.prevDone, reply.ownDone = c.enqueue()
+	c.requestRead()
 	s.running.Begin()
-	go s.answer(r, rerr, reply)
+	go s.serveRequest(r, parseErr, reply)
 }
 
-// takeRaw lets a goroutine of its own pass the request on.
-func (s *Server) takeRaw(hr *http.Request, nc net.Conn, c *conn) {
+// handleRaw serves the request with Passer in a new goroutine.
+func (s *Server) handleRaw(hr *http.Request, nc net.Conn, c *conn) {
 	raw, err := s.readRaw(hr)
-	reply := &Reply{w: nc, conn: c, close: hr.Close || err != nil, minor: hr.ProtoMinor}
-	reply.before, reply.mine = c.enqueue()
-	c.whole()
+	reply := &Reply{netConn: nc, conn: c, closeAfter: hr.Close || err != nil, protoMinor: hr.ProtoMinor}
+	reply.prevDone, reply.ownDone = c.enqueue()
+	c.requestRead()
 	s.running.Begin()
-	go s.pass(raw, err, reply)
+	go s.serveRaw(raw, err, reply)
 }
 
-// pass runs one request that is passed on.
-func (s *Server) pass(raw *Raw, err error, w *Reply) {
-	s.inTurn(w, func(ctx context.Context) {
-		w.closing = &s.closing
+// serveRaw serves one request with Passer.
+func (s *Server) serveRaw(raw *Raw, err error, w *Reply) {
+	s.serveInOrder(w, func(ctx context.Context) {
+		w.draining = &s.draining
 		if err != nil {
 			w.Fail(result.Of(err))
 			return
@@ -288,51 +292,52 @@
 	})
 }
 
-// inTurn lets f answer when the connection's earlier requests have been, as
-// HTTP/1.1 wants answers in order. The context of f ends when the caller leaves.
-func (s *Server) inTurn(w *Reply, f func(ctx context.Context)) {
+// serveInOrder calls serve once the connection's earlier requests have been answered, because
+// HTTP/1.1 requires responses in the order of the requests. The context of serve is cancelled when
+// the caller disconnects.
+func (s *Server) serveInOrder(w *Reply, serve func(ctx context.Context)) {
 	defer s.running.End()
-	defer close(w.mine)
-	<-w.before
-	defer w.conn.end()
+	defer close(w.ownDone)
+	<-w.prevDone
+	defer w.conn.unbindCancel()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.conn.begin(cancel)
+	w.conn.bindCancel(cancel)
 	w.ctx = ctx
-	w.close = w.close || s.closing.Load()
-	f(ctx)
-	s.finish(w)
+	w.closeAfter = w.closeAfter || s.draining.Load()
+	serve(ctx)
+	s.finishReply(w)
 }
 
-// finish closes the connection if it must, or waits for its next request.
-func (s *Server) finish(w *Reply) {
-	if w.close || w.broken {
-		w.hangUp()
+// finishReply closes the connection if required, and otherwise sets the idle timeout if no further
+// request is waiting.
+func (s *Server) finishReply(w *Reply) {
+	if w.closeAfter || w.truncated {
+		w.closeAfterFlush()
 		return
 	}
-	if w.conn.newest(w.mine) {
-		_ = w.w.SetReadDeadline(time.Now().Add(s.IdleTimeout))
+	if w.conn.isLast(w.ownDone) {
+		_ = w.netConn.SetReadDeadline(time.Now().Add(s.IdleTimeout))
 	}
 }
 
-// answer runs one request. Requests that a caller sends ahead on the same
-// connection wait for their turn.
-func (s *Server) answer(r *Request, rerr error, w *Reply) {
-	s.inTurn(w, func(ctx context.Context) {
+// serveRequest serves one request. Pipelined requests on the same connection are served in order.
+func (s *Server) serveRequest(r *Request, parseErr error, w *Reply) {
+	s.serveInOrder(w, func(ctx context.Context) {
 		if r != nil {
 			w.requestID = r.ID()
 		}
-		s.dispatch(ctx, r, rerr, w)
+		s.dispatch(ctx, r, parseErr, w)
 	})
 }
 
-func (s *Server) dispatch(ctx context.Context, r *Request, rerr error, w *Reply) {
-	if rerr != nil {
-		w.Fail(result.Of(rerr))
+func (s *Server) dispatch(ctx context.Context, r *Request, parseErr error, w *Reply) {
+	if parseErr != nil {
+		w.Fail(result.Of(parseErr))
 		return
 	}
 	if s.Online() > s.MaxConns {
-		w.close = true
+		w.closeAfter = true
 		w.Fail(result.New(result.TooManyConnections, "").WithRetryAfter(time.Second))
 		return
 	}
@@ -340,9 +345,9 @@
 	case Health:
 		w.Whole(http.StatusOK, "text/plain", "", []byte("ok\n"))
 	case Readiness:
-		s.readiness(w)
+		s.serveReadiness(w)
 	default:
-		if s.refusing.Load() {
+		if s.rejecting.Load() {
 			w.Fail(result.New(result.ShuttingDown, "").WithRetryAfter(time.Second))
 			return
 		}
@@ -350,8 +355,8 @@
 	}
 }
 
-func (s *Server) readiness(w *Reply) {
-	if s.closing.Load() {
+func (s *Server) serveReadiness(w *Reply) {
+	if s.draining.Load() {
 		w.Fail(result.New(result.ShuttingDown, ""))
 		return
 	}
--- a/internal/caller/server_test.go
+++ b/internal/caller/server_test.go
@@ -23,14 +23,14 @@
 func (f handlerFunc) Serve(ctx context.Context, r *Request, w *Reply) { f(ctx, r, w) }
 func (f handlerFunc) Ready() error                                    { return nil }
 
-func start(t *testing.T, h handlerFunc) *Server {
+func startServer(t *testing.T, h handlerFunc) *Server {
 	t.Helper()
 	s := &Server{Addr: "127.0.0.1:0", BodyLimit: testBodyLimit, MaxConns: 64, Handler: h}
-	run(t, s)
+	runServer(t, s)
 	return s
 }
 
-func run(t *testing.T, s *Server) {
+func runServer(t *testing.T, s *Server) {
 	t.Helper()
 	if err := s.Listen(); err != nil {
 		t.Fatal(err)
@@ -83,9 +83,9 @@
 
 const chatBodyText = `{"model":"m","stream":true,"messages":[{"role":"user","content":"hi"}]}`
 
-func TestRequestIsRead(t *testing.T) {
+func TestParseRequest(t *testing.T) {
 	var got *Request
-	s := start(t, func(_ context.Context, r *Request, w *Reply) {
+	s := startServer(t, func(_ context.Context, r *Request, w *Reply) {
 		got = r
 		w.Whole(http.StatusOK, "text/plain", "f", r.Body())
 	})
@@ -93,56 +93,56 @@
 		_, body := post(t, s, PathChat, chatBodyText, headerRequestID, "r1", headerDeadline, "1500", headerAuthorization, "Bearer k")
 		c, ok := got.Kind().(Chat)
 		if !ok || !c.Stream() || got.Route() != "m" || got.AccountKey() != "k" || got.Budget() != 1500*time.Millisecond {
-			t.Errorf("read as %+v", got)
+			t.Errorf("parsed request is %+v", got)
 		}
 		if body != chatBodyText {
-			t.Errorf("answer is %q", body)
+			t.Errorf("response body is %q", body)
 		}
 	})
 	t.Run("service", func(t *testing.T) {
-		post(t, s, PathServices+"orders/confirm?x=1", "{}", headerKey, "k1")
+		post(t, s, PathServices+"orders/confirm?x=1", "{}", headerIdempotencyKey, "k1")
 		if got.Route() != "orders" || got.Path() != "/confirm?x=1" || got.IdempotencyKey() != "k1" {
-			t.Errorf("read as %+v", got)
+			t.Errorf("parsed request is %+v", got)
 		}
 	})
-	faults := []struct {
+	invalid := []struct {
 		name, path, body, header, value string
 		want                            result.Code
 	}{
-		{"no path", "/x", "", "", "", result.UnknownRoute},
-		{"no JSON", PathChat, "{", "", "", result.MalformedRequest},
+		{"unknown path", "/x", "", "", "", result.UnknownRoute},
+		{"invalid JSON", PathChat, "{", "", "", result.MalformedRequest},
 		{"no model", PathChat, "{}", "", "", result.MalformedRequest},
 		{"bad id", PathChat, chatBodyText, headerRequestID, "a b", result.BadHeader},
 		{"bad deadline", PathChat, chatBodyText, headerDeadline, "-1", result.BadHeader},
-		{"long key", PathServices + "o/", "", headerKey, strings.Repeat("k", 999), result.BadHeader},
+		{"long key", PathServices + "o/", "", headerIdempotencyKey, strings.Repeat("k", 999), result.BadHeader},
 		{"large", PathServices + "o/", strings.Repeat("b", testBodyLimit+1), "", "", result.BodyTooLarge},
 	}
-	for _, f := range faults {
-		t.Run(f.name, func(t *testing.T) {
-			_, body := post(t, s, f.path, f.body, f.header, f.value)
-			assertCode(t, body, f.want)
+	for _, tt := range invalid {
+		t.Run(tt.name, func(t *testing.T) {
+			_, body := post(t, s, tt.path, tt.body, tt.header, tt.value)
+			assertCode(t, body, tt.want)
 		})
 	}
 }
 
-// A caller asks for a stream and the endpoint dies in the middle. Without the
-// missing end of the body the caller's library would hand over half an answer
-// as a whole one.
+// Guards against a truncated stream that looks complete. When the endpoint fails in the middle of
+// a stream, the end of the body must be missing. Otherwise the caller's HTTP library would return
+// the partial response as a complete one.
 func TestHalfAnswerIsNotWhole(t *testing.T) {
-	s := start(t, func(_ context.Context, _ *Request, w *Reply) {
+	s := startServer(t, func(_ context.Context, _ *Request, w *Reply) {
 		_ = w.Stream(http.StatusOK, "text/event-stream", "f")
 		_ = w.Piece([]byte("data: half\n\n"))
 		w.Fail(result.New(result.AnswerIncomplete, ""))
 	})
 	_, body := post(t, s, PathChat, chatBodyText)
 	if !strings.HasPrefix(body, "broken: ") {
-		t.Errorf("half an answer passed for whole: %q", body)
+		t.Errorf("truncated response was read as complete: %q", body)
 	}
 }
 
 func TestStreamArrivesPieceByPiece(t *testing.T) {
 	next := make(chan struct{})
-	s := start(t, func(_ context.Context, _ *Request, w *Reply) {
+	s := startServer(t, func(_ context.Context, _ *Request, w *Reply) {
 		_ = w.Stream(http.StatusOK, "text/event-stream", "f")
 		for i := range 3 {
 			_ = w.Piece([]byte(fmt.Sprintf("data: %d\n", i)))
@@ -164,17 +164,17 @@
 		next <- struct{}{}
 	}
 	if rest, err := io.ReadAll(br); err != nil || len(rest) > 0 {
-		t.Errorf("after the end: %q, %v", rest, err)
+		t.Errorf("data after the end of the stream: %q, %v", rest, err)
 	}
 }
 
-// A caller hangs up while its request waits for the endpoint. If the entry
-// didn't notice, the engine would go on computing tokens for nobody.
+// Guards against an undetected disconnect while a request waits for the endpoint: the engine would
+// continue to compute tokens that nobody reads.
 func TestCallerWhoLeavesEndsTheContext(t *testing.T) {
 	ended := make(chan struct{})
-	begun := make(chan struct{})
-	s := start(t, func(ctx context.Context, _ *Request, _ *Reply) {
-		close(begun)
+	started := make(chan struct{})
+	s := startServer(t, func(ctx context.Context, _ *Request, _ *Reply) {
+		close(started)
 		<-ctx.Done()
 		close(ended)
 	})
@@ -183,22 +183,22 @@
 		t.Fatal(err)
 	}
 	_, _ = fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", PathChat, len(chatBodyText), chatBodyText)
-	<-begun
+	<-started
 	_ = c.Close()
 	<-ended
 }
 
-// A caller asks for a long stream and reads none of it. Without the window the
-// whole answer would pile up in the entry's memory.
+// Guards against unbounded buffering: a caller requests a long stream and reads none of it.
+// Without the limit on pending bytes, the entry would hold the whole response in memory.
 func TestSlowCallerIsHeldBack(t *testing.T) {
 	const total = 256 << 20
 	sent := make(chan int, 1)
-	full := make(chan struct{})
-	s := start(t, func(ctx context.Context, _ *Request, w *Reply) {
+	stalled := make(chan struct{})
+	s := startServer(t, func(ctx context.Context, _ *Request, w *Reply) {
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
 		go func() {
-			<-full
+			<-stalled
 			cancel()
 		}()
 		w.Within(ctx)
@@ -216,22 +216,22 @@
 	}
 	defer func() { _ = c.Close() }()
 	_, _ = fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", PathChat, len(chatBodyText), chatBodyText)
-	waitStalled(t, s)
-	close(full)
+	awaitStalledConn(t, s)
+	close(stalled)
 	if n := <-sent; n >= total {
-		t.Errorf("all %d bytes were taken for a caller who reads nothing", n)
+		t.Errorf("all %d bytes were accepted for a caller that reads nothing", n)
 	}
 }
 
-// waitStalled returns when some connection has a full window.
-func waitStalled(t *testing.T, s *Server) {
+// awaitStalledConn returns once the pending bytes of some connection have reached the limit.
+func awaitStalledConn(t *testing.T, s *Server) {
 	t.Helper()
 	for {
 		stalled := false
 		s.conns.Range(func(_, v any) bool {
 			c := v.(*conn)
 			c.mu.Lock()
-			stalled = stalled || c.pending >= windowBytes
+			stalled = stalled || c.pending >= maxPendingBytes
 			c.mu.Unlock()
 			return true
 		})
@@ -243,7 +243,7 @@
 }
 
 func TestRequestsSentAheadAreAnsweredInOrder(t *testing.T) {
-	s := start(t, func(_ context.Context, r *Request, w *Reply) {
+	s := startServer(t, func(_ context.Context, r *Request, w *Reply) {
 		w.Whole(http.StatusOK, "text/plain", "", r.Body())
 	})
 	c, err := net.Dial("tcp", s.Address())
@@ -251,11 +251,11 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	var all bytes.Buffer
+	var requests bytes.Buffer
 	for i := range 5 {
-		fmt.Fprintf(&all, "POST %so/ HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n%d", PathServices, i)
+		fmt.Fprintf(&requests, "POST %so/ HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n%d", PathServices, i)
 	}
-	_, _ = c.Write(all.Bytes())
+	_, _ = c.Write(requests.Bytes())
 	br := bufio.NewReader(c)
 	for i := range 5 {
 		res, err := http.ReadResponse(br, nil)
@@ -264,18 +264,18 @@
 		}
 		b, _ := io.ReadAll(res.Body)
 		if string(b) != fmt.Sprint(i) {
-			t.Fatalf("answer %d is %q", i, b)
+			t.Fatalf("response %d is %q", i, b)
 		}
 	}
 }
 
-// More callers connect than an entry may hold. Those beyond the limit are told
-// so and when to come back, in place of a connection that closes unheard.
-func TestConnectionsBeyondTheLimitAreTold(t *testing.T) {
+// Guards against connections beyond the limit that are closed without a response. Their callers
+// must be told of the limit and when to retry.
+func TestConnectionsBeyondLimitAreRefused(t *testing.T) {
 	s := &Server{Addr: "127.0.0.1:0", BodyLimit: testBodyLimit, MaxConns: 2, Handler: handlerFunc(func(_ context.Context, _ *Request, w *Reply) {
 		w.Whole(http.StatusOK, "text/plain", "", nil)
 	})}
-	run(t, s)
+	runServer(t, s)
 	for range 2 {
 		c, err := net.Dial("tcp", s.Address())
 		if err != nil {
--- a/internal/caller/tls_test.go
+++ b/internal/caller/tls_test.go
@@ -16,33 +16,32 @@
 )
 
 const (
-	// Small pieces are those to which TLS adds most.
-	tlsPieces = 120000
-	tlsPiece  = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcde\n"
+	// Small chunks have the largest relative TLS overhead.
+	tlsChunks = 120000
+	tlsChunk  = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcde\n"
 )
 
-// A caller of a leaving entry reads a long stream slowly over TLS, and the
-// connection closes at its end. Counted without what TLS adds to each record,
-// the stream seems to have left while its end still waits, and the close drops
-// it.
+// Guards against the loss of the end of a long stream over TLS, when the connection closes after
+// the response and the caller reads slowly. If the TLS overhead of each record is not counted,
+// pending reaches zero while the end of the stream is still buffered, and the close drops it.
 func TestLongStreamBeforeCloseOverTLS(t *testing.T) {
-	made := httptest.NewTLSServer(nil)
-	defer made.Close()
+	certServer := httptest.NewTLSServer(nil)
+	defer certServer.Close()
 	for _, version := range []uint16{stdtls.VersionTLS12, stdtls.VersionTLS13} {
 		t.Run(stdtls.VersionName(version), func(t *testing.T) {
-			s := startTLS(t, made.TLS.Certificates[0], func(_ context.Context, _ *Request, w *Reply) {
+			s := startTLS(t, certServer.TLS.Certificates[0], func(_ context.Context, _ *Request, w *Reply) {
 				_ = w.Stream(http.StatusOK, "text/plain", "")
-				for range tlsPieces {
-					if w.Piece([]byte(tlsPiece)) != nil {
+				for range tlsChunks {
+					if w.Piece([]byte(tlsChunk)) != nil {
 						return
 					}
 				}
 				_ = w.End()
 			})
 			s.Announce()
-			n, err := slowRead(t, s, made.Certificate(), version)
-			if n != tlsPieces*len(tlsPiece) || err != nil {
-				t.Errorf("%d bytes of %d arrived: %v", n, tlsPieces*len(tlsPiece), err)
+			n, err := readSlowly(t, s, certServer.Certificate(), version)
+			if n != tlsChunks*len(tlsChunk) || err != nil {
+				t.Errorf("received %d bytes of %d: %v", n, tlsChunks*len(tlsChunk), err)
 			}
 		})
 	}
@@ -54,30 +53,30 @@
 		Certificates:                []tls.Certificate{{Certificate: c.Certificate, PrivateKey: c.PrivateKey}},
 		DynamicRecordSizingDisabled: true,
 	}}
-	run(t, s)
+	runServer(t, s)
 	return s
 }
 
-// slowRead asks once and takes the answer from the socket in small parts, so
-// that the end of it waits in the server.
-func slowRead(t *testing.T, s *Server, c *x509.Certificate, version uint16) (int, error) {
+// readSlowly sends one request and reads the response from the socket in small parts, so that its
+// end stays buffered in the server.
+func readSlowly(t *testing.T, s *Server, c *x509.Certificate, version uint16) (int, error) {
 	t.Helper()
 	pool := x509.NewCertPool()
 	pool.AddCert(c)
-	raw, err := net.Dial("tcp", s.Address())
+	tcpConn, err := net.Dial("tcp", s.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = raw.Close() }()
-	if err := raw.(*net.TCPConn).SetReadBuffer(32 << 10); err != nil {
+	defer func() { _ = tcpConn.Close() }()
+	if err := tcpConn.(*net.TCPConn).SetReadBuffer(32 << 10); err != nil {
 		t.Fatal(err)
 	}
-	w := stdtls.Client(raw, &stdtls.Config{RootCAs: pool, ServerName: "example.com", MinVersion: version, MaxVersion: version})
-	_, err = fmt.Fprintf(w, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", PathChat, len(chatBodyText), chatBodyText)
+	tlsConn := stdtls.Client(tcpConn, &stdtls.Config{RootCAs: pool, ServerName: "example.com", MinVersion: version, MaxVersion: version})
+	_, err = fmt.Fprintf(tlsConn, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", PathChat, len(chatBodyText), chatBodyText)
 	if err != nil {
 		t.Fatal(err)
 	}
-	res, err := http.ReadResponse(bufio.NewReaderSize(w, 512), nil)
+	res, err := http.ReadResponse(bufio.NewReaderSize(tlsConn, 512), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
