--- a/internal/caller/admission/controller.go
+++ b/internal/caller/admission/controller.go
@@ -52,8 +52,8 @@
 	c.accounts = make(map[string]*account)
 	c.routes = make(map[string]*route)
 	c.items = make(map[string]*item)
-	c.byLatestStart = itemHeap{less: latestStartBefore, kind: heapLatestStart}
-	c.displaceable = itemHeap{less: displacedBefore, kind: heapDisplaceable}
+	c.byLatestStart = itemHeap{less: latestStartBefore, heapIndex: heapLatestStart}
+	c.displaceable = itemHeap{less: displacedBefore, heapIndex: heapDisplaceable}
 	if c.MaxWaiting <= 0 {
 		c.MaxWaiting = DefaultMaxWaiting
 	}
@@ -69,8 +69,8 @@
 }
 
 // Configure puts the limits of a preset into force. Open requests stay open and
-// count against the new limits; accounts that are no longer listed get no new
-// requests. On error it changes nothing and returns ErrNoAccount,
+// count against the new limits. New requests of accounts that are no longer
+// listed are refused. On error it changes nothing and returns ErrNoAccount,
 // ErrInvalidLimit or ErrDuplicateAccount.
 func (c *Controller) Configure(limits []Limits, now time.Time) error {
 	c.init()
@@ -178,10 +178,10 @@
 	return a, result.OK
 }
 
-// shutdownRetryAfter returns the retry delay for a request refused by validate.
-// If the entry is shutting down, it is a short delay, spread by a hash of id,
-// after which the caller can retry at another entry. For other codes it is
-// zero.
+// shutdownRetryAfter returns the retry delay for a request that validate refused
+// with code. If the entry is shutting down, it is a short delay, spread by a hash
+// of id, after which the caller can retry at another entry. For other codes it
+// is zero.
 func (c *Controller) shutdownRetryAfter(code result.Code, id string) time.Duration {
 	if code != result.ShuttingDown {
 		return 0
--- a/internal/caller/admission/controller_test.go
+++ b/internal/caller/admission/controller_test.go
@@ -59,7 +59,7 @@
 		}
 		_, running := h.running[r.ID]
 		if code, ended := h.outcomes[r.ID]; ended || running {
-			h.t.Errorf("%s refused while running (%v) or after it ended (%v, %v)", r.ID, running, ended, code)
+			h.t.Errorf("%s refused while running or after it ended (running: %v, ended: %v with %v)", r.ID, running, ended, code)
 		}
 		h.outcomes[r.ID] = r.Code
 	}
@@ -115,7 +115,7 @@
 // Guards against refusals due to an overestimated wait: on schedules where a
 // plain FIFO queue meets all deadlines, the controller must serve every
 // request.
-func TestNothingRefusedThatNaiveQueueServes(t *testing.T) {
+func TestNoRefusalIfFIFOMeetsDeadlines(t *testing.T) {
 	schedules := 0
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -151,7 +151,7 @@
 
 // Guards against refusals while slots become free through cancelled requests,
 // which happens if only completed requests count towards the drain rate.
-func TestPlacesFreedByLeavingCallersCount(t *testing.T) {
+func TestCancelledRequestsCountTowardsDrainRate(t *testing.T) {
 	h := newHarness(t, 4, &Controller{}, Limits{Account: "a"})
 	for i := range 200 {
 		d := h.arrive(h.newRequest(fmt.Sprint(i), "a", time.Second, 8*time.Second), time.Hour)
@@ -163,9 +163,9 @@
 		}
 		// Every 250 ms the caller that has waited longest disconnects.
 		h.advance(250 * time.Millisecond)
-		left := fmt.Sprint(i - 16)
-		delete(h.running, left)
-		h.c.Cancel(left)
+		cancelled := fmt.Sprint(i - 16)
+		delete(h.running, cancelled)
+		h.c.Cancel(cancelled)
 	}
 }
 
@@ -189,9 +189,9 @@
 	h.assertOutcome("less", result.QueueFull)
 }
 
-// Guards against holding a request until its deadline when a stalled running
-// request has already made it impossible to serve in time.
-func TestHeldRequestIsRefusedWhenTooLate(t *testing.T) {
+// Guards against keeping a request in the queue until its deadline when a
+// stalled running request has already made it impossible to serve in time.
+func TestWaitingRequestIsRefusedWhenTooLate(t *testing.T) {
 	h := newHarness(t, 1, &Controller{}, Limits{Account: "a"})
 	h.arrive(h.newRequest("stalled", "a", time.Second, time.Minute), time.Hour)
 	h.arrive(h.newRequest("held", "a", 2*time.Second, 5*time.Second), time.Second)
@@ -205,7 +205,7 @@
 
 // Guards against synchronized retries: if all callers refused at one moment
 // retry at one moment, they are refused again, repeatedly.
-func TestRefusedCallersReturnSpread(t *testing.T) {
+func TestRetriesAreSpread(t *testing.T) {
 	h := newHarness(t, 10, &Controller{}, Limits{Account: "a"})
 	retriesBySecond := make(map[int]int)
 	refused := 0
@@ -271,7 +271,7 @@
 	h.assertOutcome("after", result.AccountRate)
 }
 
-func TestDrainFinishesWhatWaits(t *testing.T) {
+func TestDrainServesWaitingRequests(t *testing.T) {
 	h := newHarness(t, 1, &Controller{}, Limits{Account: "a"})
 	h.arrive(h.newRequest("first", "a", time.Second, time.Minute), time.Second)
 	h.arrive(h.newRequest("waits", "a", time.Second, time.Minute), time.Second)
@@ -298,7 +298,7 @@
 
 // Guards against counters that drift when a request ends in an unusual way and
 // stays counted; the account could then run no more requests, or too many.
-func TestBooksBalanceAfterAnyOrderOfEvents(t *testing.T) {
+func TestCountersConsistentAfterAnyOrderOfEvents(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		h := newHarness(t, 5, &Controller{MaxWaiting: 20}, Limits{Account: "a", Rate: 100}, Limits{Account: "b", Weight: 3})
@@ -335,7 +335,7 @@
 		h.t.Fatalf("Running() = %d, want %d", h.c.Running(), len(h.running))
 	}
 	if h.c.Waiting() > h.c.MaxWaiting+h.slots {
-		h.t.Fatalf("%d requests waiting, more than %d", h.c.Waiting(), h.c.MaxWaiting)
+		h.t.Fatalf("%d requests waiting, more than MaxWaiting %d plus the number of slots", h.c.Waiting(), h.c.MaxWaiting)
 	}
 	if open := h.c.Open("a") + h.c.Open("b"); open != h.c.Running()+h.c.Waiting() {
 		h.t.Fatalf("%d requests open, but %d running and %d waiting", open, h.c.Running(), h.c.Waiting())
--- a/internal/caller/admission/fairness_test.go
+++ b/internal/caller/admission/fairness_test.go
@@ -32,8 +32,9 @@
 				h.advance(50 * time.Millisecond)
 			}
 			// Each small account asks for 2 of 20 requests per second. If the
-			// large account is worth more, each small one is entitled to a
-			// tenth of the fair fraction: 0.5 requests per second.
+			// requests of the large account are worth more, each small account
+			// is entitled to a tenth of the fair fraction: 0.5 requests per
+			// second.
 			minFraction := 0.9
 			if worth > 1 {
 				minFraction = 0.2
@@ -55,7 +56,7 @@
 	}
 	served := float64(h.countServed(prefix))
 	if served < minFraction*total || total == 0 {
-		h.t.Errorf("%s: served %v of %v, want at least a fraction of %v", prefix, served, total, minFraction)
+		h.t.Errorf("%s: served %v of %v requests, want at least the fraction %v", prefix, served, total, minFraction)
 	}
 }
 
@@ -69,13 +70,13 @@
 	}
 	one, three := h.countServed("one."), h.countServed("three.")
 	if ratio := float64(three) / float64(one); ratio < 2.4 || ratio > 3.6 {
-		t.Errorf("served %d and %d requests of accounts with weights 1 and 3", one, three)
+		t.Errorf("served %d and %d requests of accounts with weights 1 and 3, want a ratio of 2.4 to 3.6", one, three)
 	}
 }
 
 // Guards against an account that returns from an idle period and then occupies
 // all slots until it has caught up with the others.
-func TestIdleAccountEarnsNoClaim(t *testing.T) {
+func TestIdleAccountEarnsNoCredit(t *testing.T) {
 	h := newHarness(t, 4, &Controller{FairFraction: 1}, Limits{Account: "busy"}, Limits{Account: "idle"})
 	send := func(account string, i int) {
 		h.arrive(h.newRequest(fmt.Sprint(account, ".", i), account, time.Second, 30*time.Second), time.Second)
--- a/internal/caller/admission/heaps.go
+++ b/internal/caller/admission/heaps.go
@@ -2,12 +2,13 @@
 
 import "container/heap"
 
-// itemHeap is a heap of items. kind is the position of this heap in item.index,
-// which lets an item be removed from several heaps without a search.
+// itemHeap is a heap of items. heapIndex is the index in item.index that belongs
+// to this heap; item.index lets an item be removed from several heaps without a
+// search.
 type itemHeap struct {
-	items []*item
-	less  func(a, b *item) bool
-	kind  int
+	items     []*item
+	less      func(a, b *item) bool
+	heapIndex int
 }
 
 func (h *itemHeap) Len() int           { return len(h.items) }
@@ -15,14 +16,14 @@
 
 func (h *itemHeap) Swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.items[i].index[h.kind] = i
-	h.items[j].index[h.kind] = j
+	h.items[i].index[h.heapIndex] = i
+	h.items[j].index[h.heapIndex] = j
 }
 
 // Push implements heap.Interface.
 func (h *itemHeap) Push(x any) {
 	it := x.(*item)
-	it.index[h.kind] = len(h.items)
+	it.index[h.heapIndex] = len(h.items)
 	h.items = append(h.items, it)
 }
 
@@ -36,7 +37,7 @@
 }
 
 func (h *itemHeap) add(it *item)    { heap.Push(h, it) }
-func (h *itemHeap) remove(it *item) { heap.Remove(h, it.index[h.kind]) }
+func (h *itemHeap) remove(it *item) { heap.Remove(h, it.index[h.heapIndex]) }
 
 func (h *itemHeap) head() *item {
 	if len(h.items) == 0 {
@@ -45,12 +46,12 @@
 	return h.items[0]
 }
 
-// flowHeap is a heap of flows with waiting requests. kind is the position of
-// this heap in flow.index.
+// flowHeap is a heap of flows with waiting requests. heapIndex is the index in
+// flow.index that belongs to this heap.
 type flowHeap struct {
-	flows []*flow
-	less  func(a, b *flow) bool
-	slot  int
+	flows     []*flow
+	less      func(a, b *flow) bool
+	heapIndex int
 }
 
 func (h *flowHeap) Len() int           { return len(h.flows) }
@@ -58,14 +59,14 @@
 
 func (h *flowHeap) Swap(i, j int) {
 	h.flows[i], h.flows[j] = h.flows[j], h.flows[i]
-	h.flows[i].index[h.slot] = i
-	h.flows[j].index[h.slot] = j
+	h.flows[i].index[h.heapIndex] = i
+	h.flows[j].index[h.heapIndex] = j
 }
 
 // Push implements heap.Interface.
 func (h *flowHeap) Push(x any) {
 	f := x.(*flow)
-	f.index[h.slot] = len(h.flows)
+	f.index[h.heapIndex] = len(h.flows)
 	h.flows = append(h.flows, f)
 }
 
@@ -79,5 +80,5 @@
 }
 
 func (h *flowHeap) add(f *flow)    { heap.Push(h, f) }
-func (h *flowHeap) remove(f *flow) { heap.Remove(h, f.index[h.slot]) }
-func (h *flowHeap) fix(f *flow)    { heap.Fix(h, f.index[h.slot]) }
+func (h *flowHeap) remove(f *flow) { heap.Remove(h, f.index[h.heapIndex]) }
+func (h *flowHeap) fix(f *flow)    { heap.Fix(h, f.index[h.heapIndex]) }
--- a/internal/caller/admission/holder.go
+++ b/internal/caller/admission/holder.go
@@ -30,15 +30,20 @@
 
 // lenderState is the state of the exchange with one lender.
 type lenderState struct {
-	echo   ShareStamp
-	number uint64
-	sentAt time.Time
+	// echo is the newest stamp received from the lender.
+	echo ShareStamp
+	// lastNumber and sentAt are the number and the sending time of the newest
+	// report to the lender.
+	lastNumber uint64
+	sentAt     time.Time
+	// wanted is ShareReply.Wanted of the last reply.
 	wanted []string
 }
 
 // holderAccount is the state of one account.
 type holderAccount struct {
-	limits   Limits
+	limits Limits
+	// want is the demand at this entry in units, at most ShareUnits.
 	want     int64
 	deposits []deposit
 	loan     loan
@@ -207,11 +212,12 @@
 		h.lenders[lender] = l
 	}
 	h.Sequence++
-	l.number, l.sentAt = h.Sequence, now
+	l.lastNumber, l.sentAt = h.Sequence, now
 	r := ShareReport{Holder: h.Entry, Number: h.Sequence, Echo: l.echo}
 	for name, a := range h.accounts {
-		// lenderOf computes one hash per entry, so it is called last: with
-		// 12,000 accounts, only some are in demand.
+		// lenderOf computes one hash per entry, so it is called only for the
+		// accounts that are included: of 12,000 accounts, only some are in
+		// demand.
 		if h.included(a, name, l) && lenderOf(name) == lender {
 			r.Accounts = append(r.Accounts, h.accountDemand(name, a, lender, l.echo, now))
 		}
@@ -220,11 +226,15 @@
 	return r
 }
 
-// included reports whether an account belongs in a report.
+// included reports whether a report to the lender l lists an account. See
+// listAllMax.
 func (h *ShareHolder) included(a *holderAccount, name string, l *lenderState) bool {
 	return len(h.accounts) <= listAllMax || a.want > 0 || slices.Contains(l.wanted, name)
 }
 
+// accountDemand creates the part of a report about one account and records its
+// deposit in a. There is no deposit until the lender has sent a stamp and one
+// DepositTTL has passed since the start of the entry.
 func (h *ShareHolder) accountDemand(name string, a *holderAccount, lender string, echo ShareStamp, now time.Time) ShareDemand {
 	entitled := entitlement(h.Entries)
 	d := ShareDemand{Account: name, Quantum: a.quantum(), Want: max(0, a.want-entitled)}
@@ -253,7 +263,7 @@
 // because only the sending time of that report is known.
 func (h *ShareHolder) Reply(lender string, r ShareReply) {
 	l := h.lenders[lender]
-	if l == nil || r.Number != l.number {
+	if l == nil || r.Number != l.lastNumber {
 		return
 	}
 	l.echo = r.Stamp
--- a/internal/caller/admission/lender.go
+++ b/internal/caller/admission/lender.go
@@ -8,7 +8,8 @@
 // ShareLender lends deposited shares to entries that need them. The exported
 // fields must be set before the first call. It is not safe for concurrent use.
 type ShareLender struct {
-	// Incarnation must differ between starts of this entry.
+	// Incarnation must differ between starts of this entry. It must not be
+	// zero, because a zero stamp in a report means that the holder has none.
 	Incarnation uint64
 	// DepositTTL is how long a deposit lasts. It must be the same at all
 	// entries; zero means DefaultDepositTTL.
@@ -21,7 +22,8 @@
 
 // holderState is the state of one holder.
 type holderState struct {
-	number uint64
+	// lastNumber is the number of the newest report of the holder.
+	lastNumber uint64
 	// depositsUntil is when the deposits of the newest report expire.
 	depositsUntil time.Time
 	lastReport    time.Time
@@ -30,6 +32,7 @@
 // accountShares holds the deposits and loans of one account by holder.
 type accountShares map[string]*holderShare
 
+// holderShare is the state of one account at one holder.
 type holderShare struct {
 	deposit, want, quantum int64
 	loans                  []loan
@@ -37,13 +40,15 @@
 	lastGrant time.Time
 }
 
+// loan is a number of units lent to a holder until a point in time.
 type loan struct {
 	units int64
 	until time.Time
 }
 
-// outstanding returns the maximum number of units that the holder may be using
-// now. If a reply was lost, an older loan may be in use in place of the newest.
+// outstanding returns the maximum number of units that the holder may be
+// borrowing now. If a reply was lost, an older loan may be in use in place of
+// the newest.
 func (s *holderShare) outstanding(now time.Time) int64 {
 	var largest int64
 	live := s.loans[:0]
@@ -79,10 +84,10 @@
 		h = &holderState{}
 		l.holders[r.Holder] = h
 	}
-	if r.Number <= h.number {
+	if r.Number <= h.lastNumber {
 		return ShareReply{}, false
 	}
-	h.number = r.Number
+	h.lastNumber = r.Number
 	h.lastReport = now
 	h.depositsUntil = l.depositExpiry(r.Echo)
 	l.recordDemand(r)
@@ -158,8 +163,9 @@
 	return ShareGrant{Account: name, Units: units, Term: term}, true
 }
 
-// accountsInDemand returns the accounts of which holders that reported within
-// the last DepositTTL want more.
+// accountsInDemand returns the sorted names of the accounts that at least one
+// holder asks to borrow. Only holders that have reported within the last
+// DepositTTL count.
 func (l *ShareLender) accountsInDemand(now time.Time) []string {
 	var names []string
 	for account, shares := range l.accounts {
@@ -174,9 +180,9 @@
 	return names
 }
 
-// totals returns the deposits that last until end, the demand of holders that
-// reported within the last DepositTTL, and the units that other holders may be
-// using now.
+// totals returns three sums over one account: the deposits that last at least
+// until end, the demand of holders that reported within the last DepositTTL, and
+// the units that holders other than holder may be borrowing now.
 func (l *ShareLender) totals(shares accountShares, holder string, end, now time.Time) (deposited, wanted, lentToOthers int64) {
 	for name, s := range shares {
 		h := l.holders[name]
--- a/internal/caller/admission/limits.go
+++ b/internal/caller/admission/limits.go
@@ -58,7 +58,8 @@
 
 // account is the state of one account at this entry.
 type account struct {
-	limits  Limits
+	limits Limits
+	// share is the fraction of the limits that applies at this entry.
 	share   float64
 	bucket  tokenBucket
 	open    int
--- a/internal/caller/admission/meters.go
+++ b/internal/caller/admission/meters.go
@@ -33,8 +33,10 @@
 // counts in the same way whether its request completed, failed or was
 // cancelled.
 type drainMeter struct {
-	work, busyTime float64
-	updatedAt      time.Time
+	// work is the work started from the queue, and waitingTime the time with
+	// waiting requests, both in seconds and with exponential decay.
+	work, waitingTime float64
+	updatedAt         time.Time
 }
 
 // advance moves the meter to now. waiting reports whether requests were waiting
@@ -53,13 +55,13 @@
 	}
 	decay := math.Exp(-dt / drainTimeConstant.Seconds())
 	m.work *= decay
-	m.busyTime = m.busyTime*decay + dt
+	m.waitingTime = m.waitingTime*decay + dt
 }
 
 // rate returns the drain rate in work per second. Without measurements it
 // assumes that each running request completes one second of work per second.
 func (m *drainMeter) rate(running int) float64 {
-	return (m.work + drainPriorWeight*float64(running)) / (m.busyTime + drainPriorWeight)
+	return (m.work + drainPriorWeight*float64(running)) / (m.waitingTime + drainPriorWeight)
 }
 
 // arrivalMeter measures the rate of admitted work per density band.
@@ -91,14 +93,15 @@
 	return sum
 }
 
-// minResidualFraction is the minimum fraction of the drain rate that is assumed
-// to remain beside arrivals of higher value density. With a lower value, a
-// burst of one second would cause refusals of requests that can be served after
-// it.
+// minResidualFraction is the minimum fraction of the drain rate that arrivals of
+// higher value density are assumed to leave to other requests. With a lower
+// value, a burst of one second would cause refusals of requests that can be
+// served after it.
 const minResidualFraction = 0.3
 
 // runStats tracks running times and how far they exceed their estimates.
 type runStats struct {
+	// meanRun is the exponential moving average of the running time in seconds.
 	meanRun float64
 	// overrun estimates a high quantile of the ratio of actual to expected
 	// running time.
@@ -109,15 +112,20 @@
 const (
 	// overrunQuantile is the quantile that runStats.overrun tracks.
 	overrunQuantile = 0.8
-	overrunStep     = 0.05
-	maxOverrun      = 4
+	// overrunStep is the step size of the estimate of that quantile.
+	overrunStep = 0.05
+	// maxOverrun is the upper bound of runStats.overrun.
+	maxOverrun = 4
 	// overrunTimeConstant is the time constant with which the overrun factor
 	// decays while nothing completes. Without the decay, a stall could cause
 	// refusals that prevent the factor from being measured again.
 	overrunTimeConstant = 10 * time.Second
-	meanRunStep         = 0.1
+	// meanRunStep is the weight of a new value in runStats.meanRun.
+	meanRunStep = 0.1
 )
 
+// observe records a running time in seconds. estimated reports whether expected
+// comes from the request; if it does not, the overrun stays as it is.
 func (s *runStats) observe(actual, expected float64, estimated bool, now time.Time) {
 	if s.meanRun == 0 {
 		s.meanRun = actual
@@ -161,7 +169,7 @@
 // spread over the time that serving the recently refused requests takes, so
 // that each second of this window receives as many retries as can be served in
 // it. The offset in the window is a hash of id and is the same at each entry.
-func (t *refusalTracker) retryAfter(id string, minDelay time.Duration, perSecond float64, now time.Time) time.Duration {
+func (t *refusalTracker) retryAfter(id string, minDelay time.Duration, serviceRate float64, now time.Time) time.Duration {
 	dt := now.Sub(t.updatedAt).Seconds()
 	if dt > 0 {
 		t.recent *= math.Exp(-dt / refusalTimeConstant.Seconds())
@@ -169,8 +177,8 @@
 	}
 	t.recent++
 	window := 2 * MinRetryAfter.Seconds()
-	if perSecond > 0 {
-		window = math.Max(window, t.recent/perSecond)
+	if serviceRate > 0 {
+		window = math.Max(window, t.recent/serviceRate)
 	}
 	window = math.Min(window, MaxRetryAfter.Seconds())
 	delay := minDelay + toDuration(window*hashFraction(id))
--- a/internal/caller/admission/queue.go
+++ b/internal/caller/admission/queue.go
@@ -26,7 +26,7 @@
 const waitDiscount = 0.85
 
 // checkDeadline refuses a request that cannot complete by its deadline. During
-// a backlog, holding such a request would only delay the refusal and take the
+// a backlog, queueing such a request would only delay the refusal and take the
 // place of a request that can still be served.
 func (c *Controller) checkDeadline(it *item, r *route, now time.Time) (Refused, bool) {
 	if !now.Before(it.req.Deadline) {
@@ -88,17 +88,19 @@
 
 // mayProtect reports whether one more waiting request of a can be protected
 // from displacement. This guards against one account that floods the queue with
-// work of high worth: each account keeps its weighted part of the queue slots
-// that fair share serves, so that the other accounts always have requests to
-// pick.
+// work of high worth: the accounts with waiting requests on the route divide
+// FairFraction of MaxWaiting by weight, and each may have as many protected
+// requests as its part, but at least one. Fair share thus always finds requests
+// of the other accounts. A request is protected only while less than half of
+// MaxWaiting is.
 func (c *Controller) mayProtect(a *account, r *route) bool {
 	weight := r.activeWeight
 	if a.waiting == 0 {
 		weight += a.limits.Weight
 	}
-	protectedSlots := c.FairFraction * float64(c.MaxWaiting)
-	accountSlots := math.Max(1, protectedSlots*a.limits.Weight/math.Max(weight, a.limits.Weight))
-	return float64(a.protected+1) <= accountSlots && c.protected < c.MaxWaiting/2
+	protectedTotal := c.FairFraction * float64(c.MaxWaiting)
+	accountMax := math.Max(1, protectedTotal*a.limits.Weight/math.Max(weight, a.limits.Weight))
+	return float64(a.protected+1) <= accountMax && c.protected < c.MaxWaiting/2
 }
 
 func (c *Controller) insert(it *item, r *route) {
@@ -201,7 +203,9 @@
 
 // Requeue returns a started request to the queue after its endpoint has
 // reported that it was not run. The request keeps its arrival order and takes
-// no second rate token. It is refused if it can no longer meet its deadline.
+// no second rate token; it can no longer be displaced. It is refused if it can
+// no longer meet its deadline, and with result.MalformedRequest if no running
+// request has this ID.
 func (c *Controller) Requeue(id string, now time.Time) Decision {
 	it := c.items[id]
 	if it == nil || !it.running {
--- a/internal/caller/admission/request.go
+++ b/internal/caller/admission/request.go
@@ -26,7 +26,8 @@
 	// ExpectedRunTime is the estimated running time at an endpoint. Zero or
 	// less means the mean running time of the route.
 	ExpectedRunTime time.Duration
-	// RunOnce marks a request that must not be run more than once.
+	// RunOnce marks a request that must not be run more than once. The
+	// Controller does not use it and passes it to the Placer.
 	RunOnce bool
 	// Tokens is the number of prompt tokens plus expected output tokens. The
 	// Controller does not use it and passes it to the Placer.
@@ -38,7 +39,8 @@
 // Controller.
 type Placer func(r *Request) bool
 
-// Decision is the result of an arrival: Start, Wait or Refused.
+// Decision is the result of Controller.Arrive or Controller.Requeue: a Start, Wait
+// or Refused.
 type Decision interface{ decision() }
 
 // Start means that the Placer has assigned the request to a slot.
--- a/internal/caller/admission/route.go
+++ b/internal/caller/admission/route.go
@@ -31,7 +31,7 @@
 	numItemHeaps
 )
 
-// item is one open request.
+// item is one open request, waiting or running.
 type item struct {
 	req     Request
 	account *account
@@ -50,7 +50,8 @@
 	// included, divided by the account's weight.
 	protected     bool
 	weightedDepth float64
-	index         [numItemHeaps]int
+	// index holds the position of the item in each heap that contains it.
+	index [numItemHeaps]int
 }
 
 // beforeInFlow orders the requests of one account on one route.
@@ -85,11 +86,13 @@
 type flow struct {
 	account *account
 	queue   itemHeap
-	work    float64
+	// work is the sum of the work of the waiting requests.
+	work float64
 	// virtualTime is the work started for the account divided by its weight.
 	virtualTime float64
 	seq         uint64
-	index       [numFlowHeaps]int
+	// index holds the position of the flow in each heap that contains it.
+	index [numFlowHeaps]int
 }
 
 func virtualTimeBefore(a, b *flow) bool {
@@ -107,7 +110,8 @@
 	return virtualTimeBefore(a, b)
 }
 
-// route is the queue of one model or service.
+// route is the queue of one model or service, which consists of the flows of its
+// accounts, with the measurements of that queue.
 type route struct {
 	flows         map[string]*flow
 	byVirtualTime flowHeap
@@ -132,8 +136,8 @@
 func newRoute() *route {
 	return &route{
 		flows:         make(map[string]*flow),
-		byVirtualTime: flowHeap{less: virtualTimeBefore, slot: heapVirtualTime},
-		byDensity:     flowHeap{less: densityBefore, slot: heapDensity},
+		byVirtualTime: flowHeap{less: virtualTimeBefore, heapIndex: heapVirtualTime},
+		byDensity:     flowHeap{less: densityBefore, heapIndex: heapDensity},
 	}
 }
 
@@ -141,7 +145,7 @@
 func (r *route) flowFor(a *account, seq uint64) *flow {
 	f := r.flows[a.limits.Account]
 	if f == nil {
-		f = &flow{account: a, seq: seq, queue: itemHeap{less: beforeInFlow, kind: heapFlow}}
+		f = &flow{account: a, seq: seq, queue: itemHeap{less: beforeInFlow, heapIndex: heapFlow}}
 		r.flows[a.limits.Account] = f
 	}
 	return f
@@ -259,9 +263,9 @@
 	}
 }
 
-// estimateWait estimates how long a new request in minBand waits: the lesser of
-// its wait by value density and its wait by fair share. Zero means that the
-// drain rate is unknown.
+// estimateWait estimates how long a new request of the flow f in a density band
+// waits: the lesser of its wait by value density and its wait by fair share. It
+// returns zero if the drain rate is unknown.
 //
 // By value density, the waiting work in the same and higher bands goes first,
 // and so does work that arrives in higher bands meanwhile. minResidualFraction
@@ -272,16 +276,16 @@
 // By fair share, the account's own waiting work goes first, except its next
 // request: that one is served when the account has the least virtual time,
 // however many other requests are waiting.
-func (r *route) estimateWait(f *flow, minBand int, fairFraction float64) time.Duration {
+func (r *route) estimateWait(f *flow, band int, fairFraction float64) time.Duration {
 	rate := r.drain.rate(r.running)
 	if rate <= 0 {
 		return 0
 	}
 	var workAhead float64
-	for _, w := range r.bandWork[minBand:] {
+	for _, w := range r.bandWork[band:] {
 		workAhead += w
 	}
-	workAhead /= math.Max(minResidualFraction, 1-r.arrivals.above(minBand)/rate)
+	workAhead /= math.Max(minResidualFraction, 1-r.arrivals.above(band)/rate)
 	weight := r.activeWeight
 	if f.queue.Len() == 0 {
 		weight += f.account.limits.Weight
--- a/internal/caller/admission/share.go
+++ b/internal/caller/admission/share.go
@@ -27,8 +27,9 @@
 // divisors, so that small concurrency limits divide without a remainder.
 const ShareUnits = 720720
 
-// DefaultDepositTTL is the default duration of a deposit. A shorter one frees
-// the shares held by a lost lender sooner; a longer one needs fewer reports.
+// DefaultDepositTTL is the default duration of a deposit. With a shorter one,
+// holders sooner regain what they have deposited with a lost lender; a longer
+// one needs fewer reports.
 const DefaultDepositTTL = 3 * time.Second
 
 const (
@@ -53,8 +54,8 @@
 	At int64
 }
 
-// ShareDemand is the part of a report about one account, in units of which
-// ShareUnits make up the limit.
+// ShareDemand is the part of a report about one account. Its amounts are in
+// units; the whole limit of an account is ShareUnits units.
 type ShareDemand struct {
 	Account string
 	// Deposit is the number of units that the holder promises not to use.
@@ -88,7 +89,9 @@
 
 // ShareReply is a lender's reply to a report.
 type ShareReply struct {
+	// Number is the number of the report that the reply answers.
 	Number uint64
+	// Stamp is the lender's clock reading at the time of the reply.
 	Stamp  ShareStamp
 	Grants []ShareGrant
 	// Wanted lists the accounts in demand, so that the next report can include
--- a/internal/caller/admission/share_test.go
+++ b/internal/caller/admission/share_test.go
@@ -230,7 +230,7 @@
 	}
 }
 
-func TestLenderMovesOnlyWithItsEntry(t *testing.T) {
+func TestLenderChangesOnlyWithItsEntry(t *testing.T) {
 	entries := []string{"a", "b", "c", "d", "e", "f", "g"}
 	for i := range 200 {
 		account := fmt.Sprint("account", i)
@@ -238,7 +238,7 @@
 		for j, removed := range entries {
 			remaining := append(append([]string(nil), entries[:j]...), entries[j+1:]...)
 			if got := SelectLender(account, remaining); removed != original && got != original {
-				t.Fatalf("%s: lender changed from %s to %s when %s left", account, original, got, removed)
+				t.Fatalf("%s: lender changed from %s to %s when entry %s was removed", account, original, got, removed)
 			}
 		}
 	}
