--- a/internal/platform/acquire.go
+++ b/internal/platform/acquire.go
@@ -9,64 +9,63 @@
 	"google.golang.org/grpc/connectivity"
 )
 
-// counts are the client's counters.
-type counts struct {
-	reads    metrics.Counter
-	writes   metrics.Counter
-	notSent  metrics.Counter
-	unknown  metrics.Counter
-	overRate metrics.Counter
+// counters are the client's metrics.
+type counters struct {
+	reads          metrics.Counter
+	writes         metrics.Counter
+	notSent        metrics.Counter
+	outcomeUnknown metrics.Counter
+	overBudget     metrics.Counter
 }
 
-func newCounts(r metrics.Registry) counts {
+func newCounters(r metrics.Registry) counters {
 	if r == nil {
 		r = metrics.DefaultRegistry
 	}
-	return counts{
-		reads:    metrics.GetOrRegisterCounter("platform.reads", r),
-		writes:   metrics.GetOrRegisterCounter("platform.writes", r),
-		notSent:  metrics.GetOrRegisterCounter("platform.notSent", r),
-		unknown:  metrics.GetOrRegisterCounter("platform.outcomeUnknown", r),
-		overRate: metrics.GetOrRegisterCounter("platform.overBudget", r),
+	return counters{
+		reads:          metrics.GetOrRegisterCounter("platform.reads", r),
+		writes:         metrics.GetOrRegisterCounter("platform.writes", r),
+		notSent:        metrics.GetOrRegisterCounter("platform.notSent", r),
+		outcomeUnknown: metrics.GetOrRegisterCounter("platform.outcomeUnknown", r),
+		overBudget:     metrics.GetOrRegisterCounter("platform.overBudget", r),
 	}
 }
 
-// limit gives a call its time limit.
-func (c *Client) limit(ctx context.Context) (context.Context, context.CancelFunc) {
+// withTimeout returns a context that ends after Client.Timeout at the latest.
+func (c *Client) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, c.Timeout)
 }
 
-// acquire waits for the call's turn in the budget and then for a connection
-// that is up. Its errors are NotSentErrors. It guards the truth of "not sent":
-// a call is handed to the transport only over a connection that was up, so an
-// error before that is known to have had no effect, and each later error of a
-// write counts as an unknown outcome.
+// acquire waits for the call budget and then for a connection in the state Ready.
+// Its errors are NotSentErrors. A call is passed to the transport only over such a
+// connection, so that a call without one is known to have had no effect. Each
+// later error of a write that is not a rejection counts as an unknown outcome.
 func (c *Client) acquire(ctx context.Context, b *Budget) (*grpc.ClientConn, error) {
 	c.init()
-	if err := c.turn(ctx, b); err != nil {
+	if err := c.waitForBudget(ctx, b); err != nil {
 		return nil, err
 	}
 	for {
-		conn, ok := c.ready()
+		conn, ok := c.readyConn()
 		if ok {
 			return conn, nil
 		}
-		if err := c.await(ctx); err != nil {
-			c.counts.notSent.Inc(1)
+		if err := c.waitForConn(ctx); err != nil {
+			c.counters.notSent.Inc(1)
 			return nil, err
 		}
 	}
 }
 
-func (c *Client) turn(ctx context.Context, b *Budget) error {
-	left := c.Timeout
+func (c *Client) waitForBudget(ctx context.Context, b *Budget) error {
+	remaining := c.Timeout
 	now := time.Now()
 	if d, ok := ctx.Deadline(); ok {
-		left = d.Sub(now)
+		remaining = d.Sub(now)
 	}
-	wait, ok := b.Take(now, left)
+	wait, ok := b.Take(now, remaining)
 	if !ok {
-		c.counts.overRate.Inc(1)
+		c.counters.overBudget.Inc(1)
 		return NotSent("this process's call budget is used up")
 	}
 	if wait == 0 {
@@ -82,39 +81,40 @@
 	}
 }
 
-// await returns when a connection may have come up, or with a NotSentError.
-func (c *Client) await(ctx context.Context) error {
+// waitForConn waits until the state of a connection has changed, so that one may be
+// ready. It returns a NotSentError when ctx ends first or the client doesn't run.
+func (c *Client) waitForConn(ctx context.Context) error {
 	select {
-	case <-c.start:
+	case <-c.started:
 	case <-ctx.Done():
 		return NotSent("the client has not been started")
 	}
-	conns := c.current()
+	conns := c.connections()
 	if len(conns) == 0 {
 		return NotSent("the client has been stopped")
 	}
-	if !changed(ctx, conns) {
+	if !waitForStateChange(ctx, conns) {
 		return NotSent("no connection to the service")
 	}
 	return nil
 }
 
-// changed returns true after a connection changed its state, and false when
-// ctx ended before.
-func changed(ctx context.Context, conns []*grpc.ClientConn) bool {
+// waitForStateChange waits until one of the connections is ready or has changed
+// its state. It returns false if ctx ends first.
+func waitForStateChange(ctx context.Context, conns []*grpc.ClientConn) bool {
 	ctx, cancel := context.WithCancel(ctx)
-	done := make(chan bool, len(conns))
+	results := make(chan bool, len(conns))
 	for _, conn := range conns {
 		s := conn.GetState()
 		if s == connectivity.Idle {
 			conn.Connect()
 		}
-		go func() { done <- s == connectivity.Ready || conn.WaitForStateChange(ctx, s) }()
+		go func() { results <- s == connectivity.Ready || conn.WaitForStateChange(ctx, s) }()
 	}
-	first := <-done
+	changed := <-results
 	cancel()
 	for range len(conns) - 1 {
-		<-done
+		<-results
 	}
-	return first
+	return changed
 }
--- a/internal/platform/budget.go
+++ b/internal/platform/budget.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// Budget is a token bucket over the calls of this process. Its load is a burst
-// of claims or watches after an outage; without it the fleet's processes would
-// together exceed the few hundred writes and two thousand reads a second that
-// the service takes, and the service would answer nobody. The bucket holds one
-// second's calls, so a burst after idle time goes out at once and the mean
-// stays at the limit.
+// Budget is a token bucket that limits the call rate of this process. After an
+// outage all processes send claims or open watches at once. Without the limit they
+// would together exceed the few hundred writes and two thousand reads a second that
+// the service handles, and no call would be answered. The bucket holds the calls of
+// one second, so that a burst after an idle period is sent at once while the mean
+// rate stays within the limit.
 type Budget struct {
-	// PerSecond is the bound on calls a second; zero means none.
+	// PerSecond is the limit in calls a second; zero means no limit.
 	PerSecond float64
 
-	mu     sync.Mutex
-	tokens float64
-	last   time.Time
+	mu         sync.Mutex
+	tokens     float64
+	lastRefill time.Time
 }
 
-// Take reserves one call at time now and returns how long it has to wait for
-// its turn, or false when the wait would exceed limit; then nothing is taken.
-func (b *Budget) Take(now time.Time, limit time.Duration) (time.Duration, bool) {
+// Take reserves one call at time now and returns how long the caller must wait
+// before making it. If the wait would exceed maxWait, Take reserves nothing and
+// returns false.
+func (b *Budget) Take(now time.Time, maxWait time.Duration) (time.Duration, bool) {
 	if b.PerSecond <= 0 {
 		return 0, true
 	}
@@ -33,7 +34,7 @@
 	if b.tokens < 1 {
 		wait = time.Duration((1 - b.tokens) / b.PerSecond * float64(time.Second))
 	}
-	if wait > limit {
+	if wait > maxWait {
 		return 0, false
 	}
 	b.tokens--
@@ -42,15 +43,15 @@
 
 func (b *Budget) refill(now time.Time) {
 	burst := max(b.PerSecond, 1)
-	if b.last.IsZero() {
+	if b.lastRefill.IsZero() {
 		b.tokens = burst
-		b.last = now
+		b.lastRefill = now
 		return
 	}
-	d := now.Sub(b.last)
-	if d <= 0 {
+	elapsed := now.Sub(b.lastRefill)
+	if elapsed <= 0 {
 		return
 	}
-	b.tokens = min(burst, b.tokens+d.Seconds()*b.PerSecond)
-	b.last = now
+	b.tokens = min(burst, b.tokens+elapsed.Seconds()*b.PerSecond)
+	b.lastRefill = now
 }
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -15,60 +15,63 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/platform/etcdpb"
 )
 
-// KV is what the packages below this one need of the key-value service.
+// KV is the part of the key-value service that the packages in subdirectories of
+// this one use.
 type KV interface {
 	// Get reads one key.
 	Get(ctx context.Context, key string) (RangeReply, error)
-	// List reads at most limit keys with the prefix, from key after on.
+	// List reads at most limit keys with the prefix, in order of keys. It starts
+	// behind the key after, or at the first one if after is empty.
 	List(ctx context.Context, prefix, after string, limit int) (RangeReply, error)
-	// Txn does a transaction. It counts as one write.
+	// Txn runs a transaction. It counts as one write.
 	Txn(ctx context.Context, t Txn) (TxnReply, error)
-	// Grant creates a lease that ends after ttl unless it is kept alive.
+	// Grant creates a lease that expires after ttl unless it is kept alive.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
 }
 
-// maxMessage bounds one message of the service: a value of MaxValue and room
-// for keys, or a page of smaller ones.
+// maxMessage is the largest message in bytes. It fits a value of MaxValue with
+// keys, or a page of smaller values.
 const maxMessage = 8 << 20
 
-// ErrNoAddrs says that a Client has no address.
+// ErrNoAddrs is returned by Client.Run if Client.Addrs is empty.
 var ErrNoAddrs = errors.New("platform: Client.Addrs is empty")
 
-// ErrTimeout says that a Client has no time limit.
+// ErrTimeout is returned by Client.Run if Client.Timeout is not positive.
 var ErrTimeout = errors.New("platform: Client.Timeout must be positive")
 
-// Client is a client of the key-value service. Set the fields, then Run it;
-// calls made before Run or after its end fail as not sent. A Client may be
-// used by several goroutines.
+// Client is a client for the key-value service. Set the exported fields before
+// calling Run. Calls made before Run has started or after it has returned fail
+// with a NotSentError. A Client is safe for concurrent use.
 type Client struct {
-	// Addrs are the service's addresses, IP:port.
+	// Addrs are the addresses of the service's members, as IP:port.
 	Addrs []string
-	// Timeout is the time limit of each call.
+	// Timeout bounds each call.
 	Timeout time.Duration
-	// WritesPerSecond and ReadsPerSecond bound the calls of this process; zero
-	// means no bound.
+	// WritesPerSecond and ReadsPerSecond limit the call rates of this process; zero
+	// means no limit.
 	WritesPerSecond float64
 	ReadsPerSecond  float64
-	// Credentials is the TLS set-up; nil means plain text.
+	// Credentials is the TLS configuration; nil means plaintext.
 	Credentials credentials.TransportCredentials
-	// Dial opens connections; nil means TCP. Tests cut connections here.
+	// Dial opens connections; nil means TCP. Tests use it to cut connections.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 	// Metrics receives the counters; nil means the default registry.
 	Metrics metrics.Registry
 
-	once   sync.Once
-	start  chan struct{}
-	writes Budget
-	reads  Budget
-	counts counts
+	once     sync.Once
+	started  chan struct{}
+	writes   Budget
+	reads    Budget
+	counters counters
 
-	mu     sync.Mutex // guards all below
-	conns  []*grpc.ClientConn
-	prefer int // index of the connection to use first
+	mu        sync.Mutex // guards the fields below
+	conns     []*grpc.ClientConn
+	preferred int // index in conns of the connection to try first
 }
 
-// Run connects and keeps the connections until ctx ends. It returns nil then,
-// and an error at once when the fields can't be used.
+// Run connects to the service and maintains the connections until ctx ends. It
+// then returns nil, unless closing a connection fails. It returns ErrNoAddrs,
+// ErrTimeout or a connection error at once if the fields are invalid.
 func (c *Client) Run(ctx context.Context) error {
 	if len(c.Addrs) == 0 {
 		return ErrNoAddrs
@@ -84,7 +87,7 @@
 	c.mu.Lock()
 	c.conns = conns
 	c.mu.Unlock()
-	close(c.start)
+	close(c.started)
 	<-ctx.Done()
 	c.mu.Lock()
 	c.conns = nil
@@ -94,31 +97,30 @@
 
 func (c *Client) init() {
 	c.once.Do(func() {
-		c.start = make(chan struct{})
+		c.started = make(chan struct{})
 		c.writes.PerSecond = c.WritesPerSecond
 		c.reads.PerSecond = c.ReadsPerSecond
-		c.counts = newCounts(c.Metrics)
+		c.counters = newCounters(c.Metrics)
 	})
 }
 
-// Reachable reports whether a connection to the service is up. It begins to
-// open those that were lost: a process that has no calls to make would else tell
-// operators after an outage that it can't reach the service, and learn nothing
-// better until its next call.
+// Reachable reports whether a connection to the service is ready. It also
+// reconnects the ones that were lost: otherwise a process that makes no calls would
+// report the service as unreachable after an outage until its next call.
 func (c *Client) Reachable() bool {
-	up := false
-	for _, conn := range c.current() {
+	reachable := false
+	for _, conn := range c.connections() {
 		switch conn.GetState() {
 		case connectivity.Ready:
-			up = true
+			reachable = true
 		case connectivity.Idle:
 			conn.Connect()
 		}
 	}
-	return up
+	return reachable
 }
 
-func (c *Client) current() []*grpc.ClientConn {
+func (c *Client) connections() []*grpc.ClientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.conns
@@ -129,12 +131,12 @@
 	return c.read(ctx, &etcdpb.RangeRequest{Key: []byte(key)})
 }
 
-// List implements KV. The first page has after "".
+// List implements KV.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) (RangeReply, error) {
 	return c.read(ctx, ListProto(prefix, after, limit))
 }
 
-// ListProto returns the read of List as it goes over the wire.
+// ListProto returns the request message of List.
 func ListProto(prefix, after string, limit int) *etcdpb.RangeRequest {
 	start := prefix
 	if after != "" {
@@ -143,7 +145,7 @@
 	return &etcdpb.RangeRequest{Key: []byte(start), RangeEnd: prefixEnd(prefix), Limit: int64(limit)}
 }
 
-// prefixEnd returns the first key after all keys with the prefix.
+// prefixEnd returns the first key that sorts after all keys with the prefix.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
@@ -155,49 +157,50 @@
 	return []byte{0}
 }
 
-func (c *Client) read(ctx context.Context, r *etcdpb.RangeRequest) (RangeReply, error) {
-	ctx, cancel := c.limit(ctx)
+func (c *Client) read(ctx context.Context, req *etcdpb.RangeRequest) (RangeReply, error) {
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	conn, err := c.acquire(ctx, &c.reads)
 	if err != nil {
 		return RangeReply{}, err
 	}
-	c.counts.reads.Inc(1)
-	p, err := etcdpb.NewKVClient(conn).Range(ctx, r)
+	c.counters.reads.Inc(1)
+	resp, err := etcdpb.NewKVClient(conn).Range(ctx, req)
 	if err != nil {
-		c.avoid(conn)
+		c.preferNextAfter(conn)
 		return RangeReply{}, ReadFailed(err)
 	}
-	return RangeReplyFrom(p), nil
+	return RangeReplyFrom(resp), nil
 }
 
 // Txn implements KV.
 func (c *Client) Txn(ctx context.Context, t Txn) (TxnReply, error) {
-	ctx, cancel := c.limit(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	conn, err := c.acquire(ctx, &c.writes)
 	if err != nil {
 		return TxnReply{}, err
 	}
-	c.counts.writes.Inc(1)
-	p, err := etcdpb.NewKVClient(conn).Txn(ctx, t.Proto())
+	c.counters.writes.Inc(1)
+	resp, err := etcdpb.NewKVClient(conn).Txn(ctx, t.Proto())
 	if err != nil {
-		return TxnReply{}, c.writeFailed(conn, err)
+		return TxnReply{}, c.handleWriteError(conn, err)
 	}
-	return TxnReplyFrom(p), nil
+	return TxnReplyFrom(resp), nil
 }
 
-// PutIf writes the value when the conditions hold and reports whether it did.
+// PutIf writes a value if all conditions hold, and reports whether it was
+// written.
 func (c *Client) PutIf(ctx context.Context, p Put, cs ...Compare) (bool, error) {
 	r, err := c.Txn(ctx, Txn{If: cs, Then: []Op{p}})
 	return r.Succeeded(), err
 }
 
-func (c *Client) writeFailed(conn *grpc.ClientConn, err error) error {
+func (c *Client) handleWriteError(conn *grpc.ClientConn, err error) error {
 	err = WriteError(err)
 	if IsUnknown(err) {
-		c.counts.unknown.Inc(1)
-		c.avoid(conn)
+		c.counters.outcomeUnknown.Inc(1)
+		c.preferNextAfter(conn)
 	}
 	return err
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -17,11 +17,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// long is a time limit that no test reaches unless it fails.
-const long = 20 * time.Second
+// testTimeout is a time limit that only a failing test reaches.
+const testTimeout = 20 * time.Second
 
-// run runs f in the background until the test ends.
-func run(t *testing.T, f func(context.Context) error) {
+// runInBackground runs f until the test ends and fails the test if f returns an error.
+func runInBackground(t *testing.T, f func(context.Context) error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -34,11 +34,11 @@
 	})
 }
 
-func start(t *testing.T, s *kv.Server, timeout time.Duration) *platform.Client {
+func startClient(t *testing.T, s *kv.Server, timeout time.Duration) *platform.Client {
 	t.Helper()
-	run(t, s.Run)
+	runInBackground(t, s.Run)
 	c := &platform.Client{Addrs: []string{s.Addr()}, Timeout: timeout, Metrics: metrics.NewRegistry()}
-	run(t, c.Run)
+	runInBackground(t, c.Run)
 	return c
 }
 
@@ -46,9 +46,9 @@
 	return platform.Txn{Then: []platform.Op{platform.Put{Key: key, Value: []byte(value)}}}
 }
 
-func mustTxn(t *testing.T, c *platform.Client, x platform.Txn) platform.TxnReply {
+func mustTxn(t *testing.T, c *platform.Client, txn platform.Txn) platform.TxnReply {
 	t.Helper()
-	r, err := c.Txn(t.Context(), x)
+	r, err := c.Txn(t.Context(), txn)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 }
 
 func TestCompareAndSwap(t *testing.T) {
-	c := start(t, &kv.Server{}, long)
+	c := startClient(t, &kv.Server{}, testTimeout)
 	p := platform.Put{Key: "a", Value: []byte("1")}
 	for _, want := range []bool{true, false} {
 		if ok, err := c.PutIf(t.Context(), p, platform.Absent{Key: "a"}); err != nil || ok != want {
@@ -83,15 +83,15 @@
 		},
 	}})
 	first, second := r.Ops()[0].Txn(), r.Ops()[1].Txn()
-	kv, _ := first.Ops()[0].Range().First()
-	if first.Succeeded() || !second.Succeeded() || string(kv.Value()) != "1" || second.Revision() <= kv.Revision() {
-		t.Errorf("nested transactions answered %+v", r)
+	read, _ := first.Ops()[0].Range().First()
+	if first.Succeeded() || !second.Succeeded() || string(read.Value()) != "1" || second.Revision() <= read.Revision() {
+		t.Errorf("nested transactions returned %+v", r)
 	}
 	wantValue(t, c, "b", "2")
 }
 
 func TestListPages(t *testing.T) {
-	c := start(t, &kv.Server{}, long)
+	c := startClient(t, &kv.Server{}, testTimeout)
 	for i := range 5 {
 		mustTxn(t, c, put(fmt.Sprint("p/", i), "v"))
 	}
@@ -113,12 +113,12 @@
 	}
 }
 
-// A write's answer is lost and the caller is told "not run": it sends its order
-// again and the order runs twice. So a lost answer must be an error of its own
-// that no result code turns into "not run".
+// Guards against an order that runs twice: the response to a write is lost, the
+// client receives "not run" and sends the order again. A lost response must have an
+// error of its own that no result code turns into "not run".
 func TestLostAnswerIsUnknown(t *testing.T) {
 	s := &kv.Server{}
-	c := start(t, s, long)
+	c := startClient(t, s, testTimeout)
 	mustTxn(t, c, put("a", "1"))
 	s.LoseAnswers(1)
 	_, err := c.Txn(t.Context(), put("a", "2"))
@@ -133,30 +133,30 @@
 	}
 }
 
-// The service is slow and the call ends while the write is on its way; it may
-// take effect after the caller has been answered.
+// The caller cancels a write while the slow service is processing it. The write may
+// still be applied after the caller got its error, so the outcome is unknown.
 func TestLateWriteIsUnknown(t *testing.T) {
 	s := &kv.Server{}
-	c := start(t, s, long)
+	c := startClient(t, s, testTimeout)
 	mustTxn(t, c, put("a", "1"))
 	before := s.Counts().Writes()
-	s.SetSlow(2 * long)
+	s.SetSlow(2 * testTimeout)
 	ctx, cancel := context.WithCancel(t.Context())
-	answer := make(chan error, 1)
+	errs := make(chan error, 1)
 	go func() {
 		_, err := c.Txn(ctx, put("a", "2"))
-		answer <- err
+		errs <- err
 	}()
 	for s.Counts().Writes() == before {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	wantUnknown(t, <-answer)
+	wantUnknown(t, <-errs)
 }
 
-func TestRefusalsAreNotMade(t *testing.T) {
+func TestRefusedWritesHaveNoEffect(t *testing.T) {
 	s := &kv.Server{WritesPerSecond: 3, Now: func() time.Time { return time.Unix(1, 0) }}
-	c := start(t, s, long)
+	c := startClient(t, s, testTimeout)
 	_, err := c.Txn(t.Context(), platform.Txn{Then: []platform.Op{platform.Put{Key: "a", Lease: 99}}})
 	if !platform.IsLeaseMissing(err) {
 		t.Errorf("error %v, want a missing lease", err)
@@ -174,20 +174,20 @@
 	t.Helper()
 	var refused *platform.RefusedError
 	if !errors.As(err, &refused) || result.CodeOf(err) != result.PlatformDown {
-		t.Errorf("error %v, want a refusal", err)
+		t.Errorf("error %v, want a RefusedError", err)
 	}
 }
 
-// The service is down before a call is made. The call must be known as not
-// sent, and calls must work again when the service is back.
+// A call made while the service is down must be reported as not sent, and calls
+// must succeed again once the service is back.
 func TestDownIsNotSent(t *testing.T) {
 	s := &kv.Server{}
 	s.SetDown(true)
-	c := start(t, s, 100*time.Millisecond)
+	c := startClient(t, s, 100*time.Millisecond)
 	_, err := c.Txn(t.Context(), put("a", "1"))
 	var notSent *platform.NotSentError
 	if !errors.As(err, &notSent) || result.CodeOf(err) != result.PlatformDown {
-		t.Errorf("error %v, want not sent", err)
+		t.Errorf("error %v, want a NotSentError", err)
 	}
 	s.SetDown(false)
 	for range 200 {
@@ -200,12 +200,12 @@
 	}
 }
 
-// The service was down while a process had no calls to make. Operators must see
-// that it reaches the service again, though it still has none.
+// Guards against a process that makes no calls and reports the service as
+// unreachable long after an outage has ended.
 func TestReachableAgainWithoutCalls(t *testing.T) {
 	s := &kv.Server{}
-	c := start(t, s, time.Second)
-	wait := func(want bool) {
+	c := startClient(t, s, time.Second)
+	waitReachable := func(want bool) {
 		t.Helper()
 		for range 2000 {
 			if c.Reachable() == want {
@@ -213,37 +213,37 @@
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		t.Fatalf("reachable is not %v", want)
+		t.Fatalf("Reachable did not become %v", want)
 	}
-	wait(true)
+	waitReachable(true)
 	s.SetDown(true)
-	wait(false)
+	waitReachable(false)
 	s.SetDown(false)
-	wait(true)
+	waitReachable(true)
 }
 
-// One member of the service accepts connections and answers nothing. Calls must
-// move to the next one instead of timing out one after the other.
-func TestSilentMemberIsAvoided(t *testing.T) {
-	silent, well := &kv.Server{}, &kv.Server{}
-	run(t, silent.Run)
-	run(t, well.Run)
-	silent.SetSlow(2 * long)
-	addrs := []string{silent.Addr(), well.Addr()}
+// One member of the service accepts connections but never responds. Calls must
+// move to the next member instead of timing out one after the other.
+func TestUnresponsiveMemberIsAvoided(t *testing.T) {
+	unresponsive, healthy := &kv.Server{}, &kv.Server{}
+	runInBackground(t, unresponsive.Run)
+	runInBackground(t, healthy.Run)
+	unresponsive.SetSlow(2 * testTimeout)
+	addrs := []string{unresponsive.Addr(), healthy.Addr()}
 	c := &platform.Client{Addrs: addrs, Timeout: 200 * time.Millisecond, Metrics: metrics.NewRegistry()}
-	run(t, c.Run)
+	runInBackground(t, c.Run)
 	for range 100 {
 		if _, err := c.Get(t.Context(), "a"); err == nil {
 			return
 		}
 	}
-	t.Error("no call was answered")
+	t.Error("no call succeeded")
 }
 
-func TestFieldsAreChecked(t *testing.T) {
+func TestRunValidatesFields(t *testing.T) {
 	for _, c := range []*platform.Client{{Timeout: 1}, {Addrs: []string{"127.0.0.1:1"}}} {
 		if err := c.Run(t.Context()); err == nil {
-			t.Error("a client without its fields runs")
+			t.Error("Run accepted a client without its required fields")
 		}
 	}
 }
--- a/internal/platform/dial.go
+++ b/internal/platform/dial.go
@@ -12,22 +12,23 @@
 	"google.golang.org/grpc/keepalive"
 )
 
-// Reconnecting waits at least 50 ms, so that a service that is down is not
-// flooded with connections, and at most a second, so that one that is up again
-// is found within the seconds that an operator's change may take.
+// minReconnectDelay and maxReconnectDelay bound the backoff between connection
+// attempts. The minimum keeps processes from flooding an unavailable service with
+// connections. The maximum bounds how late a recovered service is noticed, since an
+// operator's change must take effect within seconds.
 const (
-	minReconnect = 50 * time.Millisecond
-	maxReconnect = time.Second
+	minReconnectDelay = 50 * time.Millisecond
+	maxReconnectDelay = time.Second
 )
 
-// A connection that carries a watch is tried every pingPeriod, which is the
-// least that the service takes, and given up when it does not answer within
-// pingTimeout. Without it a partition that drops packets leaves a watch open
-// that tells nothing, and calls are sent into it until each times out with an
-// unknown outcome.
+// A connection that carries a watch is probed every keepaliveInterval, the shortest
+// interval that the service allows, and closed if no response arrives within
+// keepaliveTimeout. Otherwise, if a network partition drops packets, a watch stays
+// open without receiving anything, and each call sent over the connection times out
+// with an unknown outcome.
 const (
-	pingPeriod  = 10 * time.Second
-	pingTimeout = 3 * time.Second
+	keepaliveInterval = 10 * time.Second
+	keepaliveTimeout  = 3 * time.Second
 )
 
 func (c *Client) dial() ([]*grpc.ClientConn, error) {
@@ -35,23 +36,23 @@
 	if creds == nil {
 		creds = insecure.NewCredentials()
 	}
-	bo := backoff.Config{BaseDelay: minReconnect, Multiplier: 2, Jitter: 0.2, MaxDelay: maxReconnect}
+	reconnect := backoff.Config{BaseDelay: minReconnectDelay, Multiplier: 2, Jitter: 0.2, MaxDelay: maxReconnectDelay}
 	opts := []grpc.DialOption{
 		grpc.WithTransportCredentials(creds),
-		grpc.WithConnectParams(grpc.ConnectParams{Backoff: bo, MinConnectTimeout: maxReconnect}),
+		grpc.WithConnectParams(grpc.ConnectParams{Backoff: reconnect, MinConnectTimeout: maxReconnectDelay}),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage), grpc.MaxCallSendMsgSize(maxMessage)),
 		grpc.WithDisableRetry(),
 		grpc.WithIdleTimeout(0),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingPeriod, Timeout: pingTimeout}),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 	}
 	if c.Dial != nil {
 		opts = append(opts, grpc.WithContextDialer(c.Dial))
 	}
 	var conns []*grpc.ClientConn
-	for _, a := range c.Addrs {
-		conn, err := grpc.NewClient("passthrough:///"+a, opts...)
+	for _, addr := range c.Addrs {
+		conn, err := grpc.NewClient("passthrough:///"+addr, opts...)
 		if err != nil {
-			return nil, errors.Join(eris.Wrap(err, "platform address "+a), closeAll(conns))
+			return nil, errors.Join(eris.Wrap(err, "platform address "+addr), closeAll(conns))
 		}
 		conn.Connect()
 		conns = append(conns, conn)
@@ -67,12 +68,13 @@
 	return errors.Join(errs...)
 }
 
-// ready returns the first connection that is up, from the preferred one on.
-func (c *Client) ready() (*grpc.ClientConn, bool) {
+// readyConn returns the first ready connection, starting at the preferred one, and
+// false if there is none.
+func (c *Client) readyConn() (*grpc.ClientConn, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range c.conns {
-		conn := c.conns[(c.prefer+i)%len(c.conns)]
+		conn := c.conns[(c.preferred+i)%len(c.conns)]
 		if conn.GetState() == connectivity.Ready {
 			return conn, true
 		}
@@ -80,13 +82,13 @@
 	return nil, false
 }
 
-// avoid prefers the next address after a call over conn got no answer. Without
-// it a member of the service that accepts connections and answers nothing would
-// hold up all calls while its fellows are well.
-func (c *Client) avoid(conn *grpc.ClientConn) {
+// preferNextAfter makes the next address the preferred one after a call over conn
+// got no response. Otherwise a member of the service that accepts connections but
+// never responds would block all calls while other members are healthy.
+func (c *Client) preferNextAfter(conn *grpc.ClientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.conns) > 0 && c.conns[c.prefer] == conn {
-		c.prefer = (c.prefer + 1) % len(c.conns)
+	if len(c.conns) > 0 && c.conns[c.preferred] == conn {
+		c.preferred = (c.preferred + 1) % len(c.conns)
 	}
 }
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -1,22 +1,23 @@
-// Package platform is the client of the platform's key-value service: reads,
-// compare-and-swap transactions, leases and watches over the etcd v3 protocol.
+// Package platform is a client for the platform's key-value service. It provides
+// reads, compare-and-swap transactions, leases and watches over the etcd v3
+// protocol.
 //
-// Keys are strings and values are bytes of at most MaxValue. A revision counts
-// the service's writes; it falls only when the service was restored from an
-// older copy.
+// Keys are strings and values are at most MaxValue bytes long. The service's
+// revision increases with each write. It decreases only when the service has been
+// restored from an older backup.
 //
-// Each call has one time limit, Client.Timeout, that covers the wait for the
-// process's own call budget, the wait for a connection and the answer. The
-// client never repeats a write by itself. Its errors separate three cases that
-// must not be confused:
+// Client.Timeout bounds each call as a whole, including the wait for the call
+// budget of the process and the wait for a connection. The client never retries a
+// write. Its errors distinguish three cases:
 //
-//   - *NotSentError: the call never left this process (no connection, no
-//     budget). It wraps the result code PlatformDown and is a true "not made".
-//   - *RefusedError: the service answered that it did not make the write.
-//   - *UnknownOutcomeError: the write left and no answer came, so it may or may
-//     not have taken effect, now or later. Only a read, or a write that fences
-//     the first one, can settle it.
+//   - *NotSentError: the call was not sent, because there was no connection or the
+//     call budget was exhausted. It wraps the result code PlatformDown, and the
+//     write certainly has no effect.
+//   - *RefusedError: the service rejected the call without applying it.
+//   - *UnknownOutcomeError: the write was sent and no response arrived. It may or
+//     may not have been applied, and may still be applied later. Only a read, or a
+//     write that fences off the first one, can resolve the outcome.
 //
-// A Watch tells explicitly when changes may have been missed (Gap); its reader
-// has to read the keys again.
+// A watch reports explicitly, with a Gap, that changes may have been missed. Its
+// receiver must then read the keys again.
 package platform
--- a/internal/platform/errors.go
+++ b/internal/platform/errors.go
@@ -10,13 +10,13 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// NotSentError says that a call never left this process. It wraps a
-// result.PlatformDown error, which is a true "not run".
+// NotSentError reports that a call was not sent. It wraps a result.PlatformDown
+// error: the call certainly had no effect.
 type NotSentError struct {
 	reason string
 }
 
-// NotSent returns a NotSentError. The reason says what was missing.
+// NotSent returns a NotSentError with the reason why the call was not sent.
 func NotSent(reason string) *NotSentError { return &NotSentError{reason: reason} }
 
 // Error implements error.
@@ -25,40 +25,40 @@
 // Unwrap returns the result code PlatformDown.
 func (e *NotSentError) Unwrap() error { return result.New(result.PlatformDown, e.reason) }
 
-// RefusedError says that the service answered and did not do what was asked.
+// RefusedError reports that the service rejected a call without applying it.
 type RefusedError struct {
 	code codes.Code
-	text string
+	msg  string
 }
 
 // Error implements error.
-func (e *RefusedError) Error() string { return "the platform refused: " + e.text }
+func (e *RefusedError) Error() string { return "the platform refused: " + e.msg }
 
-// Unwrap returns the result code PlatformDown, because a refused write was not
-// made.
-func (e *RefusedError) Unwrap() error { return result.New(result.PlatformDown, e.text) }
+// Unwrap returns an error with the result code PlatformDown, because a rejected
+// write was not applied.
+func (e *RefusedError) Unwrap() error { return result.New(result.PlatformDown, e.msg) }
 
-// Refused returns a RefusedError for a call that the service answered without
-// doing it. A missing lease has a code of its own, see IsLeaseMissing.
+// Refused returns a RefusedError with the service's message. leaseMissing states
+// that the lease of the call does not exist, see IsLeaseMissing.
 func Refused(text string, leaseMissing bool) *RefusedError {
 	if leaseMissing {
-		return &RefusedError{code: codes.NotFound, text: text}
+		return &RefusedError{code: codes.NotFound, msg: text}
 	}
-	return &RefusedError{code: codes.FailedPrecondition, text: text}
+	return &RefusedError{code: codes.FailedPrecondition, msg: text}
 }
 
-// UnknownOutcome returns an UnknownOutcomeError.
+// UnknownOutcome returns an UnknownOutcomeError with its cause.
 func UnknownOutcome(cause string) *UnknownOutcomeError { return &UnknownOutcomeError{cause: cause} }
 
-// ReadFailure returns a ReadError.
+// ReadFailure returns a ReadError with its cause.
 func ReadFailure(cause string) *ReadError { return &ReadError{cause: cause} }
 
-// LeaseMissing reports whether the lease that the call named does not exist.
+// LeaseMissing reports whether the lease named in the call does not exist.
 func (e *RefusedError) LeaseMissing() bool { return e.code == codes.NotFound }
 
-// UnknownOutcomeError says that a write was sent and that no answer came. The
-// write may have taken effect or may still do so. It carries no result code
-// with the effect NotRun and unwraps to none.
+// UnknownOutcomeError reports that a write was sent and no response arrived. The
+// write may have been applied or may still be. The error wraps no result code,
+// since a code with the effect NotRun would be wrong.
 type UnknownOutcomeError struct {
 	cause string
 }
@@ -68,7 +68,7 @@
 	return "the outcome of the write is not known: " + e.cause
 }
 
-// ReadError says that a read failed; a read has no effect.
+// ReadError reports that a read failed. A read has no effect.
 type ReadError struct {
 	cause string
 }
@@ -79,39 +79,42 @@
 // Unwrap returns the result code PlatformDown.
 func (e *ReadError) Unwrap() error { return result.New(result.PlatformDown, e.cause) }
 
-// IsUnknown reports whether err leaves the outcome of a write open.
+// IsUnknown reports whether err leaves the outcome of a write unknown.
 func IsUnknown(err error) bool {
 	var e *UnknownOutcomeError
 	return errors.As(err, &e)
 }
 
-// IsLeaseMissing reports whether the service refused a call because its lease
+// IsLeaseMissing reports whether the service rejected a call because its lease
 // does not exist.
 func IsLeaseMissing(err error) bool {
 	var e *RefusedError
 	return errors.As(err, &e) && e.LeaseMissing()
 }
 
-// serverPrefix begins each message that the service itself writes.
+// serverPrefix is the prefix of each error message that comes from the service
+// itself rather than from the transport.
 const serverPrefix = "etcdserver: "
 
-// WriteError classifies the error of a write that was handed to the transport.
+// WriteError classifies the error of a write that was passed to the transport as a
+// RefusedError or an UnknownOutcomeError.
 //
-// It guards against taking a lost answer for a refusal: a caller who hears
-// "not run" sends its print order again and it is printed twice. Only answers
-// that the service writes before it touches its state count as refusals; any
-// other status can also come from the transport after the write took effect
-// (ResourceExhausted from an answer that is too large, Unavailable from a
-// connection that broke, Cancelled and DeadlineExceeded from this side).
+// A lost response must not count as a rejection: a client that receives the
+// outcome "not run" sends its print order again, and the order would be printed
+// twice. Hence only errors that the service returns before it changes its state
+// count as rejections. Any other status may also come from the transport after the
+// write was applied: ResourceExhausted from a response that is too large,
+// Unavailable from a broken connection, Canceled and DeadlineExceeded from this
+// process.
 func WriteError(err error) error {
 	s := status.Convert(err)
-	if refuses(s) {
-		return &RefusedError{code: s.Code(), text: s.Message()}
+	if isRejection(s) {
+		return &RefusedError{code: s.Code(), msg: s.Message()}
 	}
 	return &UnknownOutcomeError{cause: s.Message()}
 }
 
-func refuses(s *status.Status) bool {
+func isRejection(s *status.Status) bool {
 	if !strings.HasPrefix(s.Message(), serverPrefix) {
 		return false
 	}
@@ -125,7 +128,7 @@
 	}
 }
 
-// ReadFailed classifies the error of a read.
+// ReadFailed returns the error of a read as a ReadError.
 func ReadFailed(err error) error {
 	return &ReadError{cause: status.Convert(err).Message()}
 }
--- a/internal/platform/reply.go
+++ b/internal/platform/reply.go
@@ -2,7 +2,7 @@
 
 import "github.com/hyssoprelay/hyssoprelay/internal/platform/etcdpb"
 
-// KeyValue is a stored value.
+// KeyValue is a key with its value.
 type KeyValue struct {
 	key      string
 	value    []byte
@@ -10,19 +10,18 @@
 	lease    LeaseID
 }
 
-// Key returns the key.
 func (kv KeyValue) Key() string { return kv.key }
 
-// Value returns the value, which must not be changed.
+// Value returns the value. The caller must not modify it.
 func (kv KeyValue) Value() []byte { return kv.value }
 
 // Revision returns the revision of the last write to the key.
 func (kv KeyValue) Revision() int64 { return kv.revision }
 
-// Lease returns the lease that the key is attached to, or zero.
+// Lease returns the lease that the key is attached to, or zero if there is none.
 func (kv KeyValue) Lease() LeaseID { return kv.lease }
 
-// RangeReply is the answer to a read.
+// RangeReply is the response to a read.
 type RangeReply struct {
 	revision int64
 	kvs      []KeyValue
@@ -32,13 +31,13 @@
 // Revision returns the service's revision at the time of the read.
 func (r RangeReply) Revision() int64 { return r.revision }
 
-// KVs returns the values in the order of their keys.
+// KVs returns the key-value pairs in order of keys.
 func (r RangeReply) KVs() []KeyValue { return r.kvs }
 
-// More reports whether the limit cut the answer.
+// More reports whether the limit truncated the response.
 func (r RangeReply) More() bool { return r.more }
 
-// First returns the first value and whether there is one.
+// First returns the first key-value pair, and false if there is none.
 func (r RangeReply) First() (KeyValue, bool) {
 	if len(r.kvs) == 0 {
 		return KeyValue{}, false
@@ -46,20 +45,21 @@
 	return r.kvs[0], true
 }
 
-// OpReply is the answer to one operation of a transaction. At most one of its
-// accessors returns more than a zero value, after the kind of the operation.
+// OpReply is the response to one operation of a transaction. Only the accessor for
+// the kind of the operation returns more than a zero value; for a Put or Delete
+// none does.
 type OpReply struct {
-	get RangeReply
-	txn TxnReply
+	rangeReply RangeReply
+	txnReply   TxnReply
 }
 
-// Range returns the answer to a Get.
-func (r OpReply) Range() RangeReply { return r.get }
+// Range returns the response to a Get.
+func (r OpReply) Range() RangeReply { return r.rangeReply }
 
-// Txn returns the answer to a nested transaction.
-func (r OpReply) Txn() TxnReply { return r.txn }
+// Txn returns the response to a nested transaction.
+func (r OpReply) Txn() TxnReply { return r.txnReply }
 
-// TxnReply is the answer to a transaction.
+// TxnReply is the response to a transaction.
 type TxnReply struct {
 	revision  int64
 	succeeded bool
@@ -69,13 +69,14 @@
 // Revision returns the service's revision after the transaction.
 func (r TxnReply) Revision() int64 { return r.revision }
 
-// Succeeded reports whether the conditions held, so that Then was done.
+// Succeeded reports whether the conditions held and Then was executed instead of
+// Else.
 func (r TxnReply) Succeeded() bool { return r.succeeded }
 
-// Ops returns the answers to the operations that were done, in their order.
+// Ops returns the responses to the executed operations, in order.
 func (r TxnReply) Ops() []OpReply { return r.ops }
 
-// TxnReplyFrom reads a transaction's answer from the wire.
+// TxnReplyFrom converts a TxnResponse message.
 func TxnReplyFrom(p *etcdpb.TxnResponse) TxnReply {
 	r := TxnReply{
 		revision:  p.GetHeader().GetRevision(),
@@ -88,16 +89,17 @@
 	return r
 }
 
-// opReplyFrom gives nested answers the outer revision when they carry none.
+// opReplyFrom converts a ResponseOp message. A nested transaction whose response
+// has no revision gets that of the outer one.
 func opReplyFrom(p *etcdpb.ResponseOp, revision int64) OpReply {
-	r := OpReply{get: RangeReplyFrom(p.GetResponseRange()), txn: TxnReplyFrom(p.GetResponseTxn())}
-	if r.txn.revision == 0 {
-		r.txn.revision = revision
+	r := OpReply{rangeReply: RangeReplyFrom(p.GetResponseRange()), txnReply: TxnReplyFrom(p.GetResponseTxn())}
+	if r.txnReply.revision == 0 {
+		r.txnReply.revision = revision
 	}
 	return r
 }
 
-// RangeReplyFrom reads a read's answer from the wire.
+// RangeReplyFrom converts a RangeResponse message.
 func RangeReplyFrom(p *etcdpb.RangeResponse) RangeReply {
 	r := RangeReply{revision: p.GetHeader().GetRevision(), more: p.GetMore()}
 	for _, kv := range p.GetKvs() {
@@ -115,19 +117,18 @@
 	}
 }
 
-// NewKeyValue returns an item as a client of another protocol has read it.
+// NewKeyValue returns a KeyValue for a client of another protocol.
 func NewKeyValue(key string, value []byte, revision int64, lease LeaseID) KeyValue {
 	return KeyValue{key: key, value: value, revision: revision, lease: lease}
 }
 
-// NewRangeReply returns a read's answer as a client of another protocol has
-// read it.
+// NewRangeReply returns a RangeReply for a client of another protocol.
 func NewRangeReply(revision int64, kvs []KeyValue, more bool) RangeReply {
 	return RangeReply{revision: revision, kvs: kvs, more: more}
 }
 
-// NewTxnReply returns a transaction's answer as a client of another protocol has
-// read it.
+// NewTxnReply returns a TxnReply without responses to operations for a client of
+// another protocol.
 func NewTxnReply(revision int64, succeeded bool) TxnReply {
 	return TxnReply{revision: revision, succeeded: succeeded}
 }
--- a/internal/platform/txn.go
+++ b/internal/platform/txn.go
@@ -2,14 +2,14 @@
 
 import "github.com/hyssoprelay/hyssoprelay/internal/platform/etcdpb"
 
-// MaxValue is the largest value, in bytes, that the service holds.
+// MaxValue is the largest value that the service stores, in bytes.
 const MaxValue = 1 << 20
 
-// MaxTxnOps bounds the operations of a transaction as the service counts them:
-// the outer operations plus those of the largest nested transaction.
+// MaxTxnOps is the largest number of operations in a transaction. The service
+// counts the outer operations plus those of the largest nested transaction.
 const MaxTxnOps = 128
 
-// LeaseID names a lease; zero is no lease.
+// LeaseID identifies a lease; zero means no lease.
 type LeaseID int64
 
 // Compare is a condition of a transaction: Absent or RevisionIs.
@@ -18,7 +18,7 @@
 // Absent holds when the key does not exist.
 type Absent struct{ Key string }
 
-// RevisionIs holds when the key was last written at the revision.
+// RevisionIs holds when the last write to the key was made at the revision.
 type RevisionIs struct {
 	Key      string
 	Revision int64
@@ -30,7 +30,7 @@
 // Op is an operation of a transaction: Put, Get, Delete or Txn.
 type Op interface{ isOp() }
 
-// Put writes a value, attached to a lease unless the lease is zero.
+// Put writes a value and attaches it to a lease unless Lease is zero.
 type Put struct {
 	Key   string
 	Value []byte
@@ -40,11 +40,12 @@
 // Get reads one key.
 type Get struct{ Key string }
 
-// Delete removes one key.
+// Delete deletes one key.
 type Delete struct{ Key string }
 
-// Txn does Then when all conditions hold and Else otherwise, in one step. No
-// key may be written twice in one transaction, nested ones included.
+// Txn is a transaction: it atomically executes Then if all conditions of If hold,
+// and Else otherwise. A transaction must not write a key twice, including its
+// nested transactions.
 type Txn struct {
 	If   []Compare
 	Then []Op
@@ -56,7 +57,7 @@
 func (Delete) isOp() {}
 func (Txn) isOp()    {}
 
-// Proto returns the transaction as it goes over the wire.
+// Proto returns the transaction as a request message.
 func (t Txn) Proto() *etcdpb.TxnRequest {
 	return &etcdpb.TxnRequest{
 		Compare: compareProtos(t.If),
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -3,37 +3,39 @@
 import (
 	"context"
 
-	"github.com/hyssoprelay/hyssoprelay/internal/pause"
-
 	"google.golang.org/grpc"
 
+	"github.com/hyssoprelay/hyssoprelay/internal/pause"
 	"github.com/hyssoprelay/hyssoprelay/internal/platform/etcdpb"
 )
 
-// GapReason says why a watch may have missed changes.
+// GapReason is the reason why a watch may have missed changes.
 type GapReason int
 
 const (
-	// Opened means that the watch began without a revision to begin from.
+	// Opened means that the watch was opened without a start revision.
 	Opened GapReason = iota
 	// Reconnected means that the stream broke and a new one was opened.
 	Reconnected
-	// Compacted means that the service no longer keeps the changes asked for.
+	// Compacted means that the service canceled the watch, as it does when it no
+	// longer keeps the requested changes.
 	Compacted
 )
 
-// WatchEvent is what a watch tells: Changed or Gap.
+// WatchEvent is an event of a watch: Changed or Gap.
 type WatchEvent interface{ isWatchEvent() }
 
-// Changed holds new values of keys and the keys that were deleted.
+// Changed holds the keys that were written, with their values, and the keys that
+// were deleted.
 type Changed struct {
 	KVs      []KeyValue
 	Deleted  []string
 	Revision int64
 }
 
-// Order adds what became of one key, newest last: a key that was deleted and
-// written again within one message ends up as written, and the other way round.
+// Order adds the latest write or deletion of a key, replacing an earlier one of the
+// same key: a key that was deleted and written again within one message counts as
+// written, and the reverse.
 func (c *Changed) Order(item KeyValue, deleted bool) {
 	for i := range c.KVs {
 		if c.KVs[i].key == item.key {
@@ -54,96 +56,98 @@
 	c.KVs = append(c.KVs, item)
 }
 
-// Gap says that changes may have been missed: the reader has to read the keys
-// again. It is sent only after the new stream is open, so a change after that
-// read is told by the stream.
+// Gap reports that changes may have been missed, so that the receiver must read the
+// keys again. It is sent only after the new stream is open: the stream reports every
+// change that is made after that read.
 type Gap struct{ Reason GapReason }
 
 func (Changed) isWatchEvent() {}
 func (Gap) isWatchEvent()     {}
 
-// Watch sends what happens to the keys with the prefix from the revision on
-// (zero: from now on) to events, until ctx ends. It opens a broken stream
-// again and tells a Gap then, because a service that came back from an older
-// copy does not hold the changes in between.
+// Watch sends the changes of the keys with the prefix to events until ctx ends,
+// starting at the revision from; zero means the current one. When the stream breaks,
+// Watch opens a new one without a start revision and sends a Gap: a service that was
+// restored from an older backup may not hold the changes in between. It always
+// returns nil.
 func (c *Client) Watch(ctx context.Context, prefix string, from int64, events chan<- WatchEvent) error {
-	w := watch{c: c, prefix: prefix, next: from, events: events, gap: Opened}
+	w := watch{c: c, prefix: prefix, startRevision: from, events: events, gapReason: Opened}
 	for ctx.Err() == nil {
-		w.stream(ctx)
-		w.next = 0
-		pause.For(ctx, minReconnect)
+		w.followStream(ctx)
+		w.startRevision = 0
+		pause.For(ctx, minReconnectDelay)
 	}
 	return nil
 }
 
 // watch is the state of one Watch call.
 type watch struct {
-	c      *Client
-	prefix string
-	next   int64
-	gap    GapReason
-	events chan<- WatchEvent
+	c             *Client
+	prefix        string
+	startRevision int64
+	gapReason     GapReason
+	events        chan<- WatchEvent
 }
 
-// stream follows one stream until it breaks.
-func (w *watch) stream(ctx context.Context) {
+// followStream opens a stream and processes its messages until it breaks.
+func (w *watch) followStream(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s, err := w.open(ctx)
+	stream, err := w.openStream(ctx)
 	if err != nil {
 		return
 	}
 	for {
-		p, err := s.Recv()
+		resp, err := stream.Recv()
 		if err != nil {
-			w.gap = Reconnected
+			w.gapReason = Reconnected
 			return
 		}
-		if !w.receive(ctx, p) {
+		if !w.handleResponse(ctx, resp) {
 			return
 		}
 	}
 }
 
-// receive passes one message on and returns whether the stream is still good.
-func (w *watch) receive(ctx context.Context, p *etcdpb.WatchResponse) bool {
+// handleResponse sends the event of one message, if there is one. It returns
+// whether the stream can still be used.
+func (w *watch) handleResponse(ctx context.Context, resp *etcdpb.WatchResponse) bool {
 	switch {
-	case p.GetCanceled():
-		w.gap = Compacted
+	case resp.GetCanceled():
+		w.gapReason = Compacted
 		return false
-	case p.GetCreated():
-		if w.next != 0 {
+	case resp.GetCreated():
+		if w.startRevision != 0 {
 			return true
 		}
-		return w.send(ctx, Gap{Reason: w.gap})
-	case len(p.GetEvents()) == 0:
+		return w.send(ctx, Gap{Reason: w.gapReason})
+	case len(resp.GetEvents()) == 0:
 		return true
 	default:
-		return w.send(ctx, changedFrom(p))
+		return w.send(ctx, changedFrom(resp))
 	}
 }
 
 type watchStream = grpc.BidiStreamingClient[etcdpb.WatchRequest, etcdpb.WatchResponse]
 
-func (w *watch) open(ctx context.Context) (watchStream, error) {
-	wait, cancel := w.c.limit(ctx)
+func (w *watch) openStream(ctx context.Context) (watchStream, error) {
+	acquireCtx, cancel := w.c.withTimeout(ctx)
 	defer cancel()
-	conn, err := w.c.acquire(wait, &w.c.reads)
+	conn, err := w.c.acquire(acquireCtx, &w.c.reads)
 	if err != nil {
 		return nil, err
 	}
-	w.c.counts.reads.Inc(1)
+	w.c.counters.reads.Inc(1)
 	s, err := etcdpb.NewWatchClient(conn).Watch(ctx)
 	if err != nil {
-		w.c.avoid(conn)
+		w.c.preferNextAfter(conn)
 		return nil, err
 	}
-	r := &etcdpb.WatchCreateRequest{
+	req := &etcdpb.WatchCreateRequest{
 		Key:           []byte(w.prefix),
 		RangeEnd:      prefixEnd(w.prefix),
-		StartRevision: w.next,
+		StartRevision: w.startRevision,
 	}
-	err = s.Send(&etcdpb.WatchRequest{RequestUnion: &etcdpb.WatchRequest_CreateRequest{CreateRequest: r}})
+	err = s.Send(&etcdpb.WatchRequest{RequestUnion: &etcdpb.WatchRequest_CreateRequest{CreateRequest: req}})
 	return s, err
 }
 
@@ -156,15 +160,15 @@
 	}
 }
 
-func changedFrom(p *etcdpb.WatchResponse) Changed {
-	e := Changed{Revision: p.GetHeader().GetRevision()}
-	for _, ev := range p.GetEvents() {
+func changedFrom(resp *etcdpb.WatchResponse) Changed {
+	changed := Changed{Revision: resp.GetHeader().GetRevision()}
+	for _, ev := range resp.GetEvents() {
 		kv := keyValueFrom(ev.GetKv())
 		if ev.GetType() == etcdpb.Event_DELETE {
-			e.Deleted = append(e.Deleted, kv.key)
+			changed.Deleted = append(changed.Deleted, kv.key)
 			continue
 		}
-		e.KVs = append(e.KVs, kv)
+		changed.KVs = append(changed.KVs, kv)
 	}
-	return e
+	return changed
 }
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -11,7 +11,7 @@
 
 func TestLeases(t *testing.T) {
 	s := &kv.Server{}
-	c := start(t, s, long)
+	c := startClient(t, s, testTimeout)
 	id, err := c.Grant(t.Context(), time.Minute)
 	if err != nil {
 		t.Fatal(err)
@@ -19,54 +19,54 @@
 	mustTxn(t, c, platform.Txn{Then: []platform.Op{platform.Put{Key: "a", Value: []byte("1"), Lease: id}}})
 	s.LapseLeases(30 * time.Second)
 	if ttl, err := c.KeepAlive(t.Context(), id); err != nil || ttl != time.Minute {
-		t.Errorf("kept alive for %v, error %v", ttl, err)
+		t.Errorf("time to live %v, error %v, want 1m", ttl, err)
 	}
 	s.LapseLeases(59 * time.Second)
 	wantValue(t, c, "a", "1")
 	s.LapseLeases(2 * time.Second)
 	wantValue(t, c, "a", "")
 	if ttl, err := c.KeepAlive(t.Context(), id); err != nil || ttl != 0 {
-		t.Errorf("a lapsed lease was kept alive for %v, error %v", ttl, err)
+		t.Errorf("expired lease: time to live %v, error %v", ttl, err)
 	}
 	if err := c.Revoke(t.Context(), id); !platform.IsLeaseMissing(err) {
 		t.Errorf("error %v, want a missing lease", err)
 	}
 }
 
-func next(t *testing.T, events chan platform.WatchEvent) platform.WatchEvent {
+func nextEvent(t *testing.T, events chan platform.WatchEvent) platform.WatchEvent {
 	t.Helper()
 	select {
 	case e := <-events:
 		return e
-	case <-time.After(long):
-		t.Fatal("the watch tells nothing")
+	case <-time.After(testTimeout):
+		t.Fatal("no event from the watch")
 		return nil
 	}
 }
 
 func wantGap(t *testing.T, events chan platform.WatchEvent, want platform.GapReason) {
 	t.Helper()
-	if g, ok := next(t, events).(platform.Gap); !ok || g.Reason != want {
+	if g, ok := nextEvent(t, events).(platform.Gap); !ok || g.Reason != want {
 		t.Errorf("event %+v, want a gap for reason %v", g, want)
 	}
 }
 
 func wantChange(t *testing.T, events chan platform.WatchEvent, key string) {
 	t.Helper()
-	e, ok := next(t, events).(platform.Changed)
+	e, ok := nextEvent(t, events).(platform.Changed)
 	if !ok || len(e.KVs) != 1 || e.KVs[0].Key() != key {
 		t.Errorf("event %+v, want a change of %s", e, key)
 	}
 }
 
-// A watch breaks, or falls behind what the service keeps, and changes are
-// missed. A configuration that was accepted would then not come into force
-// here. The watch must say so after it is open again.
-func TestWatchTellsGaps(t *testing.T) {
+// Guards against an accepted configuration that never takes effect in this process
+// because its watch missed the change: the stream broke, or the service had
+// compacted the changes. The watch must report a gap once it is open again.
+func TestWatchReportsGaps(t *testing.T) {
 	s := &kv.Server{}
-	c := start(t, s, long)
+	c := startClient(t, s, testTimeout)
 	events := make(chan platform.WatchEvent)
-	run(t, func(ctx context.Context) error { return c.Watch(ctx, "a/", 0, events) })
+	runInBackground(t, func(ctx context.Context) error { return c.Watch(ctx, "a/", 0, events) })
 	wantGap(t, events, platform.Opened)
 	mustTxn(t, c, put("b", "1"))
 	mustTxn(t, c, put("a/1", "1"))
@@ -91,11 +91,11 @@
 }
 
 func TestWatchFromRevision(t *testing.T) {
-	c := start(t, &kv.Server{}, long)
+	c := startClient(t, &kv.Server{}, testTimeout)
 	r := mustTxn(t, c, put("a/1", "1"))
 	mustTxn(t, c, put("a/2", "1"))
 	events := make(chan platform.WatchEvent)
-	run(t, func(ctx context.Context) error { return c.Watch(ctx, "a/", r.Revision(), events) })
+	runInBackground(t, func(ctx context.Context) error { return c.Watch(ctx, "a/", r.Revision(), events) })
 	wantChange(t, events, "a/1")
 	wantChange(t, events, "a/2")
 }
