--- a/internal/platform/vmlist/client.go
+++ b/internal/platform/vmlist/client.go
@@ -14,20 +14,21 @@
 	"github.com/sirupsen/logrus"
 )
 
-// ErrFields says that a Client lacks Addr, Period or Timeout.
+// ErrFields is returned by Client.Run if Addr, Period or Timeout is not set.
 var ErrFields = errors.New("vmlist: Client needs Addr, Period and Timeout")
 
-// Client polls the list. Set the fields, then Run it. It may be used by several
-// goroutines.
+// Client polls the list of VMs. Set the exported fields before calling Run. A Client
+// is safe for concurrent use.
 type Client struct {
-	// Addr is the list's address, IP:port.
+	// Addr is the address of the service, as IP:port.
 	Addr string
-	// Period is the time between polls and Timeout the limit of one.
+	// Period is the time between polls, and Timeout bounds each request.
 	Period  time.Duration
 	Timeout time.Duration
 	// HTTP sends the requests; nil means http.DefaultTransport.
 	HTTP http.RoundTripper
-	// Log receives changes of state; nil means the standard logger.
+	// Log receives a message when polls begin to fail and when they succeed again; nil
+	// means the standard logger.
 	Log *logrus.Logger
 	// Metrics receives the counters; nil means the default registry.
 	Metrics metrics.Registry
@@ -35,9 +36,9 @@
 	once     sync.Once
 	changed  chan struct{}
 	failures metrics.Counter
-	failing  bool // of the goroutine that runs Run
+	failing  bool // used only by the goroutine that runs Run
 
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	revision int64
 	vms      map[string]VM
 }
@@ -60,22 +61,24 @@
 	})
 }
 
-// VMs returns the VMs of the last answer by id. While the list does not answer
-// it is the last one that it gave.
+// VMs returns the listed VMs in order of id. While polls fail it returns the last
+// known list.
 func (c *Client) VMs() []VM {
 	c.init()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return sorted(c.vms)
+	return sortedByID(c.vms)
 }
 
-// Changed returns a channel that holds a token when VMs has changed.
+// Changed returns a channel that receives a value when the result of VMs has changed.
+// Changes that have not been received yet are merged into one value.
 func (c *Client) Changed() <-chan struct{} {
 	c.init()
 	return c.changed
 }
 
-// Run polls until ctx ends.
+// Run polls the list until ctx ends and then returns nil. It returns ErrFields at
+// once if a required field is not set.
 func (c *Client) Run(ctx context.Context) error {
 	if c.Addr == "" || c.Period <= 0 || c.Timeout <= 0 {
 		return ErrFields
@@ -84,7 +87,7 @@
 	t := time.NewTicker(c.Period)
 	defer t.Stop()
 	for ctx.Err() == nil {
-		c.note(c.poll(ctx))
+		c.recordResult(c.poll(ctx))
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -93,8 +96,9 @@
 	return nil
 }
 
-// note counts a failure and logs when the list begins or ceases to fail.
-func (c *Client) note(err error) {
+// recordResult counts a failed poll and logs when polls begin to fail or succeed
+// again.
+func (c *Client) recordResult(err error) {
 	if err != nil {
 		c.failures.Inc(1)
 	}
@@ -103,17 +107,17 @@
 	}
 	c.failing = err != nil
 	if c.failing {
-		c.Log.WithError(err).Warn("the list of VMs does not answer; the last one stays in use")
+		c.Log.WithError(err).Warn("polling the VM list failed; keeping the last known list")
 		return
 	}
-	c.Log.Info("the list of VMs answers again")
+	c.Log.Info("polling the VM list succeeded again")
 }
 
 func (c *Client) poll(ctx context.Context) error {
 	c.mu.Lock()
 	since := c.revision
 	c.mu.Unlock()
-	d, err := c.get(ctx, since)
+	d, err := c.fetch(ctx, since)
 	if err != nil {
 		return err
 	}
@@ -121,8 +125,8 @@
 		c.apply(d, since == 0)
 		return nil
 	}
-	// The list began anew and its delta tells nothing about the VMs known here.
-	d, err = c.get(ctx, 0)
+	// The list was recreated, so its delta doesn't apply to the known VMs.
+	d, err = c.fetch(ctx, 0)
 	if err != nil {
 		return err
 	}
@@ -130,34 +134,34 @@
 	return nil
 }
 
-func (c *Client) get(ctx context.Context, since int64) (Delta, error) {
+func (c *Client) fetch(ctx context.Context, since int64) (Delta, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	url := "http://" + c.Addr + "/vms?since=" + strconv.FormatInt(since, 10)
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return Delta{}, err
 	}
-	p, err := c.HTTP.RoundTrip(r)
+	resp, err := c.HTTP.RoundTrip(req)
 	if err != nil {
 		return Delta{}, err
 	}
-	b, err := io.ReadAll(io.LimitReader(p.Body, maxAnswer+1))
-	if err := errors.Join(err, p.Body.Close()); err != nil {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
+	if err := errors.Join(err, resp.Body.Close()); err != nil {
 		return Delta{}, err
 	}
-	if p.StatusCode != http.StatusOK || len(b) > maxAnswer {
-		return Delta{}, fmt.Errorf("%w: status %d, %d bytes", ErrMalformed, p.StatusCode, len(b))
+	if resp.StatusCode != http.StatusOK || len(body) > maxResponseBytes {
+		return Delta{}, fmt.Errorf("%w: status %d, %d bytes", ErrMalformed, resp.StatusCode, len(body))
 	}
-	return DecodeDelta(b)
+	return DecodeDelta(body)
 }
 
-// apply takes in an answer; whole says that it holds all VMs.
-func (c *Client) apply(d Delta, whole bool) {
+// apply updates the known VMs. If full is set, d holds all VMs and replaces them.
+func (c *Client) apply(d Delta, full bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	same := d.revision == c.revision && len(d.vms) == 0 && len(d.removed) == 0
-	if whole {
+	unchanged := d.revision == c.revision && len(d.vms) == 0 && len(d.removed) == 0
+	if full {
 		clear(c.vms)
 	}
 	for _, id := range d.removed {
@@ -167,7 +171,7 @@
 		c.vms[v.id] = v
 	}
 	c.revision = d.revision
-	if same {
+	if unchanged {
 		return
 	}
 	select {
--- a/internal/platform/vmlist/codec.go
+++ b/internal/platform/vmlist/codec.go
@@ -7,12 +7,12 @@
 	"net/netip"
 )
 
-// maxAnswer bounds one answer of the list: some 5,000 VMs of 200 bytes each
-// with room to spare.
-const maxAnswer = 4 << 20
+// maxResponseBytes is the size limit of a response. It fits some 5,000 VMs of 200
+// bytes each several times.
+const maxResponseBytes = 4 << 20
 
-// ErrMalformed says that an answer of the list can't be read.
-var ErrMalformed = errors.New("vmlist: the answer can't be read")
+// ErrMalformed reports that a response is malformed.
+var ErrMalformed = errors.New("vmlist: malformed response")
 
 type vmJSON struct {
 	ID         string `json:"id"`
@@ -22,7 +22,8 @@
 	State      State  `json:"state"`
 }
 
-// Delta is one answer of the list.
+// Delta is a response of the service: the VMs that changed and the ids of those
+// that were removed since a revision.
 type Delta struct {
 	revision int64
 	vms      []VM
@@ -35,12 +36,12 @@
 	Removed  []string `json:"removed"`
 }
 
-// NewDelta returns an answer of the list.
+// NewDelta returns the Delta that leads to the revision.
 func NewDelta(revision int64, vms []VM, removed []string) Delta {
 	return Delta{revision: revision, vms: vms, removed: removed}
 }
 
-// Encode returns the answer as JSON.
+// Encode returns d as JSON.
 func (d Delta) Encode() ([]byte, error) {
 	j := deltaJSON{Revision: d.revision, VMs: []vmJSON{}, Removed: d.removed}
 	for _, v := range d.vms {
@@ -49,19 +50,19 @@
 	return json.Marshal(j)
 }
 
-// DecodeDelta reads an answer of the list. Keys that are not known are passed
-// over, because the list is the platform's. The error wraps ErrMalformed.
+// DecodeDelta decodes a response. It ignores unknown keys, because the platform
+// defines the format. Its errors wrap ErrMalformed.
 func DecodeDelta(b []byte) (Delta, error) {
 	var j deltaJSON
 	if err := json.Unmarshal(b, &j); err != nil {
 		return Delta{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if j.Revision < 0 {
-		return Delta{}, fmt.Errorf("%w: revision %d", ErrMalformed, j.Revision)
+		return Delta{}, fmt.Errorf("%w: negative revision %d", ErrMalformed, j.Revision)
 	}
 	d := Delta{revision: j.Revision, removed: j.Removed}
 	for _, v := range j.VMs {
-		if err := v.check(); err != nil {
+		if err := v.validate(); err != nil {
 			return Delta{}, err
 		}
 		d.vms = append(d.vms, NewVM(v.ID, v.Role, v.DataCentre, v.Address, v.State))
@@ -69,24 +70,24 @@
 	return d, nil
 }
 
-func (v vmJSON) check() error {
+func (v vmJSON) validate() error {
 	if v.ID == "" || v.DataCentre == "" {
-		return fmt.Errorf("%w: a VM without id or data centre", ErrMalformed)
+		return fmt.Errorf("%w: VM without id or data centre", ErrMalformed)
 	}
 	if v.Role != Entry && v.Role != Agent {
-		return fmt.Errorf("%w: VM %s has the role %q", ErrMalformed, v.ID, v.Role)
+		return fmt.Errorf("%w: VM %s has unknown role %q", ErrMalformed, v.ID, v.Role)
 	}
 	if v.State != Live && v.State != Leaving {
-		return fmt.Errorf("%w: VM %s has the state %q", ErrMalformed, v.ID, v.State)
+		return fmt.Errorf("%w: VM %s has unknown state %q", ErrMalformed, v.ID, v.State)
 	}
 	if _, err := netip.ParseAddrPort(v.Address); err != nil {
-		return fmt.Errorf("%w: VM %s has the address %q", ErrMalformed, v.ID, v.Address)
+		return fmt.Errorf("%w: VM %s has invalid address %q", ErrMalformed, v.ID, v.Address)
 	}
 	return nil
 }
 
-// VMs returns the VMs that changed.
+// VMs returns the VMs that were added or changed.
 func (d Delta) VMs() []VM { return d.vms }
 
-// Removed returns the ids of the VMs that are no longer listed.
+// Removed returns the ids of the VMs that were removed from the list.
 func (d Delta) Removed() []string { return d.removed }
--- a/internal/platform/vmlist/doc.go
+++ b/internal/platform/vmlist/doc.go
@@ -1,16 +1,17 @@
-// Package vmlist is the client of the platform's list of live and leaving VMs,
-// and the join of that list with what processes see themselves.
+// Package vmlist is a client for the platform's list of live and leaving VMs. It
+// also merges that list with what a process observes itself.
 //
-// The list lags, in both directions: a VM may be live before it is listed and
-// gone while it still is. Join therefore believes, in this order, a leaving
-// process's own word, a live stream, and then the list.
+// The list lags in both directions: a VM may be live before it is listed, and gone
+// while it is still listed. Join therefore gives precedence to a process's own
+// announcement that it is leaving, then to a live stream, and then to the list.
 //
-// The list is polled with GET /vms?since=REV. The answer holds the VMs that
-// changed after revision REV, those removed, and the new revision; a revision
-// below REV means that the list began anew, and then everything is read again.
+// The list is polled with GET /vms?since=REV. The response holds the VMs that
+// changed after revision REV, the ids of the VMs that were removed, and the new
+// revision. A revision lower than REV means that the list was recreated, and the
+// client then reads the complete list.
 //
-// The poll uses net/http and not nbhttp's client: it is one small request every
-// few seconds, must end with its context, and must not read an answer beyond
-// its bound; nbhttp's Client does not look at the request's context and needs an
-// engine of its own.
+// The client uses net/http instead of the Client of nbhttp. A poll is one small
+// request every few seconds, it must end with its context, and it must not read a
+// response beyond a size limit. The Client of nbhttp ignores the context of a
+// request and needs an engine of its own.
 package vmlist
--- a/internal/platform/vmlist/join.go
+++ b/internal/platform/vmlist/join.go
@@ -2,25 +2,25 @@
 
 import "sort"
 
-// Role says what runs on a VM.
+// Role is the kind of process that runs on a VM.
 type Role string
 
-// The roles.
+// Roles of VMs.
 const (
 	Entry Role = "entry"
 	Agent Role = "agent"
 )
 
-// State is what is known of a VM.
+// State is the membership state of a VM.
 type State string
 
-// The states. A VM that is neither is not a member.
+// States of VMs. A VM in neither state is not a member.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
 )
 
-// VM is a VM of the system.
+// VM describes a VM of the system.
 type VM struct {
 	id         string
 	role       Role
@@ -37,43 +37,43 @@
 // ID returns the VM's id.
 func (v VM) ID() string { return v.id }
 
-// Role returns what runs on the VM.
+// Role returns the kind of process that runs on the VM.
 func (v VM) Role() Role { return v.role }
 
 // DataCentre returns the VM's data centre.
 func (v VM) DataCentre() string { return v.dataCentre }
 
-// Address returns the IP:port at which the VM's process is reached.
+// Address returns the address of the process on the VM, as IP:port.
 func (v VM) Address() string { return v.address }
 
 // State returns whether the VM is live or leaving.
 func (v VM) State() State { return v.state }
 
-// Seen is what this process sees itself of a VM.
+// Seen is what this process observes of a VM.
 type Seen struct {
-	// VM describes the VM as it described itself.
+	// VM is the description that the VM gave of itself.
 	VM VM
-	// Stream says that a stream to it is live.
+	// Stream reports that a stream to the VM is live.
 	Stream bool
-	// Leaving says that the VM has said itself that it is leaving.
+	// Leaving reports that the VM has announced that it is leaving.
 	Leaving bool
 }
 
-// Join returns the members by id. A VM that is listed or has a live stream is a
-// member; one that is listed as leaving or has said so is leaving.
+// Join returns the members in order of id. A VM is a member if it is listed or has a
+// live stream. A member is leaving if it is listed as leaving or has announced it.
 //
-// The process's own word is believed at once, because the list lags by seconds
-// in which new work would be sent to a VM that cuts it off; a live stream is
-// believed because a VM that just came up is not listed yet, and because the
-// list's service may be cut off while the VMs are not.
+// An announcement takes effect at once, because the list lags by seconds, during
+// which a leaving VM would get new work that it then aborts. A live stream makes a
+// VM a member because a VM that has just started is not listed yet, and because the
+// list may be unreachable while the VMs are not.
 func Join(listed []VM, seen []Seen) []VM {
-	m := make(map[string]VM, len(listed)+len(seen))
+	members := make(map[string]VM, len(listed)+len(seen))
 	for _, v := range listed {
-		m[v.id] = v
+		members[v.id] = v
 	}
 	for _, s := range seen {
-		v, known := m[s.VM.id]
-		if !known && !s.Stream {
+		v, found := members[s.VM.id]
+		if !found && !s.Stream {
 			continue
 		}
 		if s.Stream {
@@ -86,12 +86,12 @@
 		if s.Leaving {
 			v.state = Leaving
 		}
-		m[s.VM.id] = v
+		members[s.VM.id] = v
 	}
-	return sorted(m)
+	return sortedByID(members)
 }
 
-func sorted(m map[string]VM) []VM {
+func sortedByID(m map[string]VM) []VM {
 	vs := make([]VM, 0, len(m))
 	for _, v := range m {
 		vs = append(vs, v)
--- a/internal/platform/vmlist/vmlist_test.go
+++ b/internal/platform/vmlist/vmlist_test.go
@@ -18,7 +18,7 @@
 	return vmlist.NewVM(id, vmlist.Agent, "north", "127.0.0.1:7000", s)
 }
 
-func text(vms []vmlist.VM) string {
+func format(vms []vmlist.VM) string {
 	var parts []string
 	for _, v := range vms {
 		parts = append(parts, fmt.Sprint(v.ID(), "=", v.State()))
@@ -35,22 +35,22 @@
 		want   string
 	}{
 		{"listed only", []vmlist.VM{live}, nil, "a=live"},
-		{"absent from the list with a live stream", nil, []vmlist.Seen{{VM: live, Stream: true}}, "a=live"},
-		{"absent and no stream", nil, []vmlist.Seen{{VM: live, Leaving: true}}, ""},
-		{"its own word before the list", []vmlist.VM{live}, []vmlist.Seen{{VM: live, Leaving: true}}, "a=leaving"},
-		{"its own word before its stream", nil, []vmlist.Seen{{VM: live, Stream: true, Leaving: true}}, "a=leaving"},
+		{"not listed with a live stream", nil, []vmlist.Seen{{VM: live, Stream: true}}, "a=live"},
+		{"not listed and no stream", nil, []vmlist.Seen{{VM: live, Leaving: true}}, ""},
+		{"announcement overrides the list", []vmlist.VM{live}, []vmlist.Seen{{VM: live, Leaving: true}}, "a=leaving"},
+		{"announcement overrides the stream", nil, []vmlist.Seen{{VM: live, Stream: true, Leaving: true}}, "a=leaving"},
 		{"listed as leaving with a stream", []vmlist.VM{leaving}, []vmlist.Seen{{VM: live, Stream: true}}, "a=leaving"},
-		{"by id", []vmlist.VM{vm("b", vmlist.Live), live}, nil, "a=live b=live"},
+		{"ordered by id", []vmlist.VM{vm("b", vmlist.Live), live}, nil, "a=live b=live"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := text(vmlist.Join(c.listed, c.seen)); got != c.want {
+			if got := format(vmlist.Join(c.listed, c.seen)); got != c.want {
 				t.Errorf("members %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeRejectsMalformed(t *testing.T) {
 	for _, b := range []string{
 		`{`, `{"revision":-1}`, `{"vms":[{"id":"","dataCentre":"n"}]}`,
 		`{"vms":[{"id":"a","dataCentre":"n","role":"x","state":"live","address":"127.0.0.1:1"}]}`,
@@ -58,12 +58,12 @@
 		`{"vms":[{"id":"a","dataCentre":"n","role":"entry","state":"live","address":"host:1"}]}`,
 	} {
 		if _, err := vmlist.DecodeDelta([]byte(b)); !errors.Is(err, vmlist.ErrMalformed) {
-			t.Errorf("%s: error %v", b, err)
+			t.Errorf("%s: error %v, want ErrMalformed", b, err)
 		}
 	}
 }
 
-func run(t *testing.T, f func(context.Context) error) {
+func runInBackground(t *testing.T, f func(context.Context) error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -76,44 +76,45 @@
 	})
 }
 
-// A VM comes up, leaves and is removed, the list goes down and begins anew; the
-// client must follow each, and keep the last list while there is no answer.
+// VMs are added, change their state and are removed, the service is down, and the
+// list is recreated. The client must follow each change and keep the last known list
+// while polls fail.
 func TestClientFollowsList(t *testing.T) {
 	now := time.Unix(100, 0)
 	s := &standin.Server{Now: func() time.Time { return now }}
-	run(t, s.Run)
+	runInBackground(t, s.Run)
 	r := metrics.NewRegistry()
 	c := &vmlist.Client{Addr: s.Addr(), Period: 5 * time.Millisecond, Timeout: 20 * time.Second, Metrics: r}
-	run(t, c.Run)
-	want := func(members string) {
+	runInBackground(t, c.Run)
+	waitFor := func(members string) {
 		t.Helper()
-		limit := time.After(20 * time.Second)
-		for text(c.VMs()) != members {
+		timeout := time.After(20 * time.Second)
+		for format(c.VMs()) != members {
 			select {
 			case <-c.Changed():
-			case <-limit:
-				t.Fatalf("members %q, want %q", text(c.VMs()), members)
+			case <-timeout:
+				t.Fatalf("members %q, want %q", format(c.VMs()), members)
 			}
 		}
 	}
 	s.Put(vm("a", vmlist.Live))
 	s.Put(vm("b", vmlist.Live))
-	want("a=live b=live")
+	waitFor("a=live b=live")
 	s.Put(vm("a", vmlist.Leaving))
-	want("a=leaving b=live")
+	waitFor("a=leaving b=live")
 	s.Remove("a")
-	want("b=live")
+	waitFor("b=live")
 	s.SetDown(true)
 	failures := metrics.GetOrRegisterCounter("vmlist.pollFailures", r)
 	for failures.Count() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	want("b=live")
+	waitFor("b=live")
 	s.Reset()
 	s.Put(vm("c", vmlist.Live))
 	s.SetDown(false)
-	want("c=live")
+	waitFor("c=live")
 	s.SetLag(time.Hour)
 	s.Put(vm("d", vmlist.Live))
-	want("") // a lagging list may go back
+	waitFor("") // a lagging list may return an older state
 }
