--- a/internal/peer/conns.go
+++ b/internal/peer/conns.go
@@ -17,29 +17,30 @@
 )
 
 const (
-	// windowBytes is how much of one answer may be on its way between two
-	// processes. It bounds the memory that a caller who reads slowly takes.
-	windowBytes = 64 << 10
-	// connWindowBytes bounds all answers on one connection together.
+	// streamWindowBytes is the flow control window of one stream. It bounds the memory
+	// that a response to a slow caller takes.
+	streamWindowBytes = 64 << 10
+	// connWindowBytes is the flow control window of a connection, shared by all of its
+	// streams.
 	connWindowBytes = 4 << 20
-	// maxMessageBytes bounds one message: a request body with its headers, or
-	// a part of a configuration, both of which have limits of a megabyte.
+	// maxMessageBytes is the largest message. It fits a request body with its headers
+	// and parts of a configuration; a body and a part are limited to a megabyte each.
 	maxMessageBytes = 5 << 20
-	// reconnectMax bounds the wait before a lost peer is tried again, so that
-	// a data centre that returns is found within about this time.
-	reconnectMax = time.Second
-	// pingEvery and pingTimeout find a peer whose VM vanished without closing
-	// its connections. Heartbeats of Watch find it sooner.
-	pingEvery   = 10 * time.Second
-	pingTimeout = 5 * time.Second
+	// maxReconnectDelay is the longest delay between attempts to reconnect to a lost
+	// peer. A data centre that recovers is reconnected within about this time.
+	maxReconnectDelay = time.Second
+	// keepaliveInterval and keepaliveTimeout detect a peer whose VM vanished without
+	// closing its connections. The heartbeats of Agent.Watch detect it sooner.
+	keepaliveInterval = 10 * time.Second
+	keepaliveTimeout  = 5 * time.Second
 )
 
-// Conns holds one connection to each peer. Set the exported fields before the
-// first use. It may be used by several goroutines.
+// Conns maintains one connection to each peer. Set the exported fields before the
+// first call. A Conns is safe for concurrent use.
 type Conns struct {
-	// TLS is the client's side of mutual TLS; nil means plain TCP.
+	// TLS is the client configuration for mutual TLS; nil means plain TCP.
 	TLS *tls.Config
-	// Dial opens connections; nil means TCP. Tests cut connections here.
+	// Dial opens connections; nil means TCP. Tests use it to cut connections.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
 	mu     sync.Mutex
@@ -47,8 +48,9 @@
 	closed bool
 }
 
-// Get returns the connection to the peer at addr, which is IP:port. It does
-// not wait until the peer answers.
+// Get returns the connection to the peer at addr, which is IP:port, and creates it if
+// there is none. It does not wait until the connection is ready. It returns an error
+// for an invalid address and after Close.
 func (c *Conns) Get(addr string) (*grpc.ClientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,16 +76,16 @@
 	if c.TLS != nil {
 		creds = credentials.NewTLS(c.TLS)
 	}
-	bc := backoff.DefaultConfig
-	bc.BaseDelay = 50 * time.Millisecond
-	bc.MaxDelay = reconnectMax
+	reconnect := backoff.DefaultConfig
+	reconnect.BaseDelay = 50 * time.Millisecond
+	reconnect.MaxDelay = maxReconnectDelay
 	opts := []grpc.DialOption{
 		grpc.WithTransportCredentials(creds),
-		grpc.WithConnectParams(grpc.ConnectParams{Backoff: bc, MinConnectTimeout: reconnectMax}),
-		grpc.WithInitialWindowSize(windowBytes),
+		grpc.WithConnectParams(grpc.ConnectParams{Backoff: reconnect, MinConnectTimeout: maxReconnectDelay}),
+		grpc.WithInitialWindowSize(streamWindowBytes),
 		grpc.WithInitialConnWindowSize(connWindowBytes),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingEvery, Timeout: pingTimeout}),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 		grpc.WithDisableServiceConfig(),
 	}
 	if c.Dial != nil {
@@ -92,7 +94,7 @@
 	return opts
 }
 
-// Drop closes the connection to a peer that has left.
+// Drop closes the connection to a peer that has left, if there is one.
 func (c *Conns) Drop(addr string) {
 	c.mu.Lock()
 	cc := c.conns[addr]
@@ -103,13 +105,13 @@
 	}
 }
 
-// DropSilent closes the connection to a peer that did not answer in time, if there
-// is one: it may have gone silent for good while a new one works. One that is still
-// being opened stays.
+// DropSilent closes the connection to a peer that did not respond in time, if it is
+// ready: the peer may never respond on it again while a new connection would work.
 //
-// Load: a hundred agents that start at once and connect to each other over lines of
-// some Mbit/s. Harm prevented: each call that ends while its connection is set up
-// has the next one begin anew, and none is ever set up.
+// A connection that is still being set up is kept. When a hundred agents start at
+// once and connect to each other over links of some Mbit/s, each call that times out
+// during the setup would otherwise restart it, and no connection would ever become
+// ready.
 func (c *Conns) DropSilent(addr string) {
 	c.mu.Lock()
 	cc := c.conns[addr]
@@ -119,7 +121,7 @@
 	}
 }
 
-// Close closes all connections. Get fails from then on.
+// Close closes all connections. Get then returns an error.
 func (c *Conns) Close() {
 	c.mu.Lock()
 	conns := c.conns
--- a/internal/peer/digest_test.go
+++ b/internal/peer/digest_test.go
@@ -8,28 +8,28 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/platform/config"
 )
 
-// storeOf returns a store after a preset and a number of changes, of which
-// outs targets stay out of service.
-func storeOf(tb testing.TB, changes, outs int) *config.Store {
+// newStore returns a store with a preset and the given number of changes. The first
+// changes after the preset take outOfService targets out of service.
+func newStore(tb testing.TB, changes, outOfService int) *config.Store {
 	tb.Helper()
 	var h config.Head
 	body := []byte("[preset]\n")
 	for i := range changes {
 		o := config.Order{ChangeID: fmt.Sprintf("change-%026d", i), By: "operator"}
-		t := config.Endpoint(fmt.Sprintf("endpoint-%d", i%max(1, outs)))
+		t := config.Endpoint(fmt.Sprintf("endpoint-%d", i%max(1, outOfService)))
 		switch {
 		case i == 0:
 			o.Change = config.PutPreset{Name: "ordinary", Body: body}
-		case i <= outs:
+		case i <= outOfService:
 			o.Change = config.TakeOut{Target: t}
 		default:
 			o.Change = config.SwitchPreset{Name: "ordinary"}
 		}
-		n, err := config.Apply(h, o, time.UnixMicro(int64(i)))
+		next, err := config.Apply(h, o, time.UnixMicro(int64(i)))
 		if err != nil {
 			tb.Fatal(err)
 		}
-		h = n
+		h = next
 	}
 	s := &config.Store{}
 	s.Offer(h, body)
@@ -38,7 +38,7 @@
 
 func BenchmarkConfigDigest(b *testing.B) {
 	for _, changes := range []int{1, 16, 256, 1024} {
-		s := storeOf(b, changes, changes/2)
+		s := newStore(b, changes, changes/2)
 		b.Run(fmt.Sprintf("changes=%d", changes), func(b *testing.B) {
 			b.ReportAllocs()
 			b.ReportMetric(float64(len(s.State())), "stateBytes")
@@ -49,37 +49,37 @@
 	}
 }
 
-// An operator takes an endpoint out, and an entry goes on sending it work: the
-// digest that its agent reports was worked out before the change, so the entry
-// sees nothing to exchange.
+// Guards against an entry that keeps sending work to an endpoint that an operator has
+// taken out of service: its agent reports a digest computed before the change, so the
+// entry finds nothing to exchange.
 func TestConfigDigestFollowsEachChange(t *testing.T) {
-	s := storeOf(t, 3, 1)
+	s := newStore(t, 3, 1)
 	before := ConfigDigest(s)
 	if ConfigDigest(s) != before {
-		t.Error("the digest changed by itself")
+		t.Error("digest changed without a change of the configuration")
 	}
 	h := s.Current().Head()
 	o := config.Order{ChangeID: "out", By: "operator", Change: config.TakeOut{Target: config.Endpoint("e")}}
-	n, err := config.Apply(h, o, time.UnixMicro(9))
+	next, err := config.Apply(h, o, time.UnixMicro(9))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Offer(n)
+	s.Offer(next)
 	if ConfigDigest(s) == before {
-		t.Error("the digest stayed after a change")
+		t.Error("digest did not change with the configuration")
 	}
-	if again := storeOf(t, 3, 1); ConfigDigest(again) != before {
+	if again := newStore(t, 3, 1); ConfigDigest(again) != before {
 		t.Error("equal configurations have different digests")
 	}
-	missing := &config.Store{}
-	missing.Offer(n)
-	if ConfigDigest(missing) == ConfigDigest(s) {
-		t.Error("a store that lacks a part has the digest of one that has it")
+	incomplete := &config.Store{}
+	incomplete.Offer(next)
+	if ConfigDigest(incomplete) == ConfigDigest(s) {
+		t.Error("a store without a part has the same digest as one with it")
 	}
 }
 
 func TestConfigDigestDoesNotAllocate(t *testing.T) {
-	s := storeOf(t, 64, 32)
+	s := newStore(t, 64, 32)
 	if n := testing.AllocsPerRun(100, func() { ConfigDigest(s) }); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,10 +1,9 @@
-// Package peer carries messages between hyssoprelay's own processes over
-// grpc-go.
+// Package peer implements the gRPC communication between hyssoprelay's own processes.
 //
-// Each process serves Peer (configuration, time line, status); agents serve
-// Agent besides. A request has one gRPC stream of its own over the one HTTP/2
-// connection between an entry and an agent, so that HTTP/2's flow control
-// bounds each answer by itself and a slow caller holds up no other answer.
-// Replies carry request id and attempt, and are dropped when either differs
-// from what the call is for.
+// Each process serves the Peer service (configuration, time line, status), and
+// agents also serve the Agent service. Each request uses a gRPC stream of its own
+// over the single HTTP/2 connection between an entry and an agent: HTTP/2 flow
+// control then applies to each response separately, and a slow caller does not delay
+// other responses. Replies carry the request id and the attempt, and are dropped
+// when either differs from that of the call.
 package peer
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -15,26 +15,27 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// maxStreams bounds the calls that one peer may have open at a time.
+// maxStreams is the largest number of concurrent calls on one connection.
 const maxStreams = 4096
 
-// Server serves a process's messages. Set the exported fields before Run.
+// Server is a process's gRPC server. Set the exported fields before calling Run.
 type Server struct {
-	// Addr is where to listen, as IP:port.
+	// Addr is the address to listen on, as IP:port.
 	Addr string
-	// TLS asks each peer for a certificate; nil means plain TCP.
+	// TLS is the server configuration for mutual TLS; nil means plain TCP.
 	TLS *tls.Config
-	// Peer answers what every process with presets answers; it may be nil.
+	// Peer is the service of all processes that use presets; it may be nil.
 	Peer peerpb.PeerServer
-	// Agent is nil in processes that are not agents.
+	// Agent is the service of agents; it is nil in other processes.
 	Agent peerpb.AgentServer
-	// Register adds further services; it may be nil.
+	// Register registers further services; it may be nil.
 	Register func(grpc.ServiceRegistrar)
 
 	ln net.Listener
 }
 
-// Listen opens the server's address, so that Address is known before Run.
+// Listen opens the listener, so that Address can be used before Run. It returns a
+// result.AddressInUse error if it can't listen on Addr.
 func (s *Server) Listen() error {
 	ln, err := net.Listen("tcp", s.Addr)
 	if err != nil {
@@ -44,11 +45,13 @@
 	return nil
 }
 
-// Address returns the address listened on, as IP:port.
+// Address returns the address of the listener, as IP:port. Listen must have succeeded
+// before.
 func (s *Server) Address() string { return s.ln.Addr().String() }
 
-// Run serves until ctx ends. Calls that are open then are cut; whoever stops a
-// process gracefully ends ctx only after they are done.
+// Run serves until ctx ends, after calling Listen if that has not been done. When ctx
+// ends, Run aborts open calls; for a graceful shutdown ctx must end only after they
+// have completed.
 func (s *Server) Run(ctx context.Context) error {
 	if s.ln == nil {
 		if err := s.Listen(); err != nil {
@@ -73,7 +76,8 @@
 	case <-ctx.Done():
 	}
 	g.Stop()
-	// A server that is stopped before it began to serve says so; it is no fault.
+	// Serve returns ErrServerStopped if the server was stopped before it began to
+	// serve. This is not an error.
 	if err := <-done; !errors.Is(err, grpc.ErrServerStopped) {
 		return err
 	}
@@ -82,11 +86,11 @@
 
 func (s *Server) options() []grpc.ServerOption {
 	opts := []grpc.ServerOption{
-		grpc.InitialWindowSize(windowBytes),
+		grpc.InitialWindowSize(streamWindowBytes),
 		grpc.InitialConnWindowSize(connWindowBytes),
 		grpc.MaxRecvMsgSize(maxMessageBytes),
 		grpc.MaxConcurrentStreams(maxStreams),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingEvery, Timeout: pingTimeout}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: time.Second, PermitWithoutStream: true}),
 	}
 	if s.TLS != nil {
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -14,16 +14,18 @@
 )
 
 const (
-	// eventsPerMessage keeps a time line's messages well under the limit.
-	eventsPerMessage = 512
-	// partsPerMessage keeps the parts of one message, of a megabyte each,
-	// under the limit.
-	partsPerMessage = 4
-	// syncRounds bounds one exchange: head, rest of the head, parts.
-	syncRounds = 8
+	// maxEventsPerMessage keeps the messages of a time line well below
+	// maxMessageBytes.
+	maxEventsPerMessage = 512
+	// maxPartsPerMessage keeps a message with parts of up to a megabyte each below
+	// maxMessageBytes.
+	maxPartsPerMessage = 4
+	// maxSyncRounds bounds the calls of one exchange, which transfers the head, the
+	// rest of the head and the parts.
+	maxSyncRounds = 8
 )
 
-// Service answers what every process answers. Set the fields before use.
+// Service implements the Peer service. Set the fields before use.
 type Service struct {
 	peerpb.UnimplementedPeerServer
 
@@ -32,9 +34,9 @@
 	Clock      *timeline.Clock
 	Ring       *timeline.Ring
 	Store      *config.Store
-	// State describes the process; it must not be nil.
+	// State returns the status of the process; it must not be nil.
 	State func() *peerpb.StatusReply
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
 }
 
@@ -47,52 +49,53 @@
 	if err != nil {
 		return nil, result.New(result.MalformedMsg, err.Error())
 	}
-	offer(s.Store, r.GetParts())
+	storeParts(s.Store, r.GetParts())
 	return &peerpb.SyncReply{
 		Hlc:       uint64(s.Clock.Next(s.Now())),
 		Head:      msg,
-		Parts:     firstParts(parts),
+		Parts:     limitParts(parts),
 		WantParts: s.Store.Current().Missing(),
 	}, nil
 }
 
-func offer(s *config.Store, parts map[string][]byte) {
+func storeParts(s *config.Store, parts map[string][]byte) {
 	for _, b := range parts {
 		s.Offer(config.Head{}, b)
 	}
 }
 
-func firstParts(parts map[string][]byte) map[string][]byte {
-	if len(parts) <= partsPerMessage {
+func limitParts(parts map[string][]byte) map[string][]byte {
+	if len(parts) <= maxPartsPerMessage {
 		return parts
 	}
-	some := map[string][]byte{}
+	limited := map[string][]byte{}
 	for d, b := range parts {
-		some[d] = b
-		if len(some) == partsPerMessage {
+		limited[d] = b
+		if len(limited) == maxPartsPerMessage {
 			break
 		}
 	}
-	return some
+	return limited
 }
 
-// ConfigDigest names all that a store knows. Two processes whose digests differ
-// have something to exchange.
+// ConfigDigest returns a digest of everything that a store holds. Two processes whose
+// digests differ have data to exchange.
 func ConfigDigest(s *config.Store) uint64 {
 	h := xxhash.Sum64(s.Summary())
 	return h + uint64(len(s.Current().Missing()))
 }
 
-// Exchange brings both sides to the join of their configurations.
+// Exchange synchronizes the configurations of this process and a peer: both then hold
+// the join of the two. It stops after maxSyncRounds calls.
 func Exchange(ctx context.Context, c peerpb.PeerClient, s *config.Store, clock *timeline.Clock, now func() time.Time) error {
 	msg := s.Summary()
-	var give map[string][]byte
-	for range syncRounds {
+	var partsToSend map[string][]byte
+	for range maxSyncRounds {
 		req := &peerpb.SyncRequest{
 			Hlc:       uint64(clock.Next(now())),
 			Head:      msg,
 			WantParts: s.Current().Missing(),
-			Parts:     give,
+			Parts:     partsToSend,
 		}
 		reply, err := c.Sync(ctx, req)
 		if err != nil {
@@ -103,8 +106,8 @@
 		if err != nil {
 			return err
 		}
-		give = wanted(s.Current(), reply.GetWantParts())
-		if msg == nil && len(give) == 0 && len(reply.GetParts()) == 0 {
+		partsToSend = knownParts(s.Current(), reply.GetWantParts())
+		if msg == nil && len(partsToSend) == 0 && len(reply.GetParts()) == 0 {
 			return nil
 		}
 		if msg == nil {
@@ -114,11 +117,11 @@
 	return nil
 }
 
-func wanted(c *config.Snapshot, digests []string) map[string][]byte {
+func knownParts(c *config.Snapshot, digests []string) map[string][]byte {
 	parts := map[string][]byte{}
 	for _, d := range digests {
 		b, ok := c.Part(d)
-		if ok && len(parts) < partsPerMessage {
+		if ok && len(parts) < maxPartsPerMessage {
 			parts[d] = b
 		}
 	}
@@ -138,7 +141,7 @@
 		Since:     timeline.StampAt(time.UnixMicro(max(0, r.GetSinceUnixMicros()))),
 	})
 	for len(events) > 0 {
-		n := min(len(events), eventsPerMessage)
+		n := min(len(events), maxEventsPerMessage)
 		if err := stream.Send(s.timelineReply(events[:n])); err != nil {
 			return err
 		}
