--- a/internal/peer/spread/doc.go
+++ b/internal/peer/spread/doc.go
@@ -1,24 +1,23 @@
-// Package spread decides with which entries an entry exchanges configuration,
-// and which entries of a data centre read the platform's service themselves.
+// Package spread selects the entries with which an entry exchanges its configuration,
+// and the entries of a data centre that read from the platform's service.
 //
-// # Who reads the platform
+// # Readers
 //
-// Each data centre has Watchers readers: the first of its entries by rendezvous
-// hashing (Thaler and Ravishankar, 1998) that answer. All entries work the
-// order out for themselves from the list of VMs; lists that differ for a while
-// only make some more entries read. An entry that does not answer an exchange
-// loses its place to the next in order until it answers again or leaves the
-// list.
+// Each data centre has Watchers readers: the first responsive ones of its entries in
+// the order of rendezvous hashing (Thaler and Ravishankar, 1998). Each entry computes
+// this order from the list of VMs. While the lists of entries differ, there may be
+// some additional readers. An entry that does not respond to an exchange is replaced
+// by the next one in the order until it responds again or leaves the list.
 //
-// # How a change spreads
+// # Propagation of changes
 //
-// Each entry has a few peers by rendezvous hashing: some of its data centre and
-// one of each other. An entry that has learnt something tells Fanout of them
-// once, one of them in another data centre (rumour mongering, Demers et al.,
-// 1987: the number of rounds grows with the logarithm of the number of entries).
-// Rumours may miss an entry, so each entry also exchanges digests with one other
-// each period, by turns with a reader of its data centre and with a peer
-// (anti-entropy, same paper).
+// Each entry has a few peers, selected by rendezvous hashing: some in its own data
+// centre and one in each other data centre. An entry that receives a change sends it once to
+// Fanout of its peers, one of them in another data centre (rumour mongering, Demers et
+// al., 1987; the number of rounds grows with the logarithm of the number of entries).
+// Rumours may miss an entry. In each period an entry therefore also exchanges digests
+// with one other entry, a reader of its data centre or a peer in turn (anti-entropy,
+// same paper).
 //
-// The package uses no sockets, clocks or goroutines. Draws are seeded.
+// The package uses no sockets, clocks or goroutines. Random selections are seeded.
 package spread
--- a/internal/peer/spread/table.go
+++ b/internal/peer/spread/table.go
@@ -9,61 +9,61 @@
 )
 
 const (
-	// Watchers is how many entries of a data centre read the platform's
-	// service. One may be frozen and another cut off. At 19 data centres it
-	// makes 57 watches, where one for each of 670 entries would take a third
-	// of the reads that the service handles.
+	// Watchers is the number of readers in a data centre. With three, one may be frozen
+	// and another disconnected. In 19 data centres this makes 57 watches; a watch for each
+	// of 670 entries would take a third of the reads that the service handles.
 	Watchers = 3
-	// Fanout is how many entries are told of a change at once, one of them in
-	// another data centre. With four, rumours alone miss about one entry in
-	// fifty, whom anti-entropy reaches; each more would cost every entry one
-	// more exchange a change.
+	// Fanout is the number of peers that an entry sends a change to, one of them in
+	// another data centre. With four, rumours alone miss about one entry in fifty, which
+	// anti-entropy then reaches. Each additional one would cost every entry one more
+	// exchange per change.
 	Fanout = 4
-	// nearPeers is how many entries of its data centre an entry exchanges with,
-	// besides one of each other data centre. A connection takes some 80 KB at
-	// each end, so that connections to all of 670 entries would take more than
-	// the 32 MB that a node has for control; with these it has some 50 open.
-	nearPeers = 8
-	// readerEvery is how many turns pass between two that go to a reader of the
-	// data centre. A reader hears from all entries of its data centre; at 35 of
-	// them every second turn would cost it 5 KB/s, with this 3 KB/s. A dead
-	// reader is found within Watchers times as many turns, 6 s.
-	readerEvery = 4
-	// silentEvery is how many turns pass between two that go to an entry that
-	// does not answer.
-	silentEvery = 8
+	// localPeers is the number of peers in an entry's own data centre. It also has one in
+	// each other data centre. A connection takes some 80 KB at each end, so that
+	// connections to all of 670 entries would exceed the 32 MB that a node has for
+	// control. With localPeers an entry has some 50 open connections.
+	localPeers = 8
+	// readerInterval is the interval, in rounds of Periodic, between exchanges with a
+	// reader of the data centre. A reader exchanges with all entries of its data centre.
+	// With 35 of them, an interval of two rounds would cost it 5 KB/s; this one costs
+	// 3 KB/s. A failed reader is detected within Watchers times this number of rounds,
+	// which is 6 s.
+	readerInterval = 4
+	// unresponsiveInterval is the interval, in rounds of Periodic, between exchanges with
+	// an unresponsive entry.
+	unresponsiveInterval = 8
 )
 
-// Node is an entry.
+// Node identifies an entry.
 type Node struct {
-	// Name is the VM's name, DataCentre its data centre and Addr where its
-	// process is met, as IP:port.
+	// Name is the name of the VM, DataCentre its data centre and Addr the address of its
+	// process, as IP:port.
 	Name, DataCentre, Addr string
 }
 
-// Table is what one entry knows of the others. Set the exported fields before
-// the first call. It may not be used by several goroutines at once.
+// Table holds the other entries that an entry knows. Set the exported fields before
+// the first call. A Table is not safe for concurrent use.
 type Table struct {
 	// Self is this entry.
 	Self Node
-	// Seed makes the draws of entries differ.
+	// Seed, together with the name of Self, seeds the random selections.
 	Seed uint64
 
-	rng    *rand.Rand
-	nodes  []Node // others, by name
-	ranked []Node // of the own data centre with Self, in rendezvous order
-	silent map[string]bool
-	turn   int
+	rng          *rand.Rand
+	nodes        []Node // other entries, ordered by name
+	ranked       []Node // entries of the own data centre including Self, in rendezvous order
+	unresponsive map[string]bool
+	round        int
 }
 
-// Set makes nodes the other entries.
+// Set replaces the other entries by nodes.
 func (t *Table) Set(nodes []Node) {
 	t.nodes = slices.Clone(nodes)
 	slices.SortFunc(t.nodes, func(a, b Node) int { return cmp.Compare(a.Name, b.Name) })
 	t.ranked = []Node{t.Self}
-	listed := map[string]bool{}
+	known := map[string]bool{}
 	for _, n := range t.nodes {
-		listed[n.Name] = true
+		known[n.Name] = true
 		if n.DataCentre == t.Self.DataCentre {
 			t.ranked = append(t.ranked, n)
 		}
@@ -74,32 +74,32 @@
 		}
 		return cmp.Compare(a.Name, b.Name)
 	})
-	for name := range t.silent {
-		if !listed[name] {
-			delete(t.silent, name)
+	for name := range t.unresponsive {
+		if !known[name] {
+			delete(t.unresponsive, name)
 		}
 	}
 }
 
-// Answered notes whether an entry answered an exchange.
+// Answered records whether the named entry responded to an exchange.
 func (t *Table) Answered(name string, ok bool) {
 	if ok {
-		delete(t.silent, name)
+		delete(t.unresponsive, name)
 		return
 	}
-	if t.silent == nil {
-		t.silent = map[string]bool{}
+	if t.unresponsive == nil {
+		t.unresponsive = map[string]bool{}
 	}
-	t.silent[name] = true
+	t.unresponsive[name] = true
 }
 
-// Watches reports whether this entry reads the platform's service.
+// Watches reports whether this entry is a reader.
 //
-// It guards against a data centre that hears nothing from the platform because
-// the entries that were chosen are dead or frozen and the list of VMs, which
-// lags, still names them: an operator would see orders come into force in other
-// data centres and not in this one. It holds because each entry passes over
-// those that do not answer itself; in doubt more entries read, never none.
+// A data centre must not stop receiving changes because its readers are dead or
+// frozen while the lagging list of VMs still names them: an operator would see changes
+// take effect in other data centres but not in this one. Each entry therefore skips
+// the entries that did not respond to it. In case of doubt there are too many readers
+// and never none.
 func (t *Table) Watches() bool {
 	for _, n := range t.readers() {
 		if n.Name == t.Self.Name {
@@ -109,105 +109,109 @@
 	return len(t.ranked) == 0
 }
 
-// readers returns the entries of the data centre in order up to the last
-// reader, those that do not answer among them.
+// readers returns the entries of the data centre in rendezvous order up to the last
+// reader, including unresponsive entries in between.
 func (t *Table) readers() []Node {
-	live := 0
+	responsive := 0
 	for i, n := range t.ranked {
-		if !t.silent[n.Name] {
-			live++
+		if !t.unresponsive[n.Name] {
+			responsive++
 		}
-		if live == Watchers {
+		if responsive == Watchers {
 			return t.ranked[:i+1]
 		}
 	}
 	return t.ranked
 }
 
-// OnChange returns the entries to tell of a change: at most Fanout of the peers,
-// one of them in another data centre. Entries that do not answer are left out,
-// because a rumour told to nobody dies; they are asked by turns.
+// OnChange returns the entries to send a change to: at most Fanout peers, one of them
+// in another data centre if there is one. It skips unresponsive entries, because a
+// rumour sent to them would not spread; Periodic returns them from time to time.
 func (t *Table) OnChange() []Node {
-	near, far := t.split()
-	chosen := t.draw(far, 1)
-	chosen = append(chosen, t.draw(near, Fanout-len(chosen))...)
-	if rest := Fanout - len(chosen); rest > 0 {
-		far = slices.DeleteFunc(far, func(n Node) bool { return slices.Contains(chosen, n) })
-		chosen = append(chosen, t.draw(far, rest)...)
-	}
-	return chosen
+	local, remote := t.peers()
+	targets := t.sample(remote, 1)
+	targets = append(targets, t.sample(local, Fanout-len(targets))...)
+	if missing := Fanout - len(targets); missing > 0 {
+		remote = slices.DeleteFunc(remote, func(n Node) bool { return slices.Contains(targets, n) })
+		targets = append(targets, t.sample(remote, missing)...)
+	}
+	return targets
 }
 
-// split returns the peers in the own data centre and elsewhere: by rendezvous
-// hashing the first that answer, so that an entry keeps to the same ones.
-func (t *Table) split() (near, far []Node) {
-	best := map[string]Node{}
+// peers returns the peers in the own data centre and in the others. They are the
+// first responsive entries in the order of rendezvous hashing, so that they rarely
+// change.
+func (t *Table) peers() (local, remote []Node) {
+	remotePeers := map[string]Node{}
 	for _, n := range t.nodes {
 		switch {
-		case t.silent[n.Name]:
+		case t.unresponsive[n.Name]:
 		case n.DataCentre == t.Self.DataCentre:
-			near = append(near, n)
-		case t.closer(n, best[n.DataCentre]):
-			best[n.DataCentre] = n
+			local = append(local, n)
+		case t.ranksBefore(n, remotePeers[n.DataCentre]):
+			remotePeers[n.DataCentre] = n
 		}
 	}
-	slices.SortFunc(near, func(a, b Node) int { return cmp.Compare(t.score(a), t.score(b)) })
-	for _, n := range best {
-		far = append(far, n)
+	slices.SortFunc(local, func(a, b Node) int { return cmp.Compare(t.score(a), t.score(b)) })
+	for _, n := range remotePeers {
+		remote = append(remote, n)
 	}
-	slices.SortFunc(far, func(a, b Node) int { return cmp.Compare(a.Name, b.Name) })
-	return near[:min(len(near), nearPeers)], far
+	slices.SortFunc(remote, func(a, b Node) int { return cmp.Compare(a.Name, b.Name) })
+	return local[:min(len(local), localPeers)], remote
 }
 
-func (t *Table) closer(n, than Node) bool {
-	return than.Name == "" || t.score(n) < t.score(than)
+func (t *Table) ranksBefore(n, other Node) bool {
+	return other.Name == "" || t.score(n) < t.score(other)
 }
 
-// score ranks other entries differently at each entry.
+// score returns the position of an entry in the order of peers, which differs from
+// entry to entry.
 func (t *Table) score(n Node) uint64 { return xxhash.Sum64String(t.Self.Name + "\x00" + n.Name) }
 
-// Periodic returns the entry to exchange with now, or false when there is no
-// other. Some turns go to the readers of the data centre, silent ones too, so
-// that the next in order takes over within a few turns and hands back when they
-// answer again; the others go to a peer or to a silent entry.
+// Periodic returns the entry to exchange with in this round, or false if there are no
+// other entries. Every readerInterval rounds it returns a reader of the data centre,
+// in turn and including unresponsive ones, so that a failed reader is replaced within
+// a few rounds and takes over again once it responds. In other rounds it returns a
+// peer or an unresponsive entry.
 func (t *Table) Periodic() (Node, bool) {
 	if len(t.nodes) == 0 {
 		return Node{}, false
 	}
-	t.turn++
+	t.round++
 	readers := slices.DeleteFunc(slices.Clone(t.readers()), func(n Node) bool { return n.Name == t.Self.Name })
-	if t.turn%readerEvery != 1 || len(readers) == 0 {
-		return t.any(), true
+	if t.round%readerInterval != 1 || len(readers) == 0 {
+		return t.periodicPeer(), true
 	}
-	return readers[t.turn/readerEvery%len(readers)], true
+	return readers[t.round/readerInterval%len(readers)], true
 }
 
-// any returns a peer, or now and then a silent entry. There must be another
-// entry. In a data centre that is cut off most entries are silent; were each
-// asked as often as a peer, the peers would hear little of each other.
-func (t *Table) any() Node {
-	near, far := t.split()
-	peers := append(near, far...)
-	var silent []Node
+// periodicPeer returns a random peer, or every unresponsiveInterval rounds an
+// unresponsive entry. There must be another entry. In a data centre that is
+// disconnected from the others most entries are unresponsive; if they were selected
+// as often as peers, there would be few exchanges between peers.
+func (t *Table) periodicPeer() Node {
+	local, remote := t.peers()
+	peers := append(local, remote...)
+	var unresponsive []Node
 	for _, n := range t.nodes {
-		if t.silent[n.Name] {
-			silent = append(silent, n)
+		if t.unresponsive[n.Name] {
+			unresponsive = append(unresponsive, n)
 		}
 	}
-	if len(peers) == 0 || len(silent) > 0 && t.turn%silentEvery == 0 {
-		return t.draw(silent, 1)[0]
+	if len(peers) == 0 || len(unresponsive) > 0 && t.round%unresponsiveInterval == 0 {
+		return t.sample(unresponsive, 1)[0]
 	}
-	return t.draw(peers, 1)[0]
+	return t.sample(peers, 1)[0]
 }
 
-// Ask returns up to n entries that answer, at random.
+// Ask returns up to n random peers.
 func (t *Table) Ask(n int) []Node {
-	near, far := t.split()
-	return t.draw(append(near, far...), n)
+	local, remote := t.peers()
+	return t.sample(append(local, remote...), n)
 }
 
-// draw returns up to n of the nodes at random.
-func (t *Table) draw(nodes []Node, n int) []Node {
+// sample returns up to n of the nodes, selected at random.
+func (t *Table) sample(nodes []Node, n int) []Node {
 	if t.rng == nil {
 		t.rng = rand.New(rand.NewPCG(t.Seed, xxhash.Sum64String(t.Self.Name)))
 	}
--- a/internal/peer/spread/table_test.go
+++ b/internal/peer/spread/table_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func nodesOf(n, dataCentres int) []Node {
+func newNodes(n, dataCentres int) []Node {
 	var all []Node
 	for i := range n {
 		all = append(all, Node{Name: fmt.Sprintf("e%d", i), DataCentre: fmt.Sprintf("d%d", i%dataCentres)})
@@ -14,54 +14,55 @@
 	return all
 }
 
-func tableOf(all []Node, i int) *Table {
+func newTable(all []Node, i int) *Table {
 	t := &Table{Self: all[i], Seed: 1}
 	t.Set(append(append([]Node(nil), all[:i]...), all[i+1:]...))
 	return t
 }
 
-// watchers returns how many of the entries of the data centre read.
-func watchers(all []Node, dc string, silent ...string) int {
+// countReaders returns the number of readers in the data centre when each entry finds
+// the given entries unresponsive.
+func countReaders(all []Node, dc string, unresponsive ...string) int {
 	n := 0
-	for i, one := range all {
-		t := tableOf(all, i)
-		for _, s := range silent {
-			if s != one.Name {
+	for i, node := range all {
+		t := newTable(all, i)
+		for _, s := range unresponsive {
+			if s != node.Name {
 				t.Answered(s, false)
 			}
 		}
-		if one.DataCentre == dc && t.Watches() {
+		if node.DataCentre == dc && t.Watches() {
 			n++
 		}
 	}
 	return n
 }
 
-func TestEachDataCentreHasItsWatchers(t *testing.T) {
+func TestEachDataCentreHasReaders(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 9, 35, 120} {
 		want := min(n, Watchers)
-		if got := watchers(nodesOf(n, 1), "d0"); got != want {
-			t.Errorf("%d entries: %d watch, want %d", n, got, want)
+		if got := countReaders(newNodes(n, 1), "d0"); got != want {
+			t.Errorf("%d entries: %d readers, want %d", n, got, want)
 		}
 	}
 }
 
 func TestListsThatDifferLeaveNoneOut(t *testing.T) {
-	all := nodesOf(35, 1)
+	all := newNodes(35, 1)
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 50 {
 		n := 0
 		for i := range all {
-			// Each entry lacks a tenth of the list.
-			own := &Table{Self: all[i]}
-			var some []Node
+			// Each entry lacks a random tenth of the list.
+			table := &Table{Self: all[i]}
+			var others []Node
 			for j := range all {
 				if j != i && rng.IntN(10) > 0 {
-					some = append(some, all[j])
+					others = append(others, all[j])
 				}
 			}
-			own.Set(some)
-			if own.Watches() {
+			table.Set(others)
+			if table.Watches() {
 				n++
 			}
 		}
@@ -71,130 +72,130 @@
 	}
 }
 
-func TestCutOffEntryWatchesItself(t *testing.T) {
-	all := nodesOf(35, 1)
+func TestIsolatedEntryIsReader(t *testing.T) {
+	all := newNodes(35, 1)
 	for i := range all {
-		own := tableOf(all, i)
+		table := newTable(all, i)
 		for _, o := range all {
 			if o != all[i] {
-				own.Answered(o.Name, false)
+				table.Answered(o.Name, false)
 			}
 		}
-		if !own.Watches() {
-			t.Errorf("%s hears of nobody and does not watch", all[i].Name)
+		if !table.Watches() {
+			t.Errorf("%s finds all others unresponsive and is not a reader", all[i].Name)
 		}
 	}
 }
 
-func TestAnswersBringThePlaceBack(t *testing.T) {
-	all := nodesOf(20, 1)
+func TestResponsiveReaderIsRestored(t *testing.T) {
+	all := newNodes(20, 1)
 	first := ""
 	for i := range all {
-		if r := tableOf(all, i).readers(); len(r) > 0 {
+		if r := newTable(all, i).readers(); len(r) > 0 {
 			first = r[0].Name
 		}
 	}
-	if got := watchers(all, "d0", first); got != Watchers+1 {
-		// The silent one itself still watches; the others make up for it.
-		t.Errorf("%d watch, want %d", got, Watchers+1)
+	if got := countReaders(all, "d0", first); got != Watchers+1 {
+		// The unresponsive entry itself is still a reader, in addition to its replacement.
+		t.Errorf("%d readers, want %d", got, Watchers+1)
 	}
-	own := tableOf(all, 0)
-	before := len(own.readers())
-	own.Answered(first, false)
-	own.Answered(first, true)
-	if len(own.readers()) != before {
-		t.Error("an entry that answers again has not its place back")
+	table := newTable(all, 0)
+	before := len(table.readers())
+	table.Answered(first, false)
+	table.Answered(first, true)
+	if len(table.readers()) != before {
+		t.Error("a responsive entry is not a reader again")
 	}
 }
 
 func TestOnChange(t *testing.T) {
-	all := nodesOf(60, 3)
-	own := tableOf(all, 0)
-	silent := all[3].Name
-	own.Answered(silent, false)
+	all := newNodes(60, 3)
+	table := newTable(all, 0)
+	unresponsive := all[3].Name
+	table.Answered(unresponsive, false)
 	for range 200 {
-		far := 0
-		seen := map[string]bool{all[0].Name: true, silent: true}
-		chosen := own.OnChange()
-		for _, n := range chosen {
+		remote := 0
+		seen := map[string]bool{all[0].Name: true, unresponsive: true}
+		targets := table.OnChange()
+		for _, n := range targets {
 			if seen[n.Name] {
-				t.Fatalf("%s is chosen twice, itself or silent", n.Name)
+				t.Fatalf("%s is returned twice, is the entry itself or is unresponsive", n.Name)
 			}
 			seen[n.Name] = true
 			if n.DataCentre != "d0" {
-				far++
+				remote++
 			}
 		}
-		if len(chosen) != Fanout || far != 1 {
-			t.Fatalf("%d chosen, %d elsewhere", len(chosen), far)
+		if len(targets) != Fanout || remote != 1 {
+			t.Fatalf("%d entries returned, %d in other data centres", len(targets), remote)
 		}
 	}
-	lone := tableOf(nodesOf(8, 8), 0)
-	if n := len(lone.OnChange()); n != Fanout {
-		t.Errorf("an entry alone in its data centre tells %d", n)
+	single := newTable(newNodes(8, 8), 0)
+	if n := len(single.OnChange()); n != Fanout {
+		t.Errorf("only entry of its data centre: %d entries returned", n)
 	}
-	if n := len(tableOf(nodesOf(1, 1), 0).OnChange()); n != 0 {
-		t.Errorf("the only entry tells %d", n)
+	if n := len(newTable(newNodes(1, 1), 0).OnChange()); n != 0 {
+		t.Errorf("only entry: %d entries returned", n)
 	}
 }
 
-// Turns keep to few entries, or connections to all would take more memory than
-// a node has; and they meet each of them, the readers often.
-func TestTurnsMeetPeersAndReaders(t *testing.T) {
+// Periodic must return only a few entries, since connections to all would exceed the
+// memory of a node, but each of them, and readers often.
+func TestPeriodicCoversPeersAndReaders(t *testing.T) {
 	for _, n := range []int{2, 9, 30, 670} {
-		all := nodesOf(n, 19)
-		own := tableOf(all, 0)
-		near, far := own.split()
+		all := newNodes(n, 19)
+		table := newTable(all, 0)
+		local, remote := table.peers()
 		want := map[string]bool{}
-		for _, p := range append(append(near, far...), own.readers()...) {
-			want[p.Name] = p != own.Self
+		for _, p := range append(append(local, remote...), table.readers()...) {
+			want[p.Name] = p != table.Self
 		}
-		met := map[string]int{}
+		contacts := map[string]int{}
 		for range 2000 {
-			p, ok := own.Periodic()
+			p, ok := table.Periodic()
 			if !ok {
-				t.Fatal("nobody's turn")
+				t.Fatal("Periodic returned no entry")
 			}
-			met[p.Name]++
+			contacts[p.Name]++
 		}
-		for name := range met {
+		for name := range contacts {
 			if !want[name] {
-				t.Errorf("%d entries: %s is met", n, name)
+				t.Errorf("%d entries: %s was returned", n, name)
 			}
 		}
 		for name, w := range want {
-			if w && met[name] == 0 {
-				t.Errorf("%d entries: %s is never met", n, name)
+			if w && contacts[name] == 0 {
+				t.Errorf("%d entries: %s was never returned", n, name)
 			}
 		}
-		if len(met) > nearPeers+18+Watchers {
-			t.Errorf("%d entries: %d are met", n, len(met))
+		if len(contacts) > localPeers+18+Watchers {
+			t.Errorf("%d entries: %d were returned", n, len(contacts))
 		}
-		for _, r := range own.readers() {
-			if r != own.Self && met[r.Name] < 2000/readerEvery/Watchers {
-				t.Errorf("%d entries: reader %s is met %d times in 2000 turns", n, r.Name, met[r.Name])
+		for _, r := range table.readers() {
+			if r != table.Self && contacts[r.Name] < 2000/readerInterval/Watchers {
+				t.Errorf("%d entries: reader %s was returned %d times in 2000 rounds", n, r.Name, contacts[r.Name])
 			}
 		}
 	}
 }
 
-// Were the peers of entries to fall into two sets that never meet, a change in
-// one would never reach the other.
+// Guards against peers that split into two disconnected sets, so that a change in one
+// set never reaches the other.
 func TestPeersConnectAllEntries(t *testing.T) {
 	for _, n := range []int{2, 3, 9, 27, 190, 670} {
 		for _, dataCentres := range []int{1, 3, 19} {
-			all := nodesOf(n, dataCentres)
-			links := map[string][]string{}
-			for i, one := range all {
-				near, far := tableOf(all, i).split()
-				for _, p := range append(near, far...) {
-					links[one.Name] = append(links[one.Name], p.Name)
-					links[p.Name] = append(links[p.Name], one.Name)
+			all := newNodes(n, dataCentres)
+			neighbours := map[string][]string{}
+			for i, node := range all {
+				local, remote := newTable(all, i).peers()
+				for _, p := range append(local, remote...) {
+					neighbours[node.Name] = append(neighbours[node.Name], p.Name)
+					neighbours[p.Name] = append(neighbours[p.Name], node.Name)
 				}
 			}
 			reached := map[string]bool{all[0].Name: true}
 			for next := []string{all[0].Name}; len(next) > 0; next = next[1:] {
-				for _, p := range links[next[0]] {
+				for _, p := range neighbours[next[0]] {
 					if !reached[p] {
 						reached[p] = true
 						next = append(next, p)
@@ -209,14 +210,14 @@
 }
 
 func TestSilentEntryIsAskedAgain(t *testing.T) {
-	all := nodesOf(670, 19)
-	own := tableOf(all, 0)
-	silent := all[300].Name
-	own.Answered(silent, false)
+	all := newNodes(670, 19)
+	table := newTable(all, 0)
+	unresponsive := all[300].Name
+	table.Answered(unresponsive, false)
 	for range 2000 {
-		if p, _ := own.Periodic(); p.Name == silent {
+		if p, _ := table.Periodic(); p.Name == unresponsive {
 			return
 		}
 	}
-	t.Error("a silent entry is never asked again")
+	t.Error("the unresponsive entry was never returned")
 }
