--- a/internal/platform/reply.go
+++ b/internal/platform/reply.go
@@ -10,6 +10,7 @@
 	lease    LeaseID
 }
 
+// Key returns the key.
 func (kv KeyValue) Key() string { return kv.key }
 
 // Value returns the value. The caller must not modify it.
