--- a/internal/peer/spread/table.go
+++ b/internal/peer/spread/table.go
@@ -125,8 +125,9 @@
 }
 
 // OnChange returns the entries to send a change to: at most Fanout peers, one of them
-// in another data centre if there is one. It skips unresponsive entries, because a
-// rumour sent to them would not spread; Periodic returns them from time to time.
+// in another data centre. If there are too few local peers, further remote ones are
+// added. It skips unresponsive entries, because a rumour sent to them would not
+// spread; Periodic returns them from time to time.
 func (t *Table) OnChange() []Node {
 	local, remote := t.peers()
 	targets := t.sample(remote, 1)
