--- a/internal/platform/config/bench_test.go
+++ b/internal/platform/config/bench_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// headOfSize returns a head with n endpoints out and a full list of changes.
+// headOfSize returns a head with n endpoints out of service and a full list of
+// recent changes.
 func headOfSize(b *testing.B, n int) Head {
 	h := mustApply(b, Head{}, "day", PutPreset{Name: "day", Body: []byte("d")})
 	for i := range n {
--- a/internal/platform/config/change.go
+++ b/internal/platform/config/change.go
@@ -7,69 +7,70 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Change is what an operator can order: PutPreset, SwitchPreset, TakeOut or
-// BringIn.
+// Change is an operator's change of the configuration: a PutPreset,
+// SwitchPreset, TakeOut or BringIn.
 type Change interface{ isChange() }
 
-// PutPreset stores a preset. The first preset comes into force at once; a new
-// body for the preset in force is in force at once too.
+// PutPreset stores a preset or replaces the body of a stored one. The first
+// preset stored becomes the one in force, and a new body for the preset in
+// force takes effect at once.
 type PutPreset struct {
 	Name string
 	Body []byte
 }
 
-// SwitchPreset puts the preset with the name into force.
+// SwitchPreset makes the named preset the one in force.
 type SwitchPreset struct{ Name string }
 
 // TakeOut takes a target out of service.
 type TakeOut struct{ Target Target }
 
-// BringIn brings a target back into service. It ends all orders to take it out
-// that the configuration holds.
+// BringIn brings a target back into service. It removes every entry in the
+// document that keeps the target out of service.
 type BringIn struct{ Target Target }
 
-// endHold ends the order of one hold that was released before the document
-// held it, and no other.
-type endHold struct{ holdID string }
+// releaseHold records the release of a hold in the document. It removes the
+// entry made by that hold, if the document has one, and no other.
+type releaseHold struct{ holdID string }
 
-// absorb gives a join of heads that forked a generation of its own.
-type absorb struct{}
+// recordJoin gives the join of concurrent heads a generation of its own.
+type recordJoin struct{}
 
 func (PutPreset) isChange()    {}
 func (SwitchPreset) isChange() {}
 func (TakeOut) isChange()      {}
 func (BringIn) isChange()      {}
-func (endHold) isChange()      {}
-func (absorb) isChange()       {}
+func (releaseHold) isChange()  {}
+func (recordJoin) isChange()   {}
 
-// Order is a change as an operator submits it.
+// Order is a change submitted by an operator.
 type Order struct {
-	// ChangeID names the order. A repeat with the same id is done once.
+	// ChangeID identifies the order. A repeated order with the same id is
+	// applied only once.
 	ChangeID string
-	// By is the operator.
+	// By is the name of the operator.
 	By string
-	// IfGeneration is the generation that the operator decided by; zero means
-	// any.
+	// IfGeneration is the generation that the order requires; zero accepts any.
 	IfGeneration uint64
-	// Change is what is ordered.
+	// Change is the requested change.
 	Change Change
 }
 
-// check returns a result.MalformedOrder or result.BodyTooLarge error for an
-// order that can't be done on any head.
-func (o Order) check() error {
+// validate returns a result.MalformedOrder or result.BodyTooLarge error for an
+// order that no head can accept.
+func (o Order) validate() error {
 	if !validName(o.ChangeID) {
-		return result.New(result.MalformedOrder, "the change id must be 1 to 64 printable characters without spaces and quotes")
+		return result.New(result.MalformedOrder, "the change id must be 1 to 64 printable ASCII characters other than space, quotes, <, >, & and backslash")
 	}
 	if !validName(o.By) {
-		return result.New(result.MalformedOrder, "the operator must be 1 to 64 printable characters without spaces and quotes")
+		return result.New(result.MalformedOrder, "the operator name must be 1 to 64 printable ASCII characters other than space, quotes, <, >, & and backslash")
 	}
 	name := ""
 	switch c := o.Change.(type) {
 	case PutPreset:
 		name = c.Name
 		if len(c.Body) > MaxPart {
-			return result.Newf(result.BodyTooLarge, "%d bytes, at most %d", len(c.Body), MaxPart)
+			return result.Newf(result.BodyTooLarge, "the preset has %d bytes, the maximum is %d", len(c.Body), MaxPart)
 		}
 	case SwitchPreset:
 		name = c.Name
@@ -77,58 +78,58 @@
 		name = c.Target.name
 	case BringIn:
 		name = c.Target.name
-	case endHold:
+	case releaseHold:
 		name = c.holdID
-	case absorb:
+	case recordJoin:
 		return nil
 	default:
-		return result.New(result.MalformedOrder, "the order names no change")
+		return result.New(result.MalformedOrder, "the order contains no change")
 	}
 	if !validName(name) {
-		return result.Newf(result.MalformedOrder, "%q is not a name", name)
+		return result.Newf(result.MalformedOrder, "%q is not a valid name", name)
 	}
 	return nil
 }
 
-// Apply returns the head after an order that was met at now. It does not look
-// at IfGeneration. Errors are results: MalformedOrder, BodyTooLarge,
-// UnknownPreset.
+// Apply returns the head that results from the order o, received at time now.
+// It does not check IfGeneration. Errors have the result codes MalformedOrder,
+// BodyTooLarge or UnknownPreset.
 func Apply(h Head, o Order, now time.Time) (Head, error) {
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return Head{}, err
 	}
 	if h.dot.generation == maxGeneration {
-		return Head{}, result.New(result.MalformedOrder, "the generation can't grow any more")
+		return Head{}, result.New(result.MalformedOrder, "the generation has reached its maximum")
 	}
-	n := h
-	n.dot = Dot{generation: h.dot.generation + 1, changeID: o.ChangeID}
-	if err := n.change(h, o, now); err != nil {
+	next := h
+	next.dot = Dot{generation: h.dot.generation + 1, changeID: o.ChangeID}
+	if err := next.applyChange(h, o, now); err != nil {
 		return Head{}, err
 	}
-	n.joined = false
-	n.recent = append(append([]Dot(nil), h.recent...), n.dot)
-	n.trim(maxRecent)
-	return n, nil
+	next.joined = false
+	next.recent = append(append([]Dot(nil), h.recent...), next.dot)
+	next.trim(maxRecent)
+	return next, nil
 }
 
-func (h *Head) change(old Head, o Order, now time.Time) error {
+func (h *Head) applyChange(old Head, o Order, now time.Time) error {
 	switch c := o.Change.(type) {
 	case PutPreset:
 		return h.putPreset(old, c)
 	case SwitchPreset:
 		return h.switchPreset(c.Name)
 	case TakeOut:
-		return h.takeOut(old, Out{target: c.Target, dot: h.dot, by: o.By, at: micros(now)})
+		return h.takeOut(old, Out{target: c.Target, dot: h.dot, by: o.By, at: truncateToMicros(now)})
 	case BringIn:
-		h.outs = without(old.outs, func(p Out) bool { return p.target == c.Target })
-	case endHold:
-		h.outs = without(old.outs, func(p Out) bool { return p.dot.changeID == c.holdID })
-		h.settle(old, c.holdID, o.ChangeID)
+		h.outOfService = removeEntries(old.outOfService, func(p Out) bool { return p.target == c.Target })
+	case releaseHold:
+		h.outOfService = removeEntries(old.outOfService, func(p Out) bool { return p.dot.changeID == c.holdID })
+		h.recordSettled(old, c.holdID, o.ChangeID)
 	}
 	return nil
 }
 
-func micros(t time.Time) time.Time { return time.UnixMicro(t.UnixMicro()).UTC() }
+func truncateToMicros(t time.Time) time.Time { return time.UnixMicro(t.UnixMicro()).UTC() }
 
 func (h *Head) putPreset(old Head, c PutPreset) error {
 	m := make(map[string]Preset, len(old.presets)+1)
@@ -137,7 +138,7 @@
 	}
 	m[c.Name] = Preset{name: c.Name, digest: Digest(c.Body), since: h.dot.generation}
 	if len(m) > maxPresets {
-		return result.Newf(result.MalformedOrder, "there are %d presets already", maxPresets)
+		return result.Newf(result.MalformedOrder, "the maximum of %d presets is reached", maxPresets)
 	}
 	h.presets = sortedPresets(m)
 	if h.inForce != "" {
@@ -155,36 +156,40 @@
 	return nil
 }
 
-// takeOut adds an order even when the target is out already: an order to bring
-// the target in that races this one has not seen it, so this one wins.
+// takeOut adds an entry even if the target is already out of service, so that
+// this order prevails over a concurrent order to bring the target in, which has
+// not seen the new entry.
 func (h *Head) takeOut(old Head, o Out) error {
-	outs := without(old.outs, func(p Out) bool { return p.target == o.target })
-	if len(outs) == maxOuts {
-		return result.Newf(result.MalformedOrder, "%d targets are out already", maxOuts)
-	}
-	outs = append(outs, o)
-	sort.Slice(outs, func(i, j int) bool { return outs[i].less(outs[j]) })
-	h.outs = outs
-	h.settle(old, o.dot.changeID)
+	entries := removeEntries(old.outOfService, func(p Out) bool { return p.target == o.target })
+	if len(entries) == maxOutOfService {
+		return result.Newf(result.MalformedOrder, "the maximum of %d targets out of service is reached", maxOutOfService)
+	}
+	entries = append(entries, o)
+	sort.Slice(entries, func(i, j int) bool { return entries[i].less(entries[j]) })
+	h.outOfService = entries
+	h.recordSettled(old, o.dot.changeID)
 	return nil
 }
 
-// settle lists orders that a process may hold. The list outlasts that of the
-// recent changes: a process that was cut off for long must still find its hold
-// there, or it would take the target out again after others brought it in.
-func (h *Head) settle(old Head, ids ...string) {
+// recordSettled adds the ids of orders that a process may still have as local
+// holds to the list of settled orders. That list reaches further back than the
+// list of recent changes: a process that was disconnected for a long time must
+// still find its hold there, or it would take the target out of service again
+// after others have brought it in.
+func (h *Head) recordSettled(old Head, ids ...string) {
 	h.settled = old.settled
 	for _, id := range ids {
-		if !hasID(h.settled, id) {
+		if !containsID(h.settled, id) {
 			d := Dot{generation: h.dot.generation, changeID: id}
 			h.settled = joinDots(h.settled, []Dot{d}, 0)
 		}
 	}
 }
 
-func without(outs []Out, drop func(Out) bool) []Out {
+// removeEntries returns the entries for which drop returns false.
+func removeEntries(entries []Out, drop func(Out) bool) []Out {
 	var kept []Out
-	for _, o := range outs {
+	for _, o := range entries {
 		if !drop(o) {
 			kept = append(kept, o)
 		}
@@ -192,10 +197,11 @@
 	return kept
 }
 
-// trim bounds the lists, the recent changes to n. What is forgotten counts as
-// seen by its generation. Without the bound the head would outgrow a value of
-// the service; with it, only heads that forked more than n changes ago lose the
-// proof of who saw what.
+// trim limits the recent changes to n and the settled orders to maxSettled.
+// Changes removed from the recent list count as seen by their generation
+// (Head.floor). The limits keep the head within the size of one value of the
+// service. Only heads that diverged more than n changes ago can no longer tell
+// which changes the other one has seen.
 func (h *Head) trim(n int) {
 	for len(h.recent) > n {
 		h.floor = h.recent[0].generation
--- a/internal/platform/config/codec.go
+++ b/internal/platform/config/codec.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// Limits of the document. Together they keep a head below MaxHead, which
-// travels between processes and must fit one value of the service.
+// Limits of the document. Together they keep an encoded head below MaxHead.
 const (
-	// MaxHead is the largest encoded head in bytes.
+	// MaxHead is the maximum size of an encoded head in bytes. A head is sent
+	// between processes and must fit in one value of the service.
 	MaxHead = 768 << 10
-	// MaxPart is the largest part in bytes: a value of the service less room
-	// for its key.
+	// MaxPart is the maximum size of a part in bytes: the maximum value of the
+	// service less room for its key.
 	MaxPart = 1<<20 - 4<<10
 
-	maxName       = 64
-	maxPresets    = 64
-	maxOuts       = 1024
-	maxRecent     = 128
-	maxListed     = 4 * maxRecent // a join of heads that forked lists more
-	maxSettled    = 256
-	maxGeneration = 1<<53 - 1 // other languages read JSON numbers as doubles
-	digestLen     = 64
+	maxName         = 64
+	maxPresets      = 64
+	maxOutOfService = 1024
+	maxRecent       = 128
+	maxListed       = 4 * maxRecent // the join of concurrent heads lists more
+	maxSettled      = 256
+	maxGeneration   = 1<<53 - 1 // other languages parse JSON numbers as doubles
+	digestLen       = 64
 )
 
-// Errors of DecodeHead.
+// Errors returned by DecodeHead, Store.Exchange and Store.Finish.
 var (
-	ErrTooLarge  = errors.New("config: the document is too large")
-	ErrMalformed = errors.New("config: the document can't be read")
+	ErrTooLarge  = errors.New("config: document is too large")
+	ErrMalformed = errors.New("config: document is malformed")
 )
 
 type dotJSON struct {
@@ -45,7 +45,7 @@
 	Since  uint64 `json:"since"`
 }
 
-type outJSON struct {
+type outEntryJSON struct {
 	Kind       string `json:"kind"`
 	Name       string `json:"name"`
 	Generation uint64 `json:"generation"`
@@ -55,16 +55,16 @@
 }
 
 type headJSON struct {
-	Generation   uint64       `json:"generation"`
-	ChangeID     string       `json:"changeId"`
-	InForce      string       `json:"inForce"`
-	InForceSince uint64       `json:"inForceSince"`
-	Presets      []presetJSON `json:"presets"`
-	Out          []outJSON    `json:"out"`
-	Floor        uint64       `json:"floor"`
-	Recent       []dotJSON    `json:"recent"`
-	Settled      []dotJSON    `json:"settled"`
-	Joined       bool         `json:"joined,omitempty"`
+	Generation   uint64         `json:"generation"`
+	ChangeID     string         `json:"changeId"`
+	InForce      string         `json:"inForce"`
+	InForceSince uint64         `json:"inForceSince"`
+	Presets      []presetJSON   `json:"presets"`
+	Out          []outEntryJSON `json:"out"`
+	Floor        uint64         `json:"floor"`
+	Recent       []dotJSON      `json:"recent"`
+	Settled      []dotJSON      `json:"settled"`
+	Joined       bool           `json:"joined,omitempty"`
 }
 
 // Encode returns the head as JSON with camelCase keys. Equal heads have equal
@@ -78,7 +78,7 @@
 		InForce:      h.inForce,
 		InForceSince: h.inForceSince,
 		Presets:      []presetJSON{},
-		Out:          []outJSON{},
+		Out:          []outEntryJSON{},
 		Floor:        h.floor,
 		Recent:       dotsToJSON(h.recent),
 		Settled:      dotsToJSON(h.settled),
@@ -87,8 +87,8 @@
 	for _, p := range h.presets {
 		j.Presets = append(j.Presets, presetJSON{Name: p.name, Digest: p.digest, Since: p.since})
 	}
-	for _, o := range h.outs {
-		j.Out = append(j.Out, outJSON{
+	for _, o := range h.outOfService {
+		j.Out = append(j.Out, outEntryJSON{
 			Kind:       o.target.kind.String(),
 			Name:       o.target.name,
 			Generation: o.dot.generation,
@@ -100,7 +100,8 @@
 	return j
 }
 
-// mustMarshal encodes structs of strings and integers, which can't fail.
+// mustMarshal encodes structs of strings, integers and booleans, for which
+// json.Marshal cannot fail.
 func mustMarshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -117,12 +118,12 @@
 	return js
 }
 
-// DecodeHead reads an encoded head. It refuses what Encode can't have written:
-// unknown keys, names or numbers out of bounds, lists out of order. The error
-// wraps ErrTooLarge or ErrMalformed.
+// DecodeHead decodes a head and rejects what Encode never produces: unknown
+// keys, names or numbers out of range, unsorted lists. The error wraps
+// ErrTooLarge or ErrMalformed.
 func DecodeHead(b []byte) (Head, error) {
 	if len(b) > MaxHead {
-		return Head{}, fmt.Errorf("%w: %d bytes, at most %d", ErrTooLarge, len(b), MaxHead)
+		return Head{}, fmt.Errorf("%w: %d bytes, the maximum is %d", ErrTooLarge, len(b), MaxHead)
 	}
 	var j headJSON
 	if err := strictUnmarshal(b, &j); err != nil {
@@ -142,7 +143,7 @@
 		return err
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("data after the document")
+		return errors.New("unexpected data after the document")
 	}
 	return nil
 }
@@ -159,11 +160,11 @@
 		h.presets = append(h.presets, Preset{name: p.Name, digest: p.Digest, since: p.Since})
 	}
 	for _, o := range j.Out {
-		out, err := outFromJSON(o)
+		out, err := outEntryFromJSON(o)
 		if err != nil {
 			return Head{}, err
 		}
-		h.outs = append(h.outs, out)
+		h.outOfService = append(h.outOfService, out)
 	}
 	h.recent = dotsFromJSON(j.Recent)
 	h.settled = dotsFromJSON(j.Settled)
@@ -178,8 +179,8 @@
 	return ds
 }
 
-func outFromJSON(j outJSON) (Out, error) {
-	t, err := targetFrom(j.Kind, j.Name)
+func outEntryFromJSON(j outEntryJSON) (Out, error) {
+	t, err := parseTarget(j.Kind, j.Name)
 	if err != nil {
 		return Out{}, err
 	}
@@ -191,13 +192,13 @@
 	}, nil
 }
 
-func targetFrom(kind, name string) (Target, error) {
+func parseTarget(kind, name string) (Target, error) {
 	switch kind {
 	case DataCentreKind.String():
 		return DataCentre(name), nil
 	case EndpointKind.String():
 		return Endpoint(name), nil
 	default:
-		return Target{}, fmt.Errorf("unknown kind %q", kind)
+		return Target{}, fmt.Errorf("unknown target kind %q", kind)
 	}
 }
--- a/internal/platform/config/codec_test.go
+++ b/internal/platform/config/codec_test.go
@@ -35,14 +35,14 @@
 		}
 		again, err := DecodeHead(h.Encode())
 		if err != nil || !bytes.Equal(again.Encode(), h.Encode()) {
-			t.Errorf("%s decodes to %s, error %v", b, h.Encode(), err)
+			t.Errorf("%s decoded to %s, error %v", b, h.Encode(), err)
 		}
 	})
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeHeadRejectsInvalidDocument(t *testing.T) {
 	good := string(sampleHead(t).Encode())
-	for _, c := range []struct{ name, old, fresh string }{
+	for _, c := range []struct{ name, old, replacement string }{
 		{"unknown key", `{"generation"`, `{"x":1,"generation"`},
 		{"data after it", good, good + "{}"},
 		{"no preset in force", `"inForce":"day"`, `"inForce":"night"`},
@@ -54,18 +54,18 @@
 		{"floor above", `"floor":0`, `"floor":7`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			bad := strings.Replace(good, c.old, c.fresh, 1)
+			bad := strings.Replace(good, c.old, c.replacement, 1)
 			if _, err := DecodeHead([]byte(bad)); bad == good || !errors.Is(err, ErrMalformed) {
 				t.Errorf("error %v for %s", err, bad)
 			}
 		})
 	}
 	if _, err := DecodeHead(make([]byte, MaxHead+1)); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("error %v, want too large", err)
+		t.Errorf("error %v, want ErrTooLarge", err)
 	}
 }
 
-func TestApplyRefuses(t *testing.T) {
+func TestApplyRejectsInvalidOrder(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		order Order
--- a/internal/platform/config/delta.go
+++ b/internal/platform/config/delta.go
@@ -6,38 +6,38 @@
 	"slices"
 )
 
-// deltaJSON is the difference between a document that the peer has and a newer
-// one. Without it each of 36,000 changes a day would move the whole document,
-// some 15 to 30 KB, in and out of each process, more than the 7 KB/s that a
-// node may spend on control.
+// deltaJSON is the difference between a document known to the peer and a newer
+// one. Sending the whole document of 15 to 30 KB for each of 36,000 changes a
+// day would exceed the 7 KB/s that a node may use for control traffic.
 //
-// A delta is proved, not trusted: whoever applies it compares the digest of
-// what comes out with the one of the message, and asks for the whole document
-// when they differ.
+// The receiver compares the digest of the resulting state with the digest in
+// the message and requests the whole document if they differ.
 type deltaJSON struct {
-	// Head holds what is new: in its lists only what the base lacks.
+	// Head is the newer head; its lists contain only what the base lacks.
 	Head headJSON `json:"head"`
-	// Ended are the places in the base's list of orders that are over.
+	// Ended contains the indexes, ascending, of the base's out-of-service
+	// entries that the newer head no longer has.
 	Ended []int `json:"ended,omitempty"`
-	// Recent and Settled are the lengths of these lists.
+	// Recent and Settled are the lengths of these lists in the newer head.
 	Recent  int `json:"recent"`
 	Settled int `json:"settled"`
 }
 
-// past is what a process knew, or what a peer knows, without parts.
-type past struct {
+// state is the document and the holds known to this process or to a peer,
+// without parts.
+type state struct {
 	digest string
 	head   Head
 	holds  []Hold
 }
 
-// maxPast is how many earlier states a store remembers: at one change in 2.4 s
-// about 40 s, several times what a change needs to reach everyone. A peer that
-// is further behind is sent the whole document.
-const maxPast = 16
+// maxHistory is the number of earlier states that a store keeps. At one change
+// in 2.4 s it covers about 40 s, several times the time in which a change
+// reaches all processes. A peer further behind gets the whole document.
+const maxHistory = 16
 
-// deltaOf returns what a peer with the base lacks.
-func deltaOf(base, h Head) *deltaJSON {
+// newDelta returns the difference from base to h.
+func newDelta(base, h Head) *deltaJSON {
 	old, d := base.toJSON(), &deltaJSON{Head: h.toJSON()}
 	d.Recent, d.Settled = len(d.Head.Recent), len(d.Head.Settled)
 	for i, o := range old.Out {
@@ -45,19 +45,19 @@
 			d.Ended = append(d.Ended, i)
 		}
 	}
-	d.Head.Presets = added(old.Presets, d.Head.Presets)
-	d.Head.Out = addedOuts(old.Out, d.Head.Out)
+	d.Head.Presets = addedPresets(old.Presets, d.Head.Presets)
+	d.Head.Out = addedOutEntries(old.Out, d.Head.Out)
 	d.Head.Recent = addedDots(old.Recent, d.Head.Recent)
 	d.Head.Settled = addedDots(old.Settled, d.Head.Settled)
 	return d
 }
 
-func added(old, all []presetJSON) []presetJSON {
+func addedPresets(old, all []presetJSON) []presetJSON {
 	return slices.DeleteFunc(all, func(p presetJSON) bool { return slices.Contains(old, p) })
 }
 
-func addedOuts(old, all []outJSON) []outJSON {
-	return slices.DeleteFunc(all, func(o outJSON) bool { return slices.Contains(old, o) })
+func addedOutEntries(old, all []outEntryJSON) []outEntryJSON {
+	return slices.DeleteFunc(all, func(o outEntryJSON) bool { return slices.Contains(old, o) })
 }
 
 func addedDots(old, all []dotJSON) []dotJSON {
@@ -68,19 +68,20 @@
 	return slices.DeleteFunc(all, func(d dotJSON) bool { return known[d] })
 }
 
-// apply returns the document that the delta makes of the base.
+// apply returns the head that results from applying the delta to base. The
+// error wraps ErrMalformed.
 func (d *deltaJSON) apply(base Head) (Head, error) {
 	j, old := d.Head, base.toJSON()
 	j.Presets = mergePresets(old.Presets, j.Presets)
 	for i := len(d.Ended) - 1; i >= 0; i-- {
 		n := d.Ended[i]
 		if n < 0 || n >= len(old.Out) {
-			return Head{}, fmt.Errorf("%w: order %d of %d is over", ErrMalformed, n, len(old.Out))
+			return Head{}, fmt.Errorf("%w: delta removes entry %d of %d", ErrMalformed, n, len(old.Out))
 		}
 		old.Out = slices.Delete(old.Out, n, n+1)
 	}
 	j.Out = append(old.Out, j.Out...)
-	slices.SortFunc(j.Out, compareOuts)
+	slices.SortFunc(j.Out, compareOutEntries)
 	j.Recent = mergeDots(old.Recent, j.Recent, d.Recent)
 	j.Settled = mergeDots(old.Settled, j.Settled, d.Settled)
 	h, err := headFromJSON(j)
@@ -101,7 +102,7 @@
 	return all
 }
 
-func compareOuts(a, b outJSON) int {
+func compareOutEntries(a, b outEntryJSON) int {
 	return cmp.Or(
 		cmp.Compare(a.Kind, b.Kind),
 		cmp.Compare(a.Name, b.Name),
@@ -110,7 +111,7 @@
 	)
 }
 
-// mergeDots returns the newest n of both.
+// mergeDots returns the latest n changes of both lists.
 func mergeDots(old, more []dotJSON, n int) []dotJSON {
 	all := append(old, more...)
 	slices.SortFunc(all, func(a, b dotJSON) int {
--- a/internal/platform/config/delta_test.go
+++ b/internal/platform/config/delta_test.go
@@ -8,44 +8,47 @@
 	"time"
 )
 
-// forked is a store with a random history of its own.
-type forked struct {
+// randomStore is a store that random changes are applied to.
+type randomStore struct {
 	name  string
 	store *Store
 	rng   *rand.Rand
 	n     int
-	// kinds is how many kinds of steps are drawn from; four leave holds out.
-	kinds int
+	// stepKinds is the number of kinds of steps to choose from: 4 without
+	// holds, 6 with holds and releases.
+	stepKinds int
 }
 
-func (f *forked) step(t *testing.T) {
+// step applies one random change to the store.
+func (r *randomStore) step(t *testing.T) {
 	t.Helper()
-	f.n++
-	id := fmt.Sprintf("%s-%d", f.name, f.n)
-	target := Endpoint(fmt.Sprintf("e%d", f.rng.IntN(6)))
+	r.n++
+	id := fmt.Sprintf("%s-%d", r.name, r.n)
+	target := Endpoint(fmt.Sprintf("e%d", r.rng.IntN(6)))
 	o := Order{ChangeID: id, By: "operator"}
-	switch f.rng.IntN(f.kinds) {
+	switch r.rng.IntN(r.stepKinds) {
 	case 0:
-		o.Change = PutPreset{Name: fmt.Sprintf("p%d", f.rng.IntN(3)), Body: []byte(id)}
+		o.Change = PutPreset{Name: fmt.Sprintf("p%d", r.rng.IntN(3)), Body: []byte(id)}
 	case 1, 2:
 		o.Change = TakeOut{Target: target}
 	case 3:
 		o.Change = BringIn{Target: target}
 	case 4:
-		f.store.hold(newHold(o, target, time.UnixMicro(int64(f.n))))
+		r.store.addHold(newHold(o, target, time.UnixMicro(int64(r.n))))
 		return
 	default:
-		f.store.releaseHolds(target, release{changeID: id, by: "operator"})
+		r.store.releaseHolds(target, release{changeID: id, by: "operator"})
 		return
 	}
-	h, err := Apply(f.store.Current().Head(), o, time.UnixMicro(int64(f.n)))
+	h, err := Apply(r.store.Current().Head(), o, time.UnixMicro(int64(r.n)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.store.Offer(h)
+	r.store.Offer(h)
 }
 
-// exchange runs an exchange and returns its bytes.
+// exchange runs an exchange between two stores and returns the number of bytes
+// sent.
 func exchange(t *testing.T, a, b *Store) int {
 	t.Helper()
 	size := 0
@@ -64,12 +67,13 @@
 			return size
 		}
 	}
-	t.Fatal("the exchange has no end")
+	t.Fatal("the exchange did not end after 8 rounds")
 	return 0
 }
 
-// naive returns the store that has taken in all of both, without any message.
-func naive(a, b *Store) *Store {
+// joinStores returns a store that joins the full state of both, without
+// messages.
+func joinStores(a, b *Store) *Store {
 	n := &Store{}
 	for _, s := range []*Store{a, b} {
 		c := s.Current()
@@ -85,14 +89,14 @@
 	}
 }
 
-// Differential: whatever two processes have gone through, together or cut off
-// from each other, an exchange by differences leaves both with what a join of
-// the whole documents gives.
-func TestExchangeAgainstWholeDocuments(t *testing.T) {
+// Two processes change their configuration, in part without contact. After an
+// exchange of deltas both must have the state that a join of the full documents
+// gives.
+func TestExchangeMatchesJoinOfFullDocuments(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		a := &forked{name: "a", store: &Store{}, rng: rng, kinds: 6}
-		b := &forked{name: "b", store: &Store{}, rng: rng, kinds: 6}
+		a := &randomStore{name: "a", store: &Store{}, rng: rng, stepKinds: 6}
+		b := &randomStore{name: "b", store: &Store{}, rng: rng, stepKinds: 6}
 		for range 1 + rng.IntN(4) {
 			for range rng.IntN(40) {
 				a.step(t)
@@ -102,7 +106,7 @@
 					b.step(t)
 				}
 			}
-			want := naive(a.store, b.store)
+			want := joinStores(a.store, b.store)
 			exchange(t, a.store, b.store)
 			assertSame(t, fmt.Sprintf("seed %d, a", seed), a.store, want)
 			assertSame(t, fmt.Sprintf("seed %d, b", seed), b.store, want)
@@ -110,33 +114,33 @@
 	}
 }
 
-// A peer that is a few changes behind is sent these and not the document; one
-// that remembers nothing in common is sent all. Holds always travel whole.
-func TestFewBytesForFewChanges(t *testing.T) {
-	a := &forked{name: "a", store: &Store{}, rng: rand.New(rand.NewPCG(1, 1)), kinds: 4}
+// A peer that is a few changes behind gets a delta, not the whole document; a
+// peer without a known state gets the whole document. The test excludes holds,
+// which every delta contains in full.
+func TestDeltaSizeDependsOnNumberOfChanges(t *testing.T) {
+	a := &randomStore{name: "a", store: &Store{}, rng: rand.New(rand.NewPCG(1, 1)), stepKinds: 4}
 	for range 300 {
 		a.step(t)
 	}
 	b := &Store{}
 	if n := exchange(t, b, a.store); n < len(a.store.State())/2 {
-		t.Errorf("a new process learnt all from %d bytes", n)
+		t.Errorf("a new process received the whole document in %d bytes", n)
 	}
-	for _, behind := range []int{1, 4, maxPast / 2} {
+	for _, behind := range []int{1, 4, maxHistory / 2} {
 		for range behind {
 			a.step(t)
 		}
 		if n := exchange(t, a.store, b); n > 1500+600*behind {
-			t.Errorf("%d changes took %d bytes", behind, n)
+			t.Errorf("an exchange of %d changes took %d bytes", behind, n)
 		}
 		assertSame(t, fmt.Sprintf("%d behind", behind), b, a.store)
 	}
 }
 
-// A difference is applied to another base than it was made for, or is damaged.
-// Were it taken in, a process would act by a document that nobody has written,
-// and spread it.
-func TestWrongDifferenceIsNotTakenIn(t *testing.T) {
-	a := &forked{name: "a", store: &Store{}, rng: rand.New(rand.NewPCG(2, 1)), kinds: 4}
+// A delta arrives damaged or with the digest of another base. If it were
+// applied, the process would use and spread a document that nobody wrote.
+func TestInvalidDeltaIsRejected(t *testing.T) {
+	a := &randomStore{name: "a", store: &Store{}, rng: rand.New(rand.NewPCG(2, 1)), stepKinds: 4}
 	for range 30 {
 		a.step(t)
 	}
@@ -147,28 +151,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := a.store.recall(a.store.Current().digest)
+	before := a.store.findState(a.store.Current().digest)
 	a.store.Offer(h)
-	msg := deltaFor(before, a.store.Current())
+	msg := deltaMessage(before, a.store.Current())
 	damaged := bytes.Replace(msg, []byte(`"name":"b"`), []byte(`"name":"c"`), 1)
-	elsewhere := bytes.Replace(msg, []byte(before.digest), []byte("00000000000000000000000000000000"), 1)
-	for _, bad := range [][]byte{damaged, elsewhere} {
+	wrongBase := bytes.Replace(msg, []byte(before.digest), []byte("00000000000000000000000000000000"), 1)
+	for _, bad := range [][]byte{damaged, wrongBase} {
 		if bytes.Equal(bad, msg) {
-			t.Fatal("the message is as it was")
+			t.Fatal("the message was not modified")
 		}
 		reply, _, err := b.Exchange(bad, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if b.Current().IsOut(DataCentre("c")) || b.Current().digest != before.digest {
-			t.Error("a wrong difference was taken in")
+			t.Error("an invalid delta was applied")
 		}
 		if !bytes.Contains(reply, []byte(`"whole":true`)) {
-			t.Errorf("the whole document was not asked for: %s", reply)
+			t.Errorf("the reply does not request the whole document: %s", reply)
 		}
 		next, err := a.store.Finish(reply, nil)
 		if err != nil || !bytes.Contains(next, []byte(`"head":`)) {
-			t.Fatalf("the whole document was not sent: %v %s", err, next)
+			t.Fatalf("the whole document was not sent: error %v, message %s", err, next)
 		}
 	}
 	exchange(t, a.store, b)
--- a/internal/platform/config/example_test.go
+++ b/internal/platform/config/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/platform/config"
 )
 
-// Two processes change the configuration without knowing of each other, as
-// after a restore from an older copy. Their join keeps both changes.
+// Two processes change the configuration concurrently, for example after a
+// restore from an older copy. The join keeps both changes.
 func ExampleNewer() {
 	now := time.Unix(0, 0)
 	order := func(id string, c config.Change) config.Order {
--- a/internal/platform/config/exchange.go
+++ b/internal/platform/config/exchange.go
@@ -7,36 +7,38 @@
 	"fmt"
 )
 
-// maxMessage is the largest message of an exchange in bytes.
+// maxMessage is the maximum size of an exchange message in bytes.
 const maxMessage = MaxHead + maxHolds*1<<10
 
-// maxReplyParts bounds the parts of one reply in bytes, so that a reply stays
-// below the size that peers accept; the rest is asked for next time.
+// maxReplyParts limits the total size in bytes of the parts in one reply, to
+// stay below the message size that peers accept. The peer requests the
+// remaining parts with its next message.
 const maxReplyParts = 2 * MaxPart
 
-// message is what peers send each other: always the digest of what they know;
-// what the other side lacks, when it is known what it has; the whole document
-// with the holds when it is not. Sending the digest alone while both agree
-// keeps anti-entropy at about a hundred bytes a round.
+// message is sent between peers. It always contains the digest of the sender's
+// state. If the receiver lacks something, it also contains the holds and either
+// a delta, when the receiver's state is known, or the whole document. While
+// both peers agree, only the digest is sent, which keeps anti-entropy at about
+// a hundred bytes a round.
 type message struct {
 	Digest string          `json:"digest"`
 	Head   json.RawMessage `json:"head,omitempty"`
 	Holds  []holdJSON      `json:"holds,omitempty"`
-	// Base is the digest of the state that Delta changes.
+	// Base is the digest of the state to which Delta applies.
 	Base  string     `json:"base,omitempty"`
 	Delta *deltaJSON `json:"delta,omitempty"`
-	// Whole asks for the whole document, because a delta could not be used.
+	// Whole requests the whole document, because a delta could not be applied.
 	Whole bool `json:"whole,omitempty"`
 }
 
-// Summary returns the message that begins an exchange, which must not be
-// changed. It costs nothing while the configuration stays.
+// Summary returns the message that starts an exchange, which must not be
+// modified. It is encoded once per change of the configuration.
 func (s *Store) Summary() []byte { return s.Current().summary }
 
-// State returns the message with all that the store knows except parts.
-func (s *Store) State() []byte { return stateOf(s.Current()) }
+// State returns a message with the whole document and all holds.
+func (s *Store) State() []byte { return fullMessage(s.Current()) }
 
-func stateOf(c *Snapshot) []byte {
+func fullMessage(c *Snapshot) []byte {
 	return mustMarshal(message{
 		Digest: c.digest,
 		Head:   c.head.Encode(),
@@ -44,54 +46,56 @@
 	})
 }
 
-// deltaFor returns the message for a peer that has the base.
-func deltaFor(base *past, c *Snapshot) []byte {
+// deltaMessage returns the message for a peer whose state is base.
+func deltaMessage(base *state, c *Snapshot) []byte {
 	return mustMarshal(message{
 		Digest: c.digest,
 		Holds:  holdsToJSON(c.holds),
 		Base:   base.digest,
-		Delta:  deltaOf(base.head, c.head),
+		Delta:  newDelta(base.head, c.head),
 	})
 }
 
-// digestOf names the knowledge of a snapshot without its parts.
-func digestOf(c *Snapshot) string { return digestOfState(c.head, c.holds) }
+// snapshotDigest returns the digest of the snapshot's head and holds.
+func snapshotDigest(c *Snapshot) string { return stateDigest(c.head, c.holds) }
 
-func digestOfState(head Head, holds []Hold) string {
+func stateDigest(head Head, holds []Hold) string {
 	h := sha256.New()
 	h.Write(head.Encode())
 	h.Write(mustMarshal(holdsToJSON(holds)))
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-// Exchange answers a peer's message: it takes in what the message holds and
-// returns a message for the peer and the parts that it wants and that are known
-// here. The error, for a message that can't be read, wraps ErrMalformed or
-// ErrTooLarge.
+// Exchange processes a peer's message. It joins the peer's state into the store
+// and returns the reply and those wanted parts that are known, up to
+// maxReplyParts bytes. For a message that cannot be decoded the error wraps
+// ErrMalformed or ErrTooLarge.
 func (s *Store) Exchange(msg []byte, want []string) ([]byte, map[string][]byte, error) {
 	r, err := s.receive(msg)
 	if err != nil {
 		return nil, nil, err
 	}
 	c := s.Current()
-	parts := partsOf(c, want)
+	parts := selectParts(c, want)
 	switch {
 	case r.digest == c.digest:
 		return c.summary, parts, nil
-	case r.whole:
-		return stateOf(c), parts, nil
-	case r.unusable:
-		return wholeWanted(c), parts, nil
+	case r.fullRequested:
+		return fullMessage(c), parts, nil
+	case r.deltaRejected:
+		return fullRequest(c), parts, nil
 	}
-	if base := s.base(r); base != nil {
-		return deltaFor(base, c), parts, nil
+	if base := s.peerState(r); base != nil {
+		return deltaMessage(base, c), parts, nil
 	}
-	// The peer may know what this process has; if not it sends all.
+	// The peer's state is unknown here. The peer replies with a delta if it
+	// knows the state with this digest, or else with its whole document.
 	return c.summary, parts, nil
 }
 
-// Finish takes in a peer's reply to Summary or State. When the peer lacks
-// something it returns the message to send next, else nil.
+// Finish processes a peer's reply to Summary, State or an earlier result of
+// Finish. It returns the message to send next, or nil if the exchange is
+// complete. The errors are those of Exchange.
 func (s *Store) Finish(reply []byte, parts map[string][]byte) ([]byte, error) {
 	r, err := s.receive(reply)
 	if err != nil {
@@ -104,63 +108,63 @@
 	switch {
 	case r.digest == c.digest:
 		return nil, nil
-	case r.unusable:
-		return wholeWanted(c), nil
+	case r.deltaRejected:
+		return fullRequest(c), nil
 	}
-	if base := s.base(r); base != nil && !r.whole {
-		return deltaFor(base, c), nil
+	if base := s.peerState(r); base != nil && !r.fullRequested {
+		return deltaMessage(base, c), nil
 	}
-	return stateOf(c), nil
+	return fullMessage(c), nil
 }
 
-func wholeWanted(c *Snapshot) []byte {
+func fullRequest(c *Snapshot) []byte {
 	return mustMarshal(message{Digest: c.digest, Whole: true})
 }
 
-// received is what a message told.
-type received struct {
+// receivedMessage is the decoded content of a message.
+type receivedMessage struct {
 	digest string
-	// state is what the peer has, or nil when the message does not hold it.
-	state *past
-	whole bool
-	// unusable says that the message's delta could not be applied.
-	unusable bool
+	// state is the peer's state, or nil if the message does not contain it.
+	state         *state
+	fullRequested bool
+	// deltaRejected reports that the delta of the message could not be applied.
+	deltaRejected bool
 }
 
-// base returns what the peer has, or nil when it is not known here.
-func (s *Store) base(r received) *past {
+// peerState returns the peer's state, or nil if it is not known.
+func (s *Store) peerState(r receivedMessage) *state {
 	if r.state != nil {
 		return r.state
 	}
-	return s.recall(r.digest)
+	return s.findState(r.digest)
 }
 
-// receive reads a message and joins its state.
-func (s *Store) receive(b []byte) (received, error) {
+// receive decodes a message and joins the peer's state into the store.
+func (s *Store) receive(b []byte) (receivedMessage, error) {
 	if len(b) > maxMessage {
-		return received{}, fmt.Errorf("%w: %d bytes", ErrTooLarge, len(b))
+		return receivedMessage{}, fmt.Errorf("%w: message of %d bytes", ErrTooLarge, len(b))
 	}
 	var m message
 	if err := strictUnmarshal(b, &m); err != nil {
-		return received{}, fmt.Errorf("%w: %w", ErrMalformed, err)
+		return receivedMessage{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	r := received{digest: m.Digest, whole: m.Whole}
+	r := receivedMessage{digest: m.Digest, fullRequested: m.Whole}
 	if m.Head == nil && m.Delta == nil {
 		return r, nil
 	}
 	holds, err := holdsFromJSON(m.Holds)
 	if err != nil {
-		return received{}, fmt.Errorf("%w: %w", ErrMalformed, err)
+		return receivedMessage{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if m.Head == nil {
-		r.state = s.applied(m, holds)
-		r.unusable = r.state == nil
+		r.state = s.applyDelta(m, holds)
+		r.deltaRejected = r.state == nil
 	} else {
 		h, err := DecodeHead(m.Head)
 		if err != nil {
-			return received{}, err
+			return receivedMessage{}, err
 		}
-		r.state = &past{digest: m.Digest, head: h, holds: holds}
+		r.state = &state{digest: m.Digest, head: h, holds: holds}
 	}
 	if r.state != nil {
 		s.join(r.state.head, holds, nil)
@@ -168,21 +172,24 @@
 	return r, nil
 }
 
-// applied returns the peer's state by a message's delta, or nil when the base
-// is not known here any more or the outcome is not what the peer has.
-func (s *Store) applied(m message, holds []Hold) *past {
-	base := s.recall(m.Base)
+// applyDelta returns the peer's state that results from the delta of a message.
+// It returns nil if the base is not in the history or the result does not match
+// the digest of the message.
+func (s *Store) applyDelta(m message, holds []Hold) *state {
+	base := s.findState(m.Base)
 	if base == nil {
 		return nil
 	}
 	h, err := m.Delta.apply(base.head)
-	if err != nil || digestOfState(h, holds) != m.Digest {
+	if err != nil || stateDigest(h, holds) != m.Digest {
 		return nil
 	}
-	return &past{digest: m.Digest, head: h, holds: holds}
+	return &state{digest: m.Digest, head: h, holds: holds}
 }
 
-func partsOf(c *Snapshot, want []string) map[string][]byte {
+// selectParts returns the wanted parts that are known, up to maxReplyParts
+// bytes.
+func selectParts(c *Snapshot, want []string) map[string][]byte {
 	parts := make(map[string][]byte)
 	size := 0
 	for _, d := range want {
--- a/internal/platform/config/storm_test.go
+++ b/internal/platform/config/faults_test.go
@@ -11,17 +11,18 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// storm gives unique orders to random processes while links are cut, answers
-// are lost and the service is restored from older copies.
-func (s *site) storm(rng *rand.Rand) (outs []Target, presets []string) {
+// injectFaults submits unique orders through random processes while processes
+// are partitioned, responses are lost, and the service is slow or restored from
+// older copies. It returns the orders that must be in force in the end.
+func (s *system) injectFaults(rng *rand.Rand) (outs []Target, presets []string) {
 	copies := []kv.Copy{s.server.Copy()}
 	seen := make(map[int]map[Target]bool)
 	for i := range 60 {
 		s.wantNothingReverted(seen)
-		p := rng.Intn(len(s.ps))
+		p := rng.Intn(len(s.processes))
 		switch rng.Intn(8) {
 		case 0:
-			s.ps[p].cut = !s.ps[p].cut
+			s.processes[p].partitioned = !s.processes[p].partitioned
 		case 1:
 			s.server.LoseAnswers(rng.Intn(4))
 		case 2:
@@ -29,7 +30,7 @@
 		case 3:
 			s.server.Restore(copies[rng.Intn(len(copies))])
 		case 4:
-			s.exchange(p, rng.Intn(len(s.ps)))
+			s.exchange(p, rng.Intn(len(s.processes)))
 		case 5:
 			target := Endpoint(fmt.Sprint("e", i))
 			if _, err := s.submit(p, fmt.Sprint("out", i), 0, TakeOut{Target: target}); result.CodeOf(err) != result.WriteUnknown {
@@ -47,14 +48,14 @@
 	return outs, presets
 }
 
-// wantNothingReverted checks that what a process has seen out is still out: the
-// storm brings nothing in.
-func (s *site) wantNothingReverted(seen map[int]map[Target]bool) {
-	for p := range s.ps {
-		c := s.ps[p].Store.Current()
+// wantNothingReverted checks that targets seen out of service by a process
+// before are still out, since injectFaults brings none in.
+func (s *system) wantNothingReverted(seen map[int]map[Target]bool) {
+	for p := range s.processes {
+		c := s.processes[p].Store.Current()
 		for target := range seen[p] {
 			if !c.IsOut(target) {
-				s.Errorf("process %d: %v came back", p, target)
+				s.Errorf("process %d: %v is in service again", p, target)
 			}
 		}
 		seen[p] = make(map[Target]bool)
@@ -67,37 +68,36 @@
 	}
 }
 
-// heal ends all faults, starts one more process and lets everyone synchronise.
-func (s *site) heal() {
+// heal ends all faults, starts one more process and synchronises all processes.
+func (s *system) heal() {
 	s.server.SetSlow(0)
 	s.server.LoseAnswers(0)
 	time.Sleep(time.Minute)
-	s.start()
+	s.startProcess()
 	for range 3 {
-		for p := range s.ps {
-			s.ps[p].cut = false
+		for p := range s.processes {
+			s.processes[p].partitioned = false
 			s.repair(p)
-			if err := s.ps[p].FetchParts(s.Context()); err != nil {
+			if err := s.processes[p].FetchParts(s.Context()); err != nil {
 				s.Error(err)
 			}
-			s.exchange(p, (p+1)%len(s.ps))
+			s.exchange(p, (p+1)%len(s.processes))
 		}
 	}
 }
 
-// Operators give orders through any process while everything fails. Each order
-// that was accepted or held must be in force everywhere in the end, in all
-// processes and in the service alike, and a VM that starts then must find all
-// presets with their bodies.
+// Operators submit orders through any process while faults are injected. In the
+// end each accepted or held order must be in force in all processes and in the
+// service, and a VM that starts then must get all presets with their bodies.
 func TestAcceptedOrdersSurviveFaults(t *testing.T) {
 	for seed := range int64(60) {
 		t.Run(fmt.Sprintf("seed%d", seed), func(t *testing.T) {
-			withSite(t, 4, func(s *site) {
-				outs, presets := s.storm(rand.New(rand.NewSource(seed)))
+			withSystem(t, 4, func(s *system) {
+				outs, presets := s.injectFaults(rand.New(rand.NewSource(seed)))
 				s.heal()
-				want := s.wantStored(0)
-				for p := range s.ps {
-					c := s.ps[p].Store.Current()
+				want := s.readStored(0)
+				for p := range s.processes {
+					c := s.processes[p].Store.Current()
 					if !bytes.Equal(c.Head().Encode(), want.Encode()) || len(c.Holds()) > 0 {
 						t.Errorf("process %d has not converged", p)
 					}
@@ -112,7 +112,7 @@
 					if !ok || p.Digest() != Digest([]byte(name)) {
 						t.Errorf("preset %s was lost", name)
 					}
-					if _, ok := s.ps[4].Store.Current().Part(p.Digest()); !ok {
+					if _, ok := s.processes[4].Store.Current().Part(p.Digest()); !ok {
 						t.Errorf("the body of preset %s was lost", name)
 					}
 				}
--- a/internal/platform/config/head.go
+++ b/internal/platform/config/head.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Dot names one accepted change.
+// Dot identifies one accepted change.
 type Dot struct {
 	generation uint64
 	changeID   string
 }
 
-// Generation returns the generation that the change made.
+// Generation returns the generation that the change created.
 func (d Dot) Generation() uint64 { return d.generation }
 
-// ChangeID returns the id that the change was submitted under.
+// ChangeID returns the id under which the change was submitted.
 func (d Dot) ChangeID() string { return d.changeID }
 
 func (d Dot) less(o Dot) bool {
@@ -26,17 +26,17 @@
 	return d.changeID < o.changeID
 }
 
-// TargetKind says what a Target is.
+// TargetKind is the kind of a Target.
 type TargetKind int
 
 const (
-	// DataCentreKind is a whole data centre.
+	// DataCentreKind stands for a data centre.
 	DataCentreKind TargetKind = iota
-	// EndpointKind is one endpoint.
+	// EndpointKind stands for an endpoint.
 	EndpointKind
 )
 
-// String returns the kind as it is written in the document.
+// String returns the name of the kind in the document.
 func (k TargetKind) String() string {
 	if k == EndpointKind {
 		return "endpoint"
@@ -44,25 +44,26 @@
 	return "dataCentre"
 }
 
-// Target is what can be taken out of service. It is comparable.
+// Target is a data centre or an endpoint that can be taken out of service. It
+// is comparable.
 type Target struct {
 	kind TargetKind
 	name string
 }
 
-// DataCentre returns the data centre with the name as a target.
+// DataCentre returns the target for the data centre of that name.
 func DataCentre(name string) Target { return Target{kind: DataCentreKind, name: name} }
 
-// Endpoint returns the endpoint with the name as a target.
+// Endpoint returns the target for the endpoint of that name.
 func Endpoint(name string) Target { return Target{kind: EndpointKind, name: name} }
 
 // Kind returns whether the target is a data centre or an endpoint.
 func (t Target) Kind() TargetKind { return t.kind }
 
-// Name returns the target's name.
+// Name returns the name of the data centre or endpoint.
 func (t Target) Name() string { return t.name }
 
-// String returns kind and name for operators.
+// String returns the kind and the name, separated by a space.
 func (t Target) String() string { return t.kind.String() + " " + t.name }
 
 func (t Target) less(o Target) bool {
@@ -72,8 +73,8 @@
 	return t.name < o.name
 }
 
-// Out is an order by which a target is out of service. A target may be out by
-// several orders; bringing it in ends all of them.
+// Out is an entry of the document that keeps a target out of service. A target
+// may have several; bringing it in removes them all.
 type Out struct {
 	target Target
 	dot    Dot
@@ -81,16 +82,17 @@
 	at     time.Time
 }
 
-// Target returns what is out.
+// Target returns the target that is out of service.
 func (o Out) Target() Target { return o.target }
 
-// Dot returns the change that took the target out.
+// Dot returns the change that took the target out of service.
 func (o Out) Dot() Dot { return o.dot }
 
-// By returns the operator who gave the order.
+// By returns the name of the operator who submitted the order.
 func (o Out) By() string { return o.by }
 
-// At returns when the order was met.
+// At returns when the order was received, by the clock of the receiving
+// process.
 func (o Out) At() time.Time { return o.at }
 
 func (o Out) less(p Out) bool {
@@ -100,23 +102,23 @@
 	return o.dot.less(p.dot)
 }
 
-// Preset is a preset's place in the document.
+// Preset is the document's record of a preset.
 type Preset struct {
 	name   string
 	digest string
 	since  uint64
 }
 
-// Name returns the preset's name.
+// Name returns the name of the preset.
 func (p Preset) Name() string { return p.name }
 
-// Digest returns the digest that names the part with the preset's body.
+// Digest returns the digest of the body, which names its part.
 func (p Preset) Digest() string { return p.digest }
 
-// Since returns the generation that gave the preset this body.
+// Since returns the generation in which the preset got this body.
 func (p Preset) Since() uint64 { return p.since }
 
-// after orders two values of one name: the later generation, then the digest.
+// after orders two versions of one preset by generation, then by digest.
 func (p Preset) after(o Preset) bool {
 	if p.since != o.since {
 		return p.since > o.since
@@ -124,31 +126,31 @@
 	return p.digest > o.digest
 }
 
-// Head is the document. The zero Head is the empty configuration of generation
-// 0. A Head is immutable.
+// Head is the configuration document. The zero Head is the empty configuration,
+// of generation 0. A Head is immutable.
 type Head struct {
 	dot          Dot
 	inForce      string
 	inForceSince uint64
-	presets      []Preset // by name
-	outs         []Out    // by target and dot
-	floor        uint64   // all dots up to this generation count as seen
-	recent       []Dot    // dots above floor, in order
-	settled      []Dot    // orders to take out and releases of holds, in order
-	joined       bool     // the heads that it joins have no common successor yet
+	presets      []Preset // sorted by name
+	outOfService []Out    // sorted by target and dot
+	floor        uint64   // all changes up to this generation count as seen
+	recent       []Dot    // changes above floor, sorted
+	settled      []Dot    // orders to take out and releases of holds, sorted
+	joined       bool     // join of concurrent heads that has no generation of its own yet
 }
 
-// Generation returns the generation, which only grows.
+// Generation returns the generation, which never decreases.
 func (h Head) Generation() uint64 { return h.dot.generation }
 
-// ChangeID returns the id of the change that made this generation.
+// ChangeID returns the id of the change that created this generation.
 func (h Head) ChangeID() string { return h.dot.changeID }
 
-// InForce returns the preset in force and whether there is one. There is one as
-// soon as there is a preset.
+// InForce returns the preset in force and whether there is one, which is the
+// case once any preset is stored.
 func (h Head) InForce() (Preset, bool) { return h.Preset(h.inForce) }
 
-// Preset returns the preset with the name and whether it exists.
+// Preset returns the preset of that name and whether it exists.
 func (h Head) Preset(name string) (Preset, bool) {
 	for _, p := range h.presets {
 		if p.name == name {
@@ -158,29 +160,29 @@
 	return Preset{}, false
 }
 
-// Presets returns all presets by name.
+// Presets returns all presets, sorted by name.
 func (h Head) Presets() []Preset { return append([]Preset(nil), h.presets...) }
 
-// Outs returns the orders that keep targets out of service.
-func (h Head) Outs() []Out { return append([]Out(nil), h.outs...) }
+// Outs returns the entries that keep targets out of service.
+func (h Head) Outs() []Out { return append([]Out(nil), h.outOfService...) }
 
 // IsOut reports whether the target itself is out of service.
 func (h Head) IsOut(t Target) bool {
-	i := sort.Search(len(h.outs), func(i int) bool { return !h.outs[i].target.less(t) })
-	return i < len(h.outs) && h.outs[i].target == t
+	i := sort.Search(len(h.outOfService), func(i int) bool { return !h.outOfService[i].target.less(t) })
+	return i < len(h.outOfService) && h.outOfService[i].target == t
 }
 
-// Recent returns the changes that the head still lists, oldest first.
+// Recent returns the changes listed in the head, oldest first.
 func (h Head) Recent() []Dot { return append([]Dot(nil), h.recent...) }
 
-// Accepted reports whether the head lists a change with the id. It looks back
-// at least maxRecent changes, and farther for orders to take out and for
-// releases of holds.
+// Accepted reports whether the head lists a change with the id. The head lists
+// at least the latest maxRecent changes, and orders to take a target out and
+// releases of holds for longer.
 func (h Head) Accepted(changeID string) bool {
-	return hasID(h.recent, changeID) || hasID(h.settled, changeID)
+	return containsID(h.recent, changeID) || containsID(h.settled, changeID)
 }
 
-func hasID(ds []Dot, id string) bool {
+func containsID(ds []Dot, id string) bool {
 	for _, d := range ds {
 		if d.changeID == id {
 			return true
@@ -189,7 +191,7 @@
 	return false
 }
 
-// seen reports whether the change is part of the head's past.
+// seen reports whether the head includes the effect of the change.
 func (h Head) seen(d Dot) bool {
 	if d.generation <= h.floor {
 		return true
@@ -198,7 +200,8 @@
 	return i < len(h.recent) && h.recent[i] == d
 }
 
-// Digest returns the name of the part with the given body.
+// Digest returns the SHA-256 digest of a part's body in hexadecimal, by which
+// the part is named.
 func Digest(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
--- a/internal/platform/config/hold.go
+++ b/internal/platform/config/hold.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// maxHolds bounds the holds of a process.
+// maxHolds limits the number of holds in a process.
 const maxHolds = 256
 
 // Hold is an order to take a target out of service that could not be written
-// into the document because the service did not answer. It is enforced in each
-// process that knows it, spread by peers, and written into the document by the
-// first process that reaches the service.
+// into the document because the service did not answer. Each process that knows
+// the hold enforces it and exchanges it with its peers. The first process that
+// reaches the service writes it into the document.
 //
-// A hold may be released before that. The release wins over the hold wherever
-// the two meet, and it ends this hold's order alone: an order of another
-// operator for the same target, given meanwhile elsewhere, stays.
+// A hold may be released before that. The release prevails over the hold in
+// every join. It removes only the entry of this hold: an order of another
+// operator for the same target, submitted elsewhere in the meantime, remains.
 //
-// The document lists the holds that it has taken in (and, apart, the releases),
-// so a process that was cut off longer drops its hold instead of writing it
-// again after others have brought the target back in.
+// The document lists the holds and releases that it has recorded, so a process
+// that was disconnected for longer drops its hold instead of writing it again
+// after others have brought the target back in.
 type Hold struct {
 	target   Target
 	changeID string
@@ -30,38 +30,41 @@
 	release  *release
 }
 
-// release is the order that ended a hold.
+// release is the order that released a hold.
 type release struct {
 	changeID string
 	by       string
 }
 
-// Target returns what is held out of service.
-func (d Hold) Target() Target { return d.target }
+// Target returns the target that is kept out of service.
+func (h Hold) Target() Target { return h.target }
 
 // ChangeID returns the id of the order.
-func (d Hold) ChangeID() string { return d.changeID }
+func (h Hold) ChangeID() string { return h.changeID }
 
-// By returns the operator who gave the order.
-func (d Hold) By() string { return d.by }
+// By returns the name of the operator who submitted the order.
+func (h Hold) By() string { return h.by }
 
-// At returns when the order was met.
-func (d Hold) At() time.Time { return d.at }
+// At returns when the order was received, by the clock of the receiving
+// process.
+func (h Hold) At() time.Time { return h.at }
 
-// Released reports whether the hold has been released, so that only the
-// document still has to learn of it.
-func (d Hold) Released() bool { return d.release != nil }
+// Released reports whether the hold has been released. A released hold is kept
+// only until the document has recorded the release.
+func (h Hold) Released() bool { return h.release != nil }
 
-// settledBy reports whether the document holds all that the hold has to tell.
-func (d Hold) settledBy(h Head) bool {
-	if d.release != nil {
-		return h.Accepted(d.release.changeID)
+// recordedIn reports whether the head has recorded the hold or, for a released
+// hold, its release.
+func (h Hold) recordedIn(head Head) bool {
+	if h.release != nil {
+		return head.Accepted(h.release.changeID)
 	}
-	return h.Accepted(d.changeID)
+	return head.Accepted(h.changeID)
 }
 
-// joinHold returns the later state of one hold. Two releases of one hold end
-// the same order; the smaller id is kept so that the join is deterministic.
+// joinHold returns the later state of one hold. If both are released, the
+// release with the smaller change id is kept, so that the join is
+// deterministic; both releases end the same order.
 func joinHold(a, b Hold) Hold {
 	switch {
 	case b.release == nil:
@@ -73,26 +76,27 @@
 	}
 }
 
-// joinHolds returns the holds of both that the head has not taken in, by id.
-func joinHolds(a, b []Hold, h Head) []Hold {
+// joinHolds returns the union of both lists without the holds recorded in the
+// head, sorted by change id.
+func joinHolds(a, b []Hold, head Head) []Hold {
 	m := make(map[string]Hold, len(a)+len(b))
-	for _, d := range a {
-		m[d.changeID] = d
+	for _, hold := range a {
+		m[hold.changeID] = hold
 	}
-	for _, d := range b {
-		if old, ok := m[d.changeID]; ok {
-			d = joinHold(old, d)
+	for _, hold := range b {
+		if old, ok := m[hold.changeID]; ok {
+			hold = joinHold(old, hold)
 		}
-		m[d.changeID] = d
+		m[hold.changeID] = hold
 	}
-	var ds []Hold
-	for _, d := range m {
-		if !d.settledBy(h) {
-			ds = append(ds, d)
+	var holds []Hold
+	for _, hold := range m {
+		if !hold.recordedIn(head) {
+			holds = append(holds, hold)
 		}
 	}
-	sort.Slice(ds, func(i, j int) bool { return ds[i].changeID < ds[j].changeID })
-	return ds
+	sort.Slice(holds, func(i, j int) bool { return holds[i].changeID < holds[j].changeID })
+	return holds
 }
 
 type releaseJSON struct {
@@ -109,18 +113,18 @@
 	Release  *releaseJSON `json:"release,omitempty"`
 }
 
-func holdsToJSON(ds []Hold) []holdJSON {
-	js := make([]holdJSON, 0, len(ds))
-	for _, d := range ds {
+func holdsToJSON(holds []Hold) []holdJSON {
+	js := make([]holdJSON, 0, len(holds))
+	for _, hold := range holds {
 		j := holdJSON{
-			Kind:     d.target.kind.String(),
-			Name:     d.target.name,
-			ChangeID: d.changeID,
-			By:       d.by,
-			AtMicros: d.at.UnixMicro(),
+			Kind:     hold.target.kind.String(),
+			Name:     hold.target.name,
+			ChangeID: hold.changeID,
+			By:       hold.by,
+			AtMicros: hold.at.UnixMicro(),
 		}
-		if d.release != nil {
-			j.Release = &releaseJSON{ChangeID: d.release.changeID, By: d.release.by}
+		if hold.release != nil {
+			j.Release = &releaseJSON{ChangeID: hold.release.changeID, By: hold.release.by}
 		}
 		js = append(js, j)
 	}
@@ -131,30 +135,30 @@
 	if len(js) > maxHolds {
 		return nil, fmt.Errorf("%d holds", len(js))
 	}
-	var ds []Hold
+	var holds []Hold
 	for _, j := range js {
-		d, err := holdFromJSON(j)
+		hold, err := holdFromJSON(j)
 		if err != nil {
 			return nil, err
 		}
-		ds = append(ds, d)
+		holds = append(holds, hold)
 	}
-	return ds, nil
+	return holds, nil
 }
 
 func holdFromJSON(j holdJSON) (Hold, error) {
-	t, err := targetFrom(j.Kind, j.Name)
+	t, err := parseTarget(j.Kind, j.Name)
 	if err != nil {
 		return Hold{}, err
 	}
-	d := Hold{target: t, changeID: j.ChangeID, by: j.By, at: time.UnixMicro(j.AtMicros).UTC()}
-	ok := validName(t.name) && validName(d.changeID) && validName(d.by)
+	hold := Hold{target: t, changeID: j.ChangeID, by: j.By, at: time.UnixMicro(j.AtMicros).UTC()}
+	ok := validName(t.name) && validName(hold.changeID) && validName(hold.by)
 	if j.Release != nil {
-		d.release = &release{changeID: j.Release.ChangeID, by: j.Release.By}
-		ok = ok && validName(d.release.changeID) && validName(d.release.by)
+		hold.release = &release{changeID: j.Release.ChangeID, by: j.Release.By}
+		ok = ok && validName(hold.release.changeID) && validName(hold.release.by)
 	}
 	if !ok {
-		return Hold{}, errors.New("a hold has a bad name")
+		return Hold{}, errors.New("a hold contains an invalid name")
 	}
-	return d, nil
+	return hold, nil
 }
--- a/internal/platform/config/join.go
+++ b/internal/platform/config/join.go
@@ -6,13 +6,14 @@
 )
 
 // Newer returns the join of two heads. It is commutative, associative and
-// idempotent, has the higher generation of both and loses no change that either
-// has accepted. When one head descends from the other it is that head.
+// idempotent. The join has the higher generation of both and includes every
+// change that either has accepted. If one head descends from the other, the
+// join is that head.
 //
-// It guards against a configuration that reverts: a process that is told an
-// older head (by a peer, by a held-back watch, by a service restored from an
-// older copy) would otherwise bring work back to a data centre that operators
-// took out.
+// The join keeps the configuration from reverting when a process receives an
+// older head from a peer, a delayed watch or a service restored from an older
+// copy. Work would otherwise return to a data centre that operators took out of
+// service.
 func Newer(a, b Head) Head {
 	h := Head{dot: a.dot, floor: max(a.floor, b.floor)}
 	if h.dot.less(b.dot) {
@@ -23,17 +24,17 @@
 	if laterInForce(b, a) {
 		h.inForce, h.inForceSince = b.inForce, b.inForceSince
 	}
-	h.outs = joinOuts(a, b)
+	h.outOfService = joinOutEntries(a, b)
 	h.recent = joinDots(a.recent, b.recent, h.floor)
 	h.settled = joinDots(a.settled, b.settled, 0)
-	h.joined = joinedBy(a, b)
+	h.joined = isUnrecordedJoin(a, b)
 	h.trim(maxListed)
 	return h
 }
 
-// joinedBy reports whether the join of a and b is a document that no process
-// has written yet.
-func joinedBy(a, b Head) bool {
+// isUnrecordedJoin reports whether the join of a and b is a document that no
+// process has written yet.
+func isUnrecordedJoin(a, b Head) bool {
 	ab, ba := Covers(a, b), Covers(b, a)
 	switch {
 	case ab && ba:
@@ -80,49 +81,52 @@
 	return ps
 }
 
-// joinOuts keeps each order that both have, and each that only one has unless
-// the other has seen it and ended it since.
-func joinOuts(a, b Head) []Out {
-	var outs []Out
-	for _, o := range a.outs {
-		p, both := b.find(o)
+// joinOutEntries returns the entries that both heads have, and those of one
+// head that the other has not seen. An entry that only one head has and the
+// other has seen was removed there.
+func joinOutEntries(a, b Head) []Out {
+	var entries []Out
+	for _, o := range a.outOfService {
+		p, both := b.findOutEntry(o)
 		switch {
 		case both:
-			outs = append(outs, laterOut(o, p))
+			entries = append(entries, laterOutEntry(o, p))
 		case !b.seen(o.dot):
-			outs = append(outs, o)
+			entries = append(entries, o)
 		}
 	}
-	for _, o := range b.outs {
-		if _, both := a.find(o); !both && !a.seen(o.dot) {
-			outs = append(outs, o)
+	for _, o := range b.outOfService {
+		if _, both := a.findOutEntry(o); !both && !a.seen(o.dot) {
+			entries = append(entries, o)
 		}
 	}
-	sort.Slice(outs, func(i, j int) bool { return outs[i].less(outs[j]) })
-	return outs
+	sort.Slice(entries, func(i, j int) bool { return entries[i].less(entries[j]) })
+	return entries
 }
 
-// find returns the head's entry for the same order. The entries are in order,
-// so a join of two heads of n orders takes n log n steps.
-func (h Head) find(o Out) (Out, bool) {
-	i := sort.Search(len(h.outs), func(i int) bool { return !h.outs[i].less(o) })
-	if i == len(h.outs) || h.outs[i].target != o.target || h.outs[i].dot != o.dot {
+// findOutEntry returns the head's entry with the target and change of o. The
+// entries are sorted, so joining two heads of n entries takes O(n log n) time.
+func (h Head) findOutEntry(o Out) (Out, bool) {
+	i := sort.Search(len(h.outOfService), func(i int) bool { return !h.outOfService[i].less(o) })
+	if i == len(h.outOfService) || h.outOfService[i].target != o.target || h.outOfService[i].dot != o.dot {
 		return Out{}, false
 	}
-	return h.outs[i], true
+	return h.outOfService[i], true
 }
 
-// laterOut chooses between two entries for one order. They differ when the
-// order was given again, through another process, after the service had been
-// restored from a copy without it.
-func laterOut(a, b Out) Out {
+// laterOutEntry chooses between two entries with the same target and change:
+// the later one, then the one with the greater operator name. They differ if
+// the order was submitted again through another process after the service had
+// been restored from a copy without it.
+func laterOutEntry(a, b Out) Out {
 	if a.at.Equal(b.at) && a.by > b.by || a.at.After(b.at) {
 		return a
 	}
 	return b
 }
 
-// joinDots merges two ordered lists and leaves out what floor covers.
+// joinDots merges two sorted lists and omits duplicates and generations up to
+// floor.
 func joinDots(a, b []Dot, floor uint64) []Dot {
 	var ds []Dot
 	for len(a) > 0 || len(b) > 0 {
@@ -139,16 +143,16 @@
 	return ds
 }
 
-// equal reports whether both hold the same.
+// equal reports whether both heads are the same document.
 func (h Head) equal(o Head) bool {
 	return h.dot == o.dot && h.floor == o.floor && h.joined == o.joined &&
 		h.inForce == o.inForce && h.inForceSince == o.inForceSince &&
-		slices.Equal(h.presets, o.presets) && slices.Equal(h.outs, o.outs) &&
+		slices.Equal(h.presets, o.presets) && slices.Equal(h.outOfService, o.outOfService) &&
 		slices.Equal(h.recent, o.recent) && slices.Equal(h.settled, o.settled)
 }
 
-// Covers reports whether everything that b holds is part of a's past, so that
-// their join is a.
+// Covers reports whether a includes every change that b includes, so that their
+// join is a.
 func Covers(a, b Head) bool {
 	if a.dot.less(b.dot) || a.floor < b.floor {
 		return false
@@ -159,16 +163,18 @@
 		}
 	}
 	for _, d := range b.settled {
-		if !a.knowsSettled(d) {
+		if !a.hasSettled(d) {
 			return false
 		}
 	}
 	return true
 }
 
-// knowsSettled counts what a full list has forgotten as known.
-func (h Head) knowsSettled(d Dot) bool {
-	if hasID(h.settled, d.changeID) {
+// hasSettled reports whether the settled order d is listed or, if the list is
+// full, older than all listed ones, which implies that it was listed and
+// removed.
+func (h Head) hasSettled(d Dot) bool {
+	if containsID(h.settled, d.changeID) {
 		return true
 	}
 	return len(h.settled) == maxSettled && d.less(h.settled[0])
--- a/internal/platform/config/join_test.go
+++ b/internal/platform/config/join_test.go
@@ -21,28 +21,28 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// naiveEvent is a change with all that its head had seen.
-type naiveEvent struct {
+// modelChange is a change together with all changes that its head had seen.
+type modelChange struct {
 	dot    Dot
 	change Change
-	first  bool // the first preset, which comes into force
+	first  bool // first preset stored, which becomes the one in force
 	seen   map[Dot]bool
 }
 
-// naiveHead is the reference: the set of all changes, without any bound, from
-// which everything is worked out anew.
-type naiveHead map[Dot]naiveEvent
+// modelHead is the reference model: the unbounded set of all changes, from
+// which every property is computed anew.
+type modelHead map[Dot]modelChange
 
-func (n naiveHead) clone() naiveHead {
-	c := make(naiveHead, len(n))
+func (n modelHead) clone() modelHead {
+	c := make(modelHead, len(n))
 	for d, e := range n {
 		c[d] = e
 	}
 	return c
 }
 
-func (n naiveHead) apply(dot Dot, c Change) naiveHead {
-	e := naiveEvent{dot: dot, change: c, seen: make(map[Dot]bool), first: len(n.presets()) == 0}
+func (n modelHead) apply(dot Dot, c Change) modelHead {
+	e := modelChange{dot: dot, change: c, seen: make(map[Dot]bool), first: len(n.presets()) == 0}
 	for d := range n {
 		e.seen[d] = true
 	}
@@ -51,7 +51,7 @@
 	return m
 }
 
-func (n naiveHead) join(o naiveHead) naiveHead {
+func (n modelHead) join(o modelHead) modelHead {
 	m := n.clone()
 	for d, e := range o {
 		m[d] = e
@@ -70,18 +70,18 @@
 	}
 }
 
-// isOut reports whether there is an order to take the target out that no later
-// order for it has seen.
-func (n naiveHead) isOut(t Target) bool {
+// isOut reports whether the target has an order to take it out that no later
+// order for the target has seen.
+func (n modelHead) isOut(t Target) bool {
 	for _, e := range n {
-		if out, ok := e.change.(TakeOut); ok && out.Target == t && !n.ended(e) {
+		if out, ok := e.change.(TakeOut); ok && out.Target == t && !n.superseded(e) {
 			return true
 		}
 	}
 	return false
 }
 
-func (n naiveHead) ended(e naiveEvent) bool {
+func (n modelHead) superseded(e modelChange) bool {
 	t, _ := targetOf(e.change)
 	for _, later := range n {
 		if lt, ok := targetOf(later.change); ok && lt == t && later.seen[e.dot] {
@@ -91,7 +91,7 @@
 	return false
 }
 
-func (n naiveHead) presets() map[string]Preset {
+func (n modelHead) presets() map[string]Preset {
 	m := make(map[string]Preset)
 	for _, e := range n {
 		put, ok := e.change.(PutPreset)
@@ -106,7 +106,7 @@
 	return m
 }
 
-func (n naiveHead) inForce() string {
+func (n modelHead) inForce() string {
 	name, since := "", uint64(0)
 	for _, e := range n {
 		s := ""
@@ -127,15 +127,15 @@
 
 var joinTargets = []Target{DataCentre("a"), DataCentre("b"), Endpoint("a"), Endpoint("10.0.0.1:80")}
 
-func wantModel(t *rapid.T, h Head, n naiveHead) {
+func wantModel(t *rapid.T, h Head, n modelHead) {
 	for d := range n {
 		if !h.Accepted(d.changeID) || d.generation > h.Generation() {
-			t.Fatalf("change %v is not in the head", d)
+			t.Fatalf("change %v is missing in the head", d)
 		}
 	}
 	for _, target := range joinTargets {
 		if h.IsOut(target) != n.isOut(target) {
-			t.Fatalf("%v is out: %v, want %v", target, h.IsOut(target), n.isOut(target))
+			t.Fatalf("%v is out of service: %v, want %v", target, h.IsOut(target), n.isOut(target))
 		}
 	}
 	want := n.presets()
@@ -164,13 +164,13 @@
 	}
 }
 
-// TestJoinMatchesModel lets replicas change and join at random and compares
-// each head with the reference after each step.
+// Replicas change and join at random. Each head is compared with the model
+// after each step.
 func TestJoinMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const replicas = 3
 		var heads [replicas]Head
-		var models [replicas]naiveHead
+		var models [replicas]modelHead
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			i := rapid.IntRange(0, replicas-1).Draw(t, "replica")
 			if rapid.Bool().Draw(t, "join") {
@@ -197,7 +197,7 @@
 	b := h.Encode()
 	d, err := DecodeHead(b)
 	if err != nil || !bytes.Equal(d.Encode(), b) {
-		t.Fatalf("%s decodes with error %v", b, err)
+		t.Fatalf("%s did not survive decoding and encoding, error %v", b, err)
 	}
 }
 
@@ -213,7 +213,7 @@
 	wantSame(t, "idempotent", ab, Newer(ab, b))
 	wantSame(t, "associative", Newer(ab, c), Newer(a, Newer(b, c)))
 	if !Covers(ab, a) || !Covers(ab, b) || ab.Generation() != max(a.Generation(), b.Generation()) {
-		t.Fatalf("the join does not cover its parts")
+		t.Fatalf("the join does not cover the joined heads")
 	}
 }
 
@@ -229,7 +229,7 @@
 			t.Fatal(err)
 		}
 		if !Covers(next, h) || Covers(h, next) || Newer(h, next).Generation() != next.Generation() {
-			t.Fatalf("generation %d does not follow", next.Generation())
+			t.Fatalf("generation %d does not succeed the one before", next.Generation())
 		}
 		h = next
 	}
--- a/internal/platform/config/parts.go
+++ b/internal/platform/config/parts.go
@@ -2,13 +2,14 @@
 
 import "context"
 
-// FetchParts reads the parts that the document names and that are not known
-// here, and writes those that the service was found to lack as soon as they
-// came from a peer. It costs nothing when all parts are known.
+// FetchParts reads the parts that the document references and the store lacks.
+// It also writes parts back that were found missing in the service and have
+// since been received from a peer. It makes no call when there is nothing to
+// do. The error is that of the first failed call.
 //
-// It guards against a part that only some processes still hold after the
-// service was restored from an older copy: they have no reason to look for it
-// there, and a VM that starts would find a document without its preset.
+// After the service was restored from an older copy, a part may exist only in
+// some processes, which have no reason to look for it in the service. Without
+// the write, a VM that starts would find a document whose preset has no body.
 func (w *Writer) FetchParts(ctx context.Context) error {
 	if err := w.rewriteLost(ctx); err != nil {
 		return err
@@ -28,22 +29,23 @@
 	return nil
 }
 
+// markLost notes that the service lacks a part.
 func (w *Writer) markLost(digest string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.lost == nil {
-		w.lost = make(map[string]bool)
+	if w.lostParts == nil {
+		w.lostParts = make(map[string]bool)
 	}
-	w.lost[digest] = true
+	w.lostParts[digest] = true
 }
 
-// rewriteLost writes the parts that the service lacked and that have come from
-// a peer since.
+// rewriteLost writes the parts that the service lacks and that are now in the
+// store. It forgets those that the document no longer references.
 func (w *Writer) rewriteLost(ctx context.Context) error {
 	c := w.Store.Current()
 	for _, d := range w.lostDigests() {
 		b, known := c.Part(d)
-		if !known && c.names(d) {
+		if !known && c.references(d) {
 			continue
 		}
 		if known {
@@ -52,7 +54,7 @@
 			}
 		}
 		w.mu.Lock()
-		delete(w.lost, d)
+		delete(w.lostParts, d)
 		w.mu.Unlock()
 	}
 	return nil
@@ -61,15 +63,15 @@
 func (w *Writer) lostDigests() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	ds := make([]string, 0, len(w.lost))
-	for d := range w.lost {
+	ds := make([]string, 0, len(w.lostParts))
+	for d := range w.lostParts {
 		ds = append(ds, d)
 	}
 	return ds
 }
 
-// names reports whether the document names the part.
-func (s *Snapshot) names(digest string) bool {
+// references reports whether the document references the part.
+func (s *Snapshot) references(digest string) bool {
 	for _, p := range s.head.presets {
 		if p.digest == digest {
 			return true
--- a/internal/platform/config/repair.go
+++ b/internal/platform/config/repair.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Repair brings the service's document up to all that this process knows: the
-// newest document, when the service was restored from an older copy, and local
-// holds. It returns nil when the service holds all of it. It costs one read
-// when there is nothing to do.
+// Repair writes into the service's document what this process knows and the
+// document lacks: newer changes, if the service was restored from an older
+// copy, and local holds. It returns nil once the document is complete. If there
+// is nothing to write it costs one read.
 func (w *Writer) Repair(ctx context.Context, now time.Time) error {
 	for {
 		cur, err := w.read(ctx)
@@ -19,57 +19,57 @@
 		if ok || err != nil {
 			return err
 		}
-		if !wait(ctx) {
+		if !waitRetryDelay(ctx) {
 			return ctx.Err()
 		}
 	}
 }
 
-// repair returns the service's document after all that this process knows has
-// been written into it, or false when another writer came first and the
-// document must be read again.
+// repair writes everything known to this process into the service's document
+// and returns the resulting document. It returns false if another process
+// changed the document first, so that it must be read again.
 //
-// It guards accepted changes against a restore from an older copy: without it
-// the next change would be made on the older document, its generation would
-// repeat one that other processes have seen with other contents, and the
-// changes in between would be undone. It holds because every writer repairs
-// before it changes, and by the same compare-and-swap.
-func (w *Writer) repair(ctx context.Context, cur stored, now time.Time) (stored, bool, error) {
+// Repair keeps accepted changes when the service is restored from an older
+// copy. Without it the next change would be applied to the older document and
+// reuse a generation that other processes have seen with other contents, and
+// the changes in between would be undone. Every writer repairs before it
+// applies a change, by the same compare-and-swap.
+func (w *Writer) repair(ctx context.Context, cur storedHead, now time.Time) (storedHead, bool, error) {
 	w.Store.Offer(cur.head)
-	next, err := repaired(cur.head, w.Store.Current(), now)
+	next, err := mergeKnown(cur.head, w.Store.Current(), now)
 	if err != nil {
-		return stored{}, false, err
+		return storedHead{}, false, err
 	}
 	if next.equal(cur.head) {
 		return cur, true, nil
 	}
 	if err := w.writeParts(ctx, next); err != nil {
-		return stored{}, false, err
+		return storedHead{}, false, err
 	}
-	done, ok, err := w.swap(ctx, cur, next)
+	written, ok, err := w.compareAndSwap(ctx, cur, next)
 	if ok && err == nil {
 		w.Store.Offer(next)
 	}
-	return done, ok, err
+	return written, ok, err
 }
 
-// repaired returns the document that holds what the service has and what is
-// known here. A join of heads that forked gets a generation of its own, so that
-// no two written documents share one.
-func repaired(inService Head, known *Snapshot, now time.Time) (Head, error) {
-	h := Newer(inService, known.head)
+// mergeKnown returns the stored document joined with what this process knows. A
+// join of concurrent heads gets a generation of its own, so that no two written
+// documents share one.
+func mergeKnown(stored Head, known *Snapshot, now time.Time) (Head, error) {
+	h := Newer(stored, known.head)
 	if h.joined {
-		n, err := Apply(h, Order{ChangeID: joinID(h), By: "join", Change: absorb{}}, now)
+		n, err := Apply(h, Order{ChangeID: joinChangeID(h), By: "join", Change: recordJoin{}}, now)
 		if err != nil {
 			return Head{}, err
 		}
 		h = n
 	}
-	for _, d := range known.holds {
-		n, err := settle(h, d)
+	for _, hold := range known.holds {
+		n, err := applyHold(h, hold)
 		if err != nil {
-			// The document is full. The hold stays in force here; were it an
-			// error, no change could be made any more, nor one that makes room.
+			// The document is full, and the hold stays in force locally. Returning
+			// the error would block all changes, even one that makes room.
 			continue
 		}
 		h = n
@@ -77,19 +77,20 @@
 	return h, nil
 }
 
-// joinID is the same in every process that joins the same heads, so that two
-// of them write the same document.
-func joinID(h Head) string { return "join-" + Digest(h.Encode())[:32] }
+// joinChangeID returns the change id of a join. It is the same in every process
+// that joins the same heads, so that they all write the same document.
+func joinChangeID(h Head) string { return "join-" + Digest(h.Encode())[:32] }
 
-// settle writes a hold, or its release, into the document. It uses the hold's
-// own time, so that processes that settle the same hold write the same.
-func settle(h Head, d Hold) (Head, error) {
-	if d.settledBy(h) {
+// applyHold records a hold, or its release, in the document. It uses the time
+// of the hold, so that all processes that record the same hold write the same
+// document.
+func applyHold(h Head, hold Hold) (Head, error) {
+	if hold.recordedIn(h) {
 		return h, nil
 	}
-	o := Order{ChangeID: d.changeID, By: d.by, Change: TakeOut{Target: d.target}}
-	if d.Released() {
-		o = Order{ChangeID: d.release.changeID, By: d.release.by, Change: endHold{holdID: d.changeID}}
+	o := Order{ChangeID: hold.changeID, By: hold.by, Change: TakeOut{Target: hold.target}}
+	if hold.Released() {
+		o = Order{ChangeID: hold.release.changeID, By: hold.release.by, Change: releaseHold{holdID: hold.changeID}}
 	}
-	return Apply(h, o, d.at)
+	return Apply(h, o, hold.at)
 }
--- a/internal/platform/config/store.go
+++ b/internal/platform/config/store.go
@@ -8,111 +8,115 @@
 	"time"
 )
 
-// Snapshot is what a process knows of the configuration. It does not change.
+// Snapshot is the configuration known to a process at one time. It is
+// immutable.
 type Snapshot struct {
 	head   Head
 	holds  []Hold
 	parts  map[string][]byte // by digest
-	preset Preset            // the newest in force whose body is known
+	preset Preset            // the latest preset in force whose body is known
 
-	digest  string // names head and holds
-	summary []byte // the message that begins an exchange
+	digest  string // of head and holds
+	summary []byte // the message that starts an exchange
 }
 
-var emptySnapshot = (&Snapshot{}).seal()
+var emptySnapshot = (&Snapshot{}).computeDigest()
 
-// seal works out the digest once for each change. Processes compare digests at
-// each report of load: at 128 agents that report up to 20 times a second,
-// encoding the document for each report would take a fifth of a core.
-func (s *Snapshot) seal() *Snapshot {
-	s.digest = digestOf(s)
+// computeDigest sets the digest and the summary once per change, because
+// processes compare digests with each load report: at 128 agents that report up
+// to 20 times a second, encoding the document for each report would take a
+// fifth of a core.
+func (s *Snapshot) computeDigest() *Snapshot {
+	s.digest = snapshotDigest(s)
 	s.summary = mustMarshal(message{Digest: s.digest})
 	return s
 }
 
-// Head returns the newest document.
+// Head returns the newest known document.
 func (s *Snapshot) Head() Head { return s.head }
 
-// Holds returns the local holds that the document has not taken in.
+// Holds returns the local holds that the document does not contain yet.
 func (s *Snapshot) Holds() []Hold { return append([]Hold(nil), s.holds...) }
 
-// Preset returns the preset to act by and its body, which must not be changed,
-// or false when none is known. It is the one in force, or, until the body of
-// that one has arrived, the one that was in force before.
+// Preset returns the preset to use and its body, which must not be modified, or
+// false if there is none. It is the preset in force or, until the body of that
+// one has been received, the previous preset in force.
 func (s *Snapshot) Preset() (Preset, []byte, bool) {
 	body, ok := s.parts[s.preset.digest]
 	return s.preset, body, ok
 }
 
-// Part returns the part with the digest, which must not be changed.
+// Part returns the part with the digest, which must not be modified, and
+// whether it is known.
 func (s *Snapshot) Part(digest string) ([]byte, bool) {
 	b, ok := s.parts[digest]
 	return b, ok
 }
 
-// IsOut reports whether the target itself is out of service, by the document or
-// by a local hold.
-func (s *Snapshot) IsOut(t Target) bool { return s.head.IsOut(t) || s.held(t) }
+// IsOut reports whether the document or a local hold keeps the target itself
+// out of service.
+func (s *Snapshot) IsOut(t Target) bool { return s.head.IsOut(t) || s.isHeld(t) }
 
-func (s *Snapshot) held(t Target) bool {
-	for _, d := range s.holds {
-		if d.target == t && !d.Released() {
+func (s *Snapshot) isHeld(t Target) bool {
+	for _, hold := range s.holds {
+		if hold.target == t && !hold.Released() {
 			return true
 		}
 	}
 	return false
 }
 
-// Missing returns the digests of the parts that the document names and that are
-// not known, the one of the preset in force first.
+// Missing returns the digests of the parts that the document references and the
+// store lacks. The part of the preset in force comes first.
 func (s *Snapshot) Missing() []string {
 	var ds []string
-	if p, ok := s.head.InForce(); ok && !s.has(p.digest) {
+	if p, ok := s.head.InForce(); ok && !s.hasPart(p.digest) {
 		ds = append(ds, p.digest)
 	}
 	for _, p := range s.head.presets {
-		if p.name != s.head.inForce && !s.has(p.digest) {
+		if p.name != s.head.inForce && !s.hasPart(p.digest) {
 			ds = append(ds, p.digest)
 		}
 	}
 	return ds
 }
 
-func (s *Snapshot) has(digest string) bool {
+func (s *Snapshot) hasPart(digest string) bool {
 	_, ok := s.parts[digest]
 	return ok
 }
 
-// Store keeps the newest configuration that the process has seen, in memory.
-// What it holds only grows in the sense of Newer: an older document never
-// replaces a newer one. The zero Store is empty and ready for use; it may be
-// used by several goroutines. Readers take no lock.
+// Store holds the newest configuration that the process has seen, in memory.
+// New documents are joined by Newer, so an older document never replaces a
+// newer one. The zero Store is empty and ready for use. A Store is safe for
+// concurrent use; Current takes no lock.
 type Store struct {
 	current atomic.Pointer[Snapshot]
 
-	mu     sync.Mutex // guards writes of current, and all below
-	subs   map[chan struct{}]bool
-	past   []past   // earlier states, the newest last
-	parked [][]byte // parts of orders whose outcome may still be open
+	mu            sync.Mutex // guards writes of current and the fields below
+	subscribers   map[chan struct{}]bool
+	history       []state  // earlier states, newest last
+	retainedParts [][]byte // parts of submitted presets, which no document may reference yet
 }
 
-// maxParked bounds the parts that are kept although no document names them: as
-// many as operators have under way through one process.
-const maxParked = 4
+// maxRetainedParts limits the parts kept although no document references them.
+// It has to cover the presets that operators submit through one process at the
+// same time.
+const maxRetainedParts = 4
 
-// keep keeps a part that a document may name later. It guards against a head
-// without its body: the write of the head took effect, its answer was lost, and
-// then the service lost the part to a restore; nobody else has it.
-func (s *Store) keep(body []byte) {
+// retainPart keeps a part that a document may reference later. If the write of
+// a head takes effect, its response is lost and the service then loses the part
+// in a restore, this process has the only copy of the body.
+func (s *Store) retainPart(body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.parked = append(s.parked, body)
-	if len(s.parked) > maxParked {
-		s.parked = s.parked[1:]
+	s.retainedParts = append(s.retainedParts, body)
+	if len(s.retainedParts) > maxRetainedParts {
+		s.retainedParts = s.retainedParts[1:]
 	}
 }
 
-// Current returns the newest configuration.
+// Current returns the newest known configuration.
 func (s *Store) Current() *Snapshot {
 	if c := s.current.Load(); c != nil {
 		return c
@@ -120,14 +124,15 @@
 	return emptySnapshot
 }
 
-// Offer joins a document and parts into the store and reports whether anything
-// changed. Parts are named by their digests here; those that the document does
-// not name are dropped.
+// Offer joins a document and parts into the store and reports whether that
+// changed the configuration. Parts that the document does not reference are
+// dropped.
 func (s *Store) Offer(h Head, parts ...[]byte) bool {
 	return s.join(h, nil, parts)
 }
 
-// EachChange calls f now and after each change until ctx ends.
+// EachChange calls f immediately and after each change until ctx is done. It
+// returns nil.
 func (s *Store) EachChange(ctx context.Context, f func(context.Context)) error {
 	c := s.Subscribe()
 	defer s.Unsubscribe(c)
@@ -141,22 +146,21 @@
 	}
 }
 
-// hold adds a local hold.
-func (s *Store) hold(d Hold) { s.join(Head{}, []Hold{d}, nil) }
+func (s *Store) addHold(hold Hold) { s.join(Head{}, []Hold{hold}, nil) }
 
-// releaseHolds releases the holds of a target and reports whether there was
-// one.
+// releaseHolds releases the holds on a target and reports whether there were
+// any.
 func (s *Store) releaseHolds(t Target, r release) bool {
-	var ds []Hold
-	for _, d := range s.Current().holds {
-		if d.target != t || d.Released() {
+	var released []Hold
+	for _, hold := range s.Current().holds {
+		if hold.target != t || hold.Released() {
 			continue
 		}
-		d.release = &r
-		ds = append(ds, d)
+		hold.release = &r
+		released = append(released, hold)
 	}
-	s.join(Head{}, ds, nil)
-	return len(ds) > 0
+	s.join(Head{}, released, nil)
+	return len(released) > 0
 }
 
 func (s *Store) join(h Head, holds []Hold, parts [][]byte) bool {
@@ -165,37 +169,37 @@
 	old := s.Current()
 	next := &Snapshot{head: Newer(old.head, h), preset: old.preset}
 	next.holds = joinHolds(old.holds, holds, next.head)
-	next.parts = joinParts(old, next.head, slices.Concat(parts, s.parked))
-	if p, ok := next.head.InForce(); ok && next.has(p.digest) {
+	next.parts = joinParts(old, next.head, slices.Concat(parts, s.retainedParts))
+	if p, ok := next.head.InForce(); ok && next.hasPart(p.digest) {
 		next.preset = p
 	}
-	if same(old, next) {
+	if equalSnapshots(old, next) {
 		return false
 	}
-	s.current.Store(next.seal())
-	s.remember(old)
-	for c := range s.subs {
+	s.current.Store(next.computeDigest())
+	s.appendHistory(old)
+	for c := range s.subscribers {
 		notify(c)
 	}
 	return true
 }
 
-// remember keeps an earlier state. s.mu must be held.
-func (s *Store) remember(c *Snapshot) {
-	if len(s.past) == maxPast {
-		s.past = slices.Delete(s.past, 0, 1)
+// appendHistory adds an earlier state to the history. s.mu must be held.
+func (s *Store) appendHistory(c *Snapshot) {
+	if len(s.history) == maxHistory {
+		s.history = slices.Delete(s.history, 0, 1)
 	}
-	s.past = append(s.past, past{digest: c.digest, head: c.head, holds: c.holds})
+	s.history = append(s.history, state{digest: c.digest, head: c.head, holds: c.holds})
 }
 
-// recall returns an earlier or the current state by its digest, or nil.
-func (s *Store) recall(digest string) *past {
+// findState returns the current or an earlier state with the digest, or nil.
+func (s *Store) findState(digest string) *state {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c := s.Current(); c.digest == digest {
-		return &past{digest: c.digest, head: c.head, holds: c.holds}
+		return &state{digest: c.digest, head: c.head, holds: c.holds}
 	}
-	for _, p := range s.past {
+	for _, p := range s.history {
 		if p.digest == digest {
 			return &p
 		}
@@ -203,28 +207,29 @@
 	return nil
 }
 
-// joinParts keeps the parts that the head names and the one that is acted by.
+// joinParts returns the known parts that the head references and the part of
+// the preset in use.
 func joinParts(old *Snapshot, h Head, parts [][]byte) map[string][]byte {
-	named := map[string]bool{old.preset.digest: true}
+	referenced := map[string]bool{old.preset.digest: true}
 	for _, p := range h.presets {
-		named[p.digest] = true
+		referenced[p.digest] = true
 	}
 	m := make(map[string][]byte)
 	for d, b := range old.parts {
-		if named[d] {
+		if referenced[d] {
 			m[d] = b
 		}
 	}
 	for _, b := range parts {
 		d := Digest(b)
-		if _, ok := m[d]; !ok && named[d] {
+		if _, ok := m[d]; !ok && referenced[d] {
 			m[d] = append([]byte(nil), b...)
 		}
 	}
 	return m
 }
 
-func same(a, b *Snapshot) bool {
+func equalSnapshots(a, b *Snapshot) bool {
 	if len(a.parts) != len(b.parts) || a.preset != b.preset || len(a.holds) != len(b.holds) {
 		return false
 	}
@@ -234,42 +239,42 @@
 		}
 	}
 	for d := range b.parts {
-		if !a.has(d) {
+		if !a.hasPart(d) {
 			return false
 		}
 	}
 	return a.head.equal(b.head)
 }
 
-func (d Hold) equal(o Hold) bool {
-	if d.changeID != o.changeID || d.Released() != o.Released() {
+func (h Hold) equal(o Hold) bool {
+	if h.changeID != o.changeID || h.Released() != o.Released() {
 		return false
 	}
-	return !d.Released() || d.release.changeID == o.release.changeID
+	return !h.Released() || h.release.changeID == o.release.changeID
 }
 
-// Subscribe returns a channel that holds a token whenever the configuration has
-// changed since the last receive. The channel is never closed; end the
-// subscription with Unsubscribe.
+// Subscribe returns a channel that receives a value when the configuration has
+// changed since the last receive. The channel is never closed; call Unsubscribe
+// to end the subscription.
 func (s *Store) Subscribe() chan struct{} {
 	c := make(chan struct{}, 1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.subs == nil {
-		s.subs = make(map[chan struct{}]bool)
+	if s.subscribers == nil {
+		s.subscribers = make(map[chan struct{}]bool)
 	}
-	s.subs[c] = true
+	s.subscribers[c] = true
 	if s.current.Load() != nil {
 		notify(c)
 	}
 	return c
 }
 
-// Unsubscribe ends a subscription.
+// Unsubscribe ends the subscription of a channel returned by Subscribe.
 func (s *Store) Unsubscribe(c chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.subs, c)
+	delete(s.subscribers, c)
 }
 
 func notify(c chan struct{}) {
@@ -279,7 +284,7 @@
 	}
 }
 
-// newHold makes the hold of an order that was met at now.
+// newHold returns the hold for the order o on target t, received at time now.
 func newHold(o Order, t Target, now time.Time) Hold {
-	return Hold{target: t, changeID: o.ChangeID, by: o.By, at: micros(now)}
+	return Hold{target: t, changeID: o.ChangeID, by: o.By, at: truncateToMicros(now)}
 }
--- a/internal/platform/config/watcher.go
+++ b/internal/platform/config/watcher.go
@@ -10,40 +10,44 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/platform"
 )
 
-// Source is a key-value service that can be watched.
+// Source is a key-value service that supports watches.
 type Source interface {
 	platform.KV
-	// Watch sends what happens to the keys with the prefix until ctx ends.
+	// Watch sends the changes of the keys with the prefix, beginning with the
+	// revision from (zero: the current one), to events until ctx is done.
 	Watch(ctx context.Context, prefix string, from int64, events chan<- platform.WatchEvent) error
 }
 
 // Watcher follows the document in the platform's service. Only a few processes
-// of a data centre run one; the others learn changes from their peers.
+// of a data centre run one; the others receive changes from their peers.
 type Watcher struct {
-	// Source is the platform's service.
+	// Source is the client of the platform's service.
 	Source Source
-	// Writer repairs the document and writes holds into it; its Store receives
-	// what is read.
+	// Writer repairs the document and writes holds into it. Its Store receives
+	// the document that was read.
 	Writer *Writer
-	// Period is the time between two reads without any event. It bounds for how
-	// long a watch that holds its events back can hide a change.
+	// Period is the interval between reads that are independent of watch
+	// events. It limits for how long a watch with delayed events can hide a
+	// change.
 	Period time.Duration
-	// Timeout limits each repair.
+	// Timeout limits each repair and the following read of parts.
 	Timeout time.Duration
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
-	// Log receives changes of state; nil means the standard logger.
+	// Log receives a line when synchronisation fails with a new error or
+	// succeeds again; nil means the standard logger.
 	Log *logrus.Logger
-	// Metrics receives the counters; nil means the default registry.
+	// Metrics is the registry for the counters; nil means the default registry.
 	Metrics metrics.Registry
 
-	gaps       metrics.Counter
-	failures   metrics.Counter
-	unreadable metrics.Counter
-	lastErr    string
+	watchGaps    metrics.Counter
+	syncFailures metrics.Counter
+	unreadable   metrics.Counter
+	lastErr      string
 }
 
-// Run follows the document until ctx ends.
+// Run follows the document until ctx is done and returns the error of the
+// watch.
 func (w *Watcher) Run(ctx context.Context) error {
 	w.init()
 	ctx, cancel := context.WithCancel(ctx)
@@ -55,7 +59,7 @@
 	for ctx.Err() == nil {
 		select {
 		case e := <-events:
-			w.event(ctx, e)
+			w.handleEvent(ctx, e)
 		case <-t.C:
 			w.sync(ctx)
 		case <-ctx.Done():
@@ -73,27 +77,27 @@
 	if r == nil {
 		r = metrics.DefaultRegistry
 	}
-	w.gaps = metrics.GetOrRegisterCounter("config.watchGaps", r)
-	w.failures = metrics.GetOrRegisterCounter("config.syncFailures", r)
+	w.watchGaps = metrics.GetOrRegisterCounter("config.watchGaps", r)
+	w.syncFailures = metrics.GetOrRegisterCounter("config.syncFailures", r)
 	w.unreadable = metrics.GetOrRegisterCounter("config.unreadable", r)
 }
 
-func (w *Watcher) event(ctx context.Context, e platform.WatchEvent) {
+func (w *Watcher) handleEvent(ctx context.Context, e platform.WatchEvent) {
 	switch e := e.(type) {
 	case platform.Gap:
-		w.gaps.Inc(1)
+		w.watchGaps.Inc(1)
 		w.sync(ctx)
 	case platform.Changed:
-		w.changed(ctx, e)
+		w.handleChange(ctx, e)
 	}
 }
 
-func (w *Watcher) changed(ctx context.Context, e platform.Changed) {
+func (w *Watcher) handleChange(ctx context.Context, e platform.Changed) {
 	for _, kv := range e.KVs {
 		h, err := DecodeHead(kv.Value())
 		if err != nil {
 			w.unreadable.Inc(1)
-			w.note(err)
+			w.logErrorChange(err)
 			continue
 		}
 		w.Writer.Store.Offer(h)
@@ -102,27 +106,28 @@
 		w.sync(ctx)
 		return
 	}
-	w.fetch(ctx)
+	w.fetchParts(ctx)
 }
 
-// sync reads the document, repairs it when the service knows less than this
-// process, and fetches missing parts.
+// sync reads the document, repairs it if the service lacks changes known to
+// this process, and fetches missing parts.
 func (w *Watcher) sync(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, w.Timeout)
 	defer cancel()
 	err := w.Writer.Repair(ctx, w.Now())
 	if err != nil {
-		w.failures.Inc(1)
+		w.syncFailures.Inc(1)
 	}
-	if unreadable(err) {
+	if isUnreadable(err) {
 		w.unreadable.Inc(1)
 	}
-	w.note(err)
-	w.fetch(ctx)
+	w.logErrorChange(err)
+	w.fetchParts(ctx)
 }
 
-// note logs an error when it is not the one of last time.
-func (w *Watcher) note(err error) {
+// logErrorChange logs err, or the recovery if err is nil, when it differs from
+// the previous result.
+func (w *Watcher) logErrorChange(err error) {
 	text := ""
 	if err != nil {
 		text = err.Error()
@@ -132,15 +137,15 @@
 	}
 	w.lastErr = text
 	if err != nil {
-		w.Log.WithError(err).Warn("the configuration can't be synchronised with the platform")
+		w.Log.WithError(err).Warn("cannot synchronise the configuration with the platform")
 		return
 	}
-	w.Log.Info("the configuration is synchronised with the platform")
+	w.Log.Info("configuration synchronised with the platform")
 }
 
-// fetch reads the parts that the document names and the store lacks.
-func (w *Watcher) fetch(ctx context.Context) {
+// fetchParts reads the parts that the document references and the store lacks.
+func (w *Watcher) fetchParts(ctx context.Context) {
 	if err := w.Writer.FetchParts(ctx); err != nil {
-		w.failures.Inc(1)
+		w.syncFailures.Inc(1)
 	}
 }
--- a/internal/platform/config/watcher_test.go
+++ b/internal/platform/config/watcher_test.go
@@ -14,10 +14,12 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/standin/kv"
 )
 
-// long is a time limit that no test reaches unless it fails.
-const long = 20 * time.Second
+// testTimeout is a limit that only a failing test reaches.
+const testTimeout = 20 * time.Second
 
-func run(t *testing.T, f func(context.Context) error) {
+// runInBackground runs f until the test ends and fails the test if f returns an
+// error.
+func runInBackground(t *testing.T, f func(context.Context) error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -30,27 +32,28 @@
 	})
 }
 
-// watched is a process that follows the document over loopback.
-type watched struct {
+// watchedProcess is a process that follows the document over a loopback
+// connection.
+type watchedProcess struct {
 	*testing.T
 	client  *platform.Client
 	writer  *config.Writer
 	changes chan struct{}
 }
 
-func watch(t *testing.T, s *kv.Server, period time.Duration) *watched {
+func startWatcher(t *testing.T, s *kv.Server, period time.Duration) *watchedProcess {
 	t.Helper()
-	c := &platform.Client{Addrs: []string{s.Addr()}, Timeout: long, Metrics: metrics.NewRegistry()}
-	run(t, c.Run)
+	c := &platform.Client{Addrs: []string{s.Addr()}, Timeout: testTimeout, Metrics: metrics.NewRegistry()}
+	runInBackground(t, c.Run)
 	w := &config.Writer{KV: c, Store: &config.Store{}}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	x := &config.Watcher{Source: c, Writer: w, Period: period, Timeout: long, Now: time.Now, Log: log, Metrics: metrics.NewRegistry()}
-	run(t, x.Run)
-	return &watched{T: t, client: c, writer: w, changes: w.Store.Subscribe()}
+	x := &config.Watcher{Source: c, Writer: w, Period: period, Timeout: testTimeout, Now: time.Now, Log: log, Metrics: metrics.NewRegistry()}
+	runInBackground(t, x.Run)
+	return &watchedProcess{T: t, client: c, writer: w, changes: w.Store.Subscribe()}
 }
 
-func (w *watched) submit(id string, c config.Change) {
+func (w *watchedProcess) submit(id string, c config.Change) {
 	w.Helper()
 	_, err := w.writer.Submit(w.Context(), config.Order{ChangeID: id, By: "op", Change: c}, time.Now())
 	if err != nil {
@@ -58,20 +61,20 @@
 	}
 }
 
-// until waits for a state of the process's configuration.
-func (w *watched) until(what string, ok func(*config.Snapshot) bool) {
+// waitFor waits until the process's configuration satisfies ok.
+func (w *watchedProcess) waitFor(what string, ok func(*config.Snapshot) bool) {
 	w.Helper()
-	limit := time.After(long)
+	limit := time.After(testTimeout)
 	for !ok(w.writer.Store.Current()) {
 		select {
 		case <-w.changes:
 		case <-limit:
-			w.Fatalf("never seen: %s", what)
+			w.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-func out(target config.Target) func(*config.Snapshot) bool {
+func isOut(target config.Target) func(*config.Snapshot) bool {
 	return func(s *config.Snapshot) bool { return s.IsOut(target) }
 }
 
@@ -82,67 +85,69 @@
 	}
 }
 
-func serve(t *testing.T) *kv.Server {
+func startServer(t *testing.T) *kv.Server {
 	t.Helper()
 	s := &kv.Server{}
-	run(t, s.Run)
+	runInBackground(t, s.Run)
 	return s
 }
 
 func TestWatcherFollowsChanges(t *testing.T) {
-	s := serve(t)
-	a, b := watch(t, s, time.Hour), watch(t, s, time.Hour)
+	s := startServer(t)
+	a, b := startWatcher(t, s, time.Hour), startWatcher(t, s, time.Hour)
 	a.submit("day", config.PutPreset{Name: "day", Body: []byte("d")})
-	b.until("the first preset", inForce("day", "d"))
+	b.waitFor("the first preset", inForce("day", "d"))
 	b.submit("peak", config.PutPreset{Name: "peak", Body: []byte("p")})
 	b.submit("switch", config.SwitchPreset{Name: "peak"})
-	a.until("the switch", inForce("peak", "p"))
+	a.waitFor("the switch", inForce("peak", "p"))
 }
 
-// The service holds watch events back. An order to take a data centre out would
-// not be enforced here; the periodic read finds it.
-func TestStaleWatchIsHealedByReading(t *testing.T) {
-	s := serve(t)
-	a, b := watch(t, s, time.Hour), watch(t, s, 10*time.Millisecond)
+// The service delays watch events. The periodic read must find an order to take
+// a data centre out that the watch does not report.
+func TestPeriodicReadFindsDelayedChange(t *testing.T) {
+	s := startServer(t)
+	a, b := startWatcher(t, s, time.Hour), startWatcher(t, s, 10*time.Millisecond)
 	a.submit("first", config.TakeOut{Target: config.Endpoint("x")})
-	b.until("the first order", out(config.Endpoint("x")))
+	b.waitFor("the first order", isOut(config.Endpoint("x")))
 	s.HoldWatches(true)
 	a.submit("second", config.TakeOut{Target: config.DataCentre("north")})
-	b.until("the order that the watch holds back", out(config.DataCentre("north")))
+	b.waitFor("the order that the watch delays", isOut(config.DataCentre("north")))
 }
 
-// The watch breaks while changes are made, and the changes are compacted before
-// it is open again. The gap makes the watcher read.
-func TestBrokenWatchIsHealedByReading(t *testing.T) {
-	s := serve(t)
-	a, b := watch(t, s, time.Hour), watch(t, s, time.Hour)
+// Changes are compacted before a delayed watch has sent them, which breaks the
+// watch. The gap must cause a read.
+func TestWatchGapCausesRead(t *testing.T) {
+	s := startServer(t)
+	a, b := startWatcher(t, s, time.Hour), startWatcher(t, s, time.Hour)
 	a.submit("first", config.TakeOut{Target: config.Endpoint("x")})
-	b.until("the first order", out(config.Endpoint("x")))
+	b.waitFor("the first order", isOut(config.Endpoint("x")))
 	s.HoldWatches(true)
 	a.submit("second", config.TakeOut{Target: config.DataCentre("north")})
 	s.Compact()
 	s.HoldWatches(false)
-	b.until("the compacted order", out(config.DataCentre("north")))
+	b.waitFor("the compacted order", isOut(config.DataCentre("north")))
 }
 
-// The service is restored from a copy without the order. The broken watch makes
-// a process that knows the order write it again, and a VM that starts finds it.
+// The service is restored from a copy without an order. The restore breaks the
+// watch; a process that knows the order must write it again, and a VM that
+// starts must find it.
 func TestWatcherRepairsRestoredService(t *testing.T) {
-	s := serve(t)
-	a := watch(t, s, time.Hour)
+	s := startServer(t)
+	a := startWatcher(t, s, time.Hour)
 	a.submit("day", config.PutPreset{Name: "day", Body: []byte("d")})
 	old := s.Copy()
 	a.submit("out", config.TakeOut{Target: config.DataCentre("north")})
 	s.Restore(old)
-	b := watch(t, s, 10*time.Millisecond)
-	b.until("the order that the restore lost", out(config.DataCentre("north")))
-	b.until("the preset", inForce("day", "d"))
+	b := startWatcher(t, s, 10*time.Millisecond)
+	b.waitFor("the order lost by the restore", isOut(config.DataCentre("north")))
+	b.waitFor("the preset", inForce("day", "d"))
 }
 
-// The stored document can't be read. What is known stays in force.
-func TestUnreadableDocumentChangesNothing(t *testing.T) {
-	s := serve(t)
-	a := watch(t, s, 10*time.Millisecond)
+// The stored document cannot be decoded. The known configuration must stay in
+// force.
+func TestUnreadableDocumentKeepsConfiguration(t *testing.T) {
+	s := startServer(t)
+	a := startWatcher(t, s, 10*time.Millisecond)
 	a.submit("out", config.TakeOut{Target: config.DataCentre("north")})
 	p := platform.Put{Key: config.HeadKey, Value: []byte("{")}
 	if _, err := a.client.PutIf(t.Context(), p); err != nil {
@@ -150,9 +155,9 @@
 	}
 	o := config.Order{ChangeID: "x", By: "op", Change: config.BringIn{Target: config.DataCentre("north")}}
 	if _, err := a.writer.Submit(t.Context(), o, time.Now()); err == nil {
-		t.Error("a change was made on a document that can't be read")
+		t.Error("a change was applied to a document that cannot be decoded")
 	}
 	if !a.writer.Store.Current().IsOut(config.DataCentre("north")) {
-		t.Error("the order is not in force any more")
+		t.Error("the order is no longer in force")
 	}
 }
--- a/internal/platform/config/writer.go
+++ b/internal/platform/config/writer.go
@@ -11,56 +11,64 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Keys of the configuration in the platform's service.
+// Keys of the configuration in the platform's key-value service.
 const (
 	HeadKey     = "/hyssoprelay/config/head"
 	PartsPrefix = "/hyssoprelay/config/parts/"
 )
 
-// retryPause is the wait before a change is tried again after a race or a lost
-// answer: long enough that a service in trouble is not asked without end, short
-// against the seconds that an operator waits.
-const retryPause = 20 * time.Millisecond
+// retryDelay is the delay before a change is retried after a conflicting write
+// or a lost response. It limits the calls to a service with faults and is short
+// compared with the seconds that an operator waits.
+const retryDelay = 20 * time.Millisecond
 
-// Writer changes the document in the platform's service. Set the fields before
-// the first call. It may be used by several goroutines.
+// Writer changes the document in the platform's service. Its fields must be set
+// before the first call. It is safe for concurrent use.
 type Writer struct {
-	// KV is the platform's service.
+	// KV is the client of the platform's service.
 	KV platform.KV
-	// Store is the process's configuration.
+	// Store holds the configuration known to the process.
 	Store *Store
-	// Refresh, when set, exchanges with peers. It is called before each change,
-	// so that a service that came back from an older copy is noticed also by a
-	// process that was away while the newer changes were made.
+	// Refresh, if set, exchanges the configuration with peers. It is called
+	// before each change, so that even a process that was disconnected while
+	// newer changes were made detects a service restored from an older copy.
 	Refresh func(ctx context.Context)
 
-	mu   sync.Mutex // guards lost
-	lost map[string]bool
+	mu        sync.Mutex      // guards lostParts
+	lostParts map[string]bool // digests of parts missing in the service
 }
 
-// attempt is the state of one Submit.
+// attempt is the state of one call of Submit.
 type attempt struct {
 	w     *Writer
 	order Order
 	now   time.Time
-	// unknown says that a write of this attempt has an unknown outcome; pending
-	// is the revision of the head that it was conditional on.
-	unknown bool
-	pending int64
+	// outcomeUnknown reports that a write of the change got no response and may
+	// have taken effect; pendingRevision is the revision of the head on which
+	// that write was conditional.
+	outcomeUnknown  bool
+	pendingRevision int64
 }
 
-// Submit makes a change and returns the document that holds it. A change whose
-// id the document lists already is not made again. ctx limits the time.
+// Submit applies a change and returns the document that contains it. A change
+// whose id the document already lists is not applied again. Submit retries
+// until ctx is done.
 //
-// Errors are results: Conflict when IfGeneration is set and not the current
-// one; WriteUnknown when the change may have been made and the service does not
-// tell; PlatformRefused when it was truly not made; HeldLocally, with the newest
-// known document, when an order to take a target out (or to bring in a target
-// that is only held) could not reach the service and holds here meanwhile; and
-// those of Apply; DocumentUnreadable, with nothing changed, when the stored
-// document can't be read.
+// Errors have result codes:
+//
+//   - Conflict: IfGeneration is set and is not the current generation.
+//   - WriteUnknown: the change may have been made, and the service did not
+//     confirm it.
+//   - PlatformRefused: the change was definitely not made.
+//   - HeldLocally: the service did not answer, and the order takes effect here
+//     as a local hold. This applies to an order to take a target out, and to an
+//     order to bring in a target that only local holds keep out. The newest
+//     known document is returned with it.
+//   - DocumentUnreadable: the stored document cannot be decoded; nothing was
+//     changed.
+//   - The codes of Apply.
 func (w *Writer) Submit(ctx context.Context, o Order, now time.Time) (Head, error) {
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return Head{}, err
 	}
 	if w.Refresh != nil {
@@ -72,16 +80,16 @@
 		if done {
 			return h, err
 		}
-		hopeless := err != nil && !platform.IsUnknown(err) && !a.unknown
-		if hopeless || !wait(ctx) {
-			return a.unreached(err)
+		notMade := err != nil && !platform.IsUnknown(err) && !a.outcomeUnknown
+		if notMade || !waitRetryDelay(ctx) {
+			return a.failureResult(err)
 		}
 	}
 }
 
-// wait returns false when ctx ended.
-func wait(ctx context.Context) bool {
-	t := time.NewTimer(retryPause)
+// waitRetryDelay waits for retryDelay and returns false if ctx was done first.
+func waitRetryDelay(ctx context.Context) bool {
+	t := time.NewTimer(retryDelay)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -91,8 +99,10 @@
 	}
 }
 
-// try goes once through read, repair, apply and compare-and-swap. It returns
-// done when the outcome is known. Without done, an error is the platform's.
+// try performs one read, repair, apply and compare-and-swap. It returns done if
+// the outcome is final. Without done, a non-nil error is that of a failed read,
+// repair or write, and a nil error means that another writer changed the
+// document first.
 func (a *attempt) try(ctx context.Context) (h Head, done bool, err error) {
 	cur, err := a.w.read(ctx)
 	if err != nil {
@@ -105,13 +115,14 @@
 	if cur.head.Accepted(a.order.ChangeID) {
 		return cur.head, true, nil
 	}
-	if cur.revision != a.pending {
-		// The condition of the write that got no answer can't hold any more,
-		// and the document does not list the change: it was not made.
-		a.unknown = false
+	if cur.revision != a.pendingRevision {
+		// The document has changed since the unconfirmed write, so the write's
+		// condition can no longer hold; the document does not list the change,
+		// so it was not made.
+		a.outcomeUnknown = false
 	}
 	if g := a.order.IfGeneration; g != 0 && g != cur.head.Generation() {
-		return Head{}, true, result.Newf(result.Conflict, "the generation is %d, not %d", cur.head.Generation(), g)
+		return Head{}, true, result.Newf(result.Conflict, "the current generation is %d, not %d", cur.head.Generation(), g)
 	}
 	next, err := Apply(cur.head, a.order, a.now)
 	if err != nil {
@@ -121,12 +132,12 @@
 		if err := a.w.putPart(ctx, p.Body); err != nil {
 			return Head{}, false, err
 		}
-		a.w.Store.keep(p.Body)
+		a.w.Store.retainPart(p.Body)
 	}
-	_, ok, err = a.w.swap(ctx, cur, next)
+	_, ok, err = a.w.compareAndSwap(ctx, cur, next)
 	if platform.IsUnknown(err) {
-		a.unknown = true
-		a.pending = cur.revision
+		a.outcomeUnknown = true
+		a.pendingRevision = cur.revision
 	}
 	if err != nil || !ok {
 		return Head{}, false, err
@@ -143,53 +154,53 @@
 	a.w.Store.Offer(h)
 }
 
-// unreached says what became of a change when the service did not answer. It
-// guards the truth of PlatformRefused: an operator who hears it will give the
-// order again, perhaps changed; were the first one made after all, it would
-// undo the second. So it is said only when no write of the change has left
-// this process without an answer.
-func (a *attempt) unreached(err error) (Head, error) {
+// failureResult returns the result of a change after the service did not
+// answer. It returns PlatformRefused only if no write of the change was left
+// without a response: an operator who gets PlatformRefused submits the order
+// again, perhaps modified, and if the first one took effect after all it would
+// undo the second.
+func (a *attempt) failureResult(err error) (Head, error) {
 	switch c := a.order.Change.(type) {
 	case TakeOut:
-		return a.hold(c.Target)
+		return a.holdLocally(c.Target)
 	case BringIn:
-		if h, err := a.endHolds(c.Target); err != nil {
+		if h, err := a.releaseHolds(c.Target); err != nil {
 			return h, err
 		}
 	}
-	if a.unknown {
+	if a.outcomeUnknown {
 		return Head{}, result.New(result.WriteUnknown, a.order.ChangeID)
 	}
-	if unreadable(err) {
+	if isUnreadable(err) {
 		return Head{}, err
 	}
-	detail := "the time limit passed"
+	detail := "the time limit was exceeded"
 	if err != nil {
 		detail = err.Error()
 	}
 	return Head{}, result.New(result.PlatformRefused, detail)
 }
 
-// hold enforces an order to take out here at once. When a write of the same
-// order took effect after all, the document lists its id and the hold is
-// dropped as soon as the document arrives.
-func (a *attempt) hold(t Target) (Head, error) {
+// holdLocally enforces an order to take out in this process at once. If an
+// unconfirmed write of the same order did take effect, the document lists its
+// id, and the hold is dropped when the document is received.
+func (a *attempt) holdLocally(t Target) (Head, error) {
 	c := a.w.Store.Current()
 	if g := a.order.IfGeneration; g != 0 && g != c.head.Generation() {
 		return Head{}, result.Newf(result.Conflict, "the newest known generation is %d, not %d", c.head.Generation(), g)
 	}
 	if len(c.holds) == maxHolds {
-		return Head{}, result.Newf(result.PlatformRefused, "there are %d local holds already", maxHolds)
+		return Head{}, result.Newf(result.PlatformRefused, "the maximum of %d local holds is reached", maxHolds)
 	}
-	a.w.Store.hold(newHold(a.order, t, a.now))
+	a.w.Store.addHold(newHold(a.order, t, a.now))
 	return c.head, result.New(result.HeldLocally, t.String())
 }
 
-// endHolds releases the holds of a target that the document does not keep out.
-// Its error is nil when there is nothing that can be released here.
-func (a *attempt) endHolds(t Target) (Head, error) {
+// releaseHolds releases the holds on a target that the document does not keep
+// out of service. Its error is nil if there is no hold that can be released.
+func (a *attempt) releaseHolds(t Target) (Head, error) {
 	c := a.w.Store.Current()
-	if a.unknown || c.head.IsOut(t) {
+	if a.outcomeUnknown || c.head.IsOut(t) {
 		return Head{}, nil
 	}
 	r := release{changeID: a.order.ChangeID, by: a.order.By}
@@ -199,55 +210,57 @@
 	return c.head, result.New(result.HeldLocally, t.String())
 }
 
-// stored is a head as the service has it; revision 0 means that it has none.
-type stored struct {
+// storedHead is the head read from the service; revision 0 means that the
+// service has none.
+type storedHead struct {
 	head     Head
 	revision int64
 }
 
-func unreadable(err error) bool {
+func isUnreadable(err error) bool {
 	return result.CodeOf(err) == result.DocumentUnreadable
 }
 
-// read reads the head from the service. A head that can't be read is a
-// result.DocumentUnreadable.
-func (w *Writer) read(ctx context.Context) (stored, error) {
+// read reads the head from the service. It returns a result.DocumentUnreadable
+// error if the head cannot be decoded.
+func (w *Writer) read(ctx context.Context) (storedHead, error) {
 	r, err := w.KV.Get(ctx, HeadKey)
 	if err != nil {
-		return stored{}, err
+		return storedHead{}, err
 	}
 	kv, ok := r.First()
 	if !ok {
-		return stored{}, nil
+		return storedHead{}, nil
 	}
 	h, err := DecodeHead(kv.Value())
 	if err != nil {
-		return stored{}, result.New(result.DocumentUnreadable, err.Error())
+		return storedHead{}, result.New(result.DocumentUnreadable, err.Error())
 	}
-	return stored{head: h, revision: kv.Revision()}, nil
+	return storedHead{head: h, revision: kv.Revision()}, nil
 }
 
-// swap writes next where the service still has cur.
-func (w *Writer) swap(ctx context.Context, cur stored, next Head) (stored, bool, error) {
+// compareAndSwap writes next if the service still has cur, and reports whether
+// it did.
+func (w *Writer) compareAndSwap(ctx context.Context, cur storedHead, next Head) (storedHead, bool, error) {
 	var c platform.Compare = platform.Absent{Key: HeadKey}
 	if cur.revision != 0 {
 		c = platform.RevisionIs{Key: HeadKey, Revision: cur.revision}
 	}
 	b := next.Encode()
 	if len(b) > MaxHead {
-		return stored{}, false, result.Newf(result.MalformedOrder, "the document would have %d bytes, at most %d", len(b), MaxHead)
+		return storedHead{}, false, result.Newf(result.MalformedOrder, "the document would have %d bytes, the maximum is %d", len(b), MaxHead)
 	}
 	r, err := w.KV.Txn(ctx, platform.Txn{
 		If:   []platform.Compare{c},
 		Then: []platform.Op{platform.Put{Key: HeadKey, Value: b}},
 	})
 	if err != nil {
-		return stored{}, false, err
+		return storedHead{}, false, err
 	}
-	return stored{head: next, revision: r.Revision()}, r.Succeeded(), nil
+	return storedHead{head: next, revision: r.Revision()}, r.Succeeded(), nil
 }
 
-// putPart writes a part unless the service has it. A repeat is harmless.
+// putPart writes a part unless the service has it. It is idempotent.
 func (w *Writer) putPart(ctx context.Context, body []byte) error {
 	key := PartsPrefix + Digest(body)
 	_, err := w.KV.Txn(ctx, platform.Txn{
@@ -257,11 +270,11 @@
 	return eris.Wrap(err, "write part")
 }
 
-// writeParts writes the parts that a head names and that are known here. A part
-// that is known nowhere does not hold the head back: every later order, also
-// one to take a data centre out, would wait for it without end, while without
-// its body a preset only leaves the one before in use (Snapshot.Preset).
-// FetchParts writes it when it has come from a peer.
+// writeParts writes the known parts that a head references. A part that is not
+// known does not block the head: otherwise every later order, including one to
+// take a data centre out of service, would wait for it indefinitely, while a
+// preset without its body only leaves the previous preset in use
+// (Snapshot.Preset). FetchParts writes the part once a peer has sent it.
 func (w *Writer) writeParts(ctx context.Context, h Head) error {
 	c := w.Store.Current()
 	for _, p := range h.presets {
