--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -101,9 +101,9 @@
 }
 
 // restarted notes a sign that the endpoint lost its warmth.
-func (a *Agent) restarted(c allowance.Cause, now time.Time) {
+func (a *Agent) restarted(c allowance.ColdStartCause, now time.Time) {
 	was := a.allowance.State().Cold()
-	a.allowance.Restarted(c)
+	a.allowance.StartColdStart(c)
 	if !was {
 		a.Log.WithField("cause", c.String()).Warn("endpoint is cold")
 	}
@@ -126,7 +126,7 @@
 }
 
 // Allowance returns how many requests the endpoint bears at once now.
-func (a *Agent) Allowance() int { return a.allowance.State().Bound() }
+func (a *Agent) Allowance() int { return a.allowance.State().Limit() }
 
 // Running returns how many attempts have not ended.
 func (a *Agent) Running() int { return a.running.Running() }
--- a/internal/agent/firsttoken_test.go
+++ b/internal/agent/firsttoken_test.go
@@ -20,7 +20,7 @@
 		at := newAttempt(&peerpb.RunRequest{Stream: stream}, func() {}, now)
 		s := &sink{agent: a, at: at, ticket: ticket, sent: now.Add(-d)}
 		s.firstPiece()
-		a.allowance.Completed(ticket, now)
+		a.allowance.Complete(ticket, now)
 	}
 }
 
--- a/internal/agent/guards_test.go
+++ b/internal/agent/guards_test.go
@@ -275,15 +275,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.allowance.Completed(tk, now)
+		a.allowance.Complete(tk, now)
 	}
 	if a.allowance.State().Cold() {
 		t.Fatal("not warm")
 	}
 	at := anAttempt(request("r"))
 	a.failed(at, allowance.Ticket{}, result.New(result.AnswerIncomplete, ""), now)
-	if s := a.allowance.State(); s.Bound() != 2 {
-		t.Errorf("bound %d", s.Bound())
+	if s := a.allowance.State(); s.Limit() != 2 {
+		t.Errorf("bound %d", s.Limit())
 	}
 }
 
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -229,9 +229,9 @@
 	if err != nil {
 		return
 	}
-	a.allowance.Incarnation(l.Incarnation)
-	a.allowance.ReportedRunning(l.Running, a.allowance.State().Running(), a.now())
-	a.allowance.Reported(l.Cold, a.now().Add(-time.Duration(l.AgeMillis)*time.Millisecond))
+	a.allowance.SetIncarnation(l.Incarnation)
+	a.allowance.ReportRunning(l.Running, a.allowance.State().Running(), a.now())
+	a.allowance.ReportCold(l.Cold, a.now().Add(-time.Duration(l.AgeMillis)*time.Millisecond))
 	if s := a.allowance.State(); s.Cold() && !was {
 		a.Log.WithFields(logrus.Fields{"cause": s.Cause().String()}).Warn("endpoint is cold")
 		a.ring.Add(timeline.EndpointCold, "", a.Settings.EndpointName, s.Cause().String(), 0, a.now())
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -157,14 +157,14 @@
 		Endpoint:         a.Settings.EndpointName,
 		Incarnation:      a.incarnation,
 		DataCentre:       a.Settings.DataCentre,
-		Allowance:        uint32(s.Bound()),
+		Allowance:        uint32(s.Limit()),
 		Capacity:         uint32(s.Full()),
 		Running:          uint32(s.Running()),
 		CommittedTokens:  uint64(max(0, a.tokens.Load())),
 		Cold:             s.Cold(),
 		Leaving:          a.announced.Load(),
 		ConfigDigest:     peer.ConfigDigest(&a.store),
-		FirstTokenMicros: s.FirstToken().Microseconds(),
+		FirstTokenMicros: s.MedianTTFT().Microseconds(),
 	}
 	if v := a.view.Load(); v != nil {
 		r.Routes = v.names
--- a/internal/agent/work.go
+++ b/internal/agent/work.go
@@ -45,7 +45,7 @@
 	err := a.runOnceOrRepeatable(ctx, at, t)
 	now := a.now()
 	if err == nil {
-		a.allowance.Completed(t, now)
+		a.allowance.Complete(t, now)
 		a.event(timeline.Answered, at.req, "", at.count(), now)
 	} else {
 		a.failed(at, t, err, now)
@@ -56,7 +56,7 @@
 
 // failed gives the place back and notes signs that the endpoint turned cold.
 func (a *Agent) failed(at *attempt, t allowance.Ticket, err *result.Error, now time.Time) {
-	a.allowance.Failed(t, now)
+	a.allowance.Fail(t, now)
 	a.event(timeline.Failed, at.req, err.Detail(), uint64(err.Code()), now)
 	switch err.Code() {
 	case result.EndpointDown, result.AnswerIncomplete:
@@ -78,7 +78,7 @@
 // dispatch sends the request to the endpoint and takes its answer in.
 func (a *Agent) dispatch(ctx context.Context, at *attempt, t allowance.Ticket) *result.Error {
 	now := a.now()
-	t, cold := a.allowance.Renew(t, now)
+	t, cold := a.allowance.Revalidate(t, now)
 	if cold != nil {
 		return cold
 	}
@@ -181,7 +181,7 @@
 // know the stream that is resumed and says so with an error of its own, which
 // would follow the first pieces as if it were the rest of the answer.
 func (s *sink) head(h endpoint.Head) error {
-	s.agent.allowance.Incarnation(h.Incarnation)
+	s.agent.allowance.SetIncarnation(h.Incarnation)
 	if s.resumed {
 		if h.Status != http.StatusOK {
 			return result.Newf(result.AnswerIncomplete, "the stream can't be resumed: status %d", h.Status)
@@ -201,7 +201,7 @@
 	// The first piece of an answer that is not streamed comes after all of its
 	// work: next to first tokens it would look like a cold endpoint.
 	if s.at.req.GetStream() {
-		s.agent.allowance.FirstToken(s.ticket, now.Sub(s.sent))
+		s.agent.allowance.ObserveTTFT(s.ticket, now.Sub(s.sent))
 	}
 	s.agent.event(timeline.FirstPiece, s.at.req, "", 0, now)
 }
--- a/internal/endpoint/allowance/allowance.go
+++ b/internal/endpoint/allowance/allowance.go
@@ -10,9 +10,9 @@
 
 // Errors returned by Configure.
 var (
-	ErrColdBound = errors.New("allowance: cold-start concurrency must be at least 1")
-	ErrFullBound = errors.New("allowance: full concurrency must not be below cold-start concurrency")
-	ErrRamp      = errors.New("allowance: completions per ramp step must be at least 1")
+	ErrColdLimit       = errors.New("allowance: cold-start concurrency must be at least 1")
+	ErrFullLimit       = errors.New("allowance: full concurrency must not be below cold-start concurrency")
+	ErrRampCompletions = errors.New("allowance: completions per ramp step must be at least 1")
 )
 
 // Limits are the configured concurrency limits of an endpoint.
@@ -30,11 +30,11 @@
 func (l Limits) validate() error {
 	switch {
 	case l.Cold < 1:
-		return ErrColdBound
+		return ErrColdLimit
 	case l.Full < l.Cold:
-		return ErrFullBound
+		return ErrFullLimit
 	case l.RampCompletions < 1:
-		return ErrRamp
+		return ErrRampCompletions
 	default:
 		return nil
 	}
@@ -48,12 +48,12 @@
 }
 
 // Cause is the reason for which an endpoint is considered cold.
-type Cause int
+type ColdStartCause int
 
 // Causes of a cold start.
 const (
 	// Unknown is the initial cause: nothing is known about the endpoint yet.
-	Unknown Cause = iota
+	Unknown ColdStartCause = iota
 	// Announced means that the endpoint reported it or that a restart was
 	// ordered.
 	Announced
@@ -68,7 +68,7 @@
 )
 
 // String returns the name of the cause in camel case.
-func (c Cause) String() string {
+func (c ColdStartCause) String() string {
 	return [...]string{"unknown", "announced", "connectionLost", "newIncarnation", "slowFirstTokens"}[c]
 }
 
@@ -77,12 +77,12 @@
 	bound   int
 	full    int
 	running int
-	cause   Cause
+	cause   ColdStartCause
 	median  time.Duration
 }
 
 // Bound returns the current concurrency limit.
-func (s State) Bound() int { return s.bound }
+func (s State) Limit() int { return s.bound }
 
 // Full returns the concurrency limit of the warm endpoint.
 func (s State) Full() int { return s.full }
@@ -94,10 +94,10 @@
 func (s State) Cold() bool { return s.bound < s.full }
 
 // Cause returns the cause of the latest cold start.
-func (s State) Cause() Cause { return s.cause }
+func (s State) Cause() ColdStartCause { return s.cause }
 
 // FirstToken returns the median time to first token, or zero if it is unknown.
-func (s State) FirstToken() time.Duration { return s.median }
+func (s State) MedianTTFT() time.Duration { return s.median }
 
 // Allowance is the concurrency limiter of one endpoint. Its zero value admits
 // nothing until Configure has been called. While it holds mu it takes no other
@@ -109,7 +109,7 @@
 	completions int
 	running     int
 	inherited   inherited
-	cause       Cause
+	cause       ColdStartCause
 	incarnation string
 	// warmSince is when the limit last reached limits.Full.
 	warmSince time.Time
@@ -181,7 +181,7 @@
 // endpoint can run. A ticket of the present epoch stays valid. An older ticket is
 // renewed only if all running requests fit under the current limit, otherwise
 // Renew returns EndpointCold. A rejected ticket must still be released by Failed.
-func (a *Allowance) Renew(t Ticket, now time.Time) (Ticket, *result.Error) {
+func (a *Allowance) Revalidate(t Ticket, now time.Time) (Ticket, *result.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	bound := a.bound()
@@ -195,7 +195,7 @@
 // FirstToken records the time to first token of a streamed request, and starts a
 // cold start if the times have risen suddenly. It must not be called for responses
 // that aren't streamed: their first byte arrives after all of the work.
-func (a *Allowance) FirstToken(t Ticket, d time.Duration) {
+func (a *Allowance) ObserveTTFT(t Ticket, d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if t.epoch != a.epoch || a.bound() < a.limits.Full {
@@ -210,7 +210,7 @@
 //
 // A request that was admitted before the present cold start doesn't show that the
 // endpoint is warm, so only requests of the present epoch raise the limit.
-func (a *Allowance) Completed(t Ticket, now time.Time) {
+func (a *Allowance) Complete(t Ticket, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.releaseLocked()
@@ -224,7 +224,7 @@
 }
 
 // Failed releases the slot of a request that ended without a complete response.
-func (a *Allowance) Failed(_ Ticket, _ time.Time) {
+func (a *Allowance) Fail(_ Ticket, _ time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.releaseLocked()
@@ -241,13 +241,13 @@
 // A warm endpoint that turns cold under full load crashes if the load continues.
 // The reset is therefore immediate and complete: a wrong one costs capacity until
 // some dozens of requests have completed, a missing one costs the endpoint.
-func (a *Allowance) Restarted(cause Cause) {
+func (a *Allowance) StartColdStart(cause ColdStartCause) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.resetToColdLocked(cause)
 }
 
-func (a *Allowance) resetToColdLocked(cause Cause) {
+func (a *Allowance) resetToColdLocked(cause ColdStartCause) {
 	a.epoch++
 	a.completions = 0
 	a.cause = cause
@@ -259,7 +259,7 @@
 // was replaced or restarted and starts a cold start. As reports lag and may arrive
 // out of order, this includes a change back to an older id, which costs at most an
 // unnecessary cold start.
-func (a *Allowance) Incarnation(id string) {
+func (a *Allowance) SetIncarnation(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if id == "" || id == a.incarnation {
@@ -280,7 +280,7 @@
 // after the limit reached the full one; while the limit grows it adds no
 // information. A report of a warm endpoint never counts, as it may be older than
 // the cold start.
-func (a *Allowance) Reported(cold bool, made time.Time) {
+func (a *Allowance) ReportCold(cold bool, made time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if cold && a.bound() == a.limits.Full && made.After(a.warmSince) {
--- a/internal/endpoint/allowance/allowance_test.go
+++ b/internal/endpoint/allowance/allowance_test.go
@@ -50,22 +50,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.FirstToken(ticket, firstToken)
-	a.Completed(ticket, start)
+	a.ObserveTTFT(ticket, firstToken)
+	a.Complete(ticket, start)
 }
 
-func requireBound(t *testing.T, a *Allowance, bound int, cause Cause) {
+func requireBound(t *testing.T, a *Allowance, bound int, cause ColdStartCause) {
 	t.Helper()
-	if s := a.State(); s.Bound() != bound || s.Cause() != cause {
-		t.Fatalf("limit %d with cause %v, want %d with cause %v", s.Bound(), s.Cause(), bound, cause)
+	if s := a.State(); s.Limit() != bound || s.Cause() != cause {
+		t.Fatalf("limit %d with cause %v, want %d with cause %v", s.Limit(), s.Cause(), bound, cause)
 	}
 }
 
 func TestConfigure(t *testing.T) {
 	for want, l := range map[error]Limits{
-		ErrColdBound: {Cold: 0, Full: 4, RampCompletions: 1},
-		ErrFullBound: {Cold: 3, Full: 2, RampCompletions: 1},
-		ErrRamp:      {Cold: 1, Full: 2},
+		ErrColdLimit:       {Cold: 0, Full: 4, RampCompletions: 1},
+		ErrFullLimit:       {Cold: 3, Full: 2, RampCompletions: 1},
+		ErrRampCompletions: {Cold: 1, Full: 2},
 	} {
 		if err := (&Allowance{}).Configure(l); !errors.Is(err, want) {
 			t.Errorf("%+v: got %v, want %v", l, err, want)
@@ -86,16 +86,16 @@
 func TestColdnessIsNoticed(t *testing.T) {
 	limits := Limits{Cold: 2, Full: 8, RampCompletions: 3}
 	for _, tc := range []struct {
-		cause   Cause
+		cause   ColdStartCause
 		trigger func(a *Allowance)
 	}{
-		{Announced, func(a *Allowance) { a.Restarted(Announced) }},
-		{ConnectionLost, func(a *Allowance) { a.Restarted(ConnectionLost) }},
-		{NewIncarnation, func(a *Allowance) { a.Incarnation("1"); a.Incarnation("2") }},
+		{Announced, func(a *Allowance) { a.StartColdStart(Announced) }},
+		{ConnectionLost, func(a *Allowance) { a.StartColdStart(ConnectionLost) }},
+		{NewIncarnation, func(a *Allowance) { a.SetIncarnation("1"); a.SetIncarnation("2") }},
 		{SlowFirstTokens, func(a *Allowance) {
 			for range slowRunLength {
 				ticket, _ := a.Admit(start)
-				a.FirstToken(ticket, time.Second)
+				a.ObserveTTFT(ticket, time.Second)
 			}
 		}},
 	} {
@@ -114,9 +114,9 @@
 func TestOrdinaryIsNotColdness(t *testing.T) {
 	a := newAllowance(t, Limits{Cold: 2, Full: 8, RampCompletions: 3})
 	warmUp(t, a)
-	a.Incarnation("1")
-	a.Incarnation("")
-	a.Incarnation("1")
+	a.SetIncarnation("1")
+	a.SetIncarnation("")
+	a.SetIncarnation("1")
 	for range 10 {
 		complete(t, a, time.Second)
 		complete(t, a, time.Second)
@@ -132,9 +132,9 @@
 	warmUp(t, a)
 	resets := 0
 	for range 200 {
-		before := a.State().Bound()
+		before := a.State().Limit()
 		complete(t, a, time.Second)
-		if a.State().Bound() < before {
+		if a.State().Limit() < before {
 			resets++
 		}
 	}
@@ -148,12 +148,12 @@
 func TestReportsOfColdness(t *testing.T) {
 	a := newAllowance(t, Limits{Cold: 2, Full: 4, RampCompletions: 1})
 	warmUp(t, a)
-	a.Reported(true, start.Add(-time.Second))
-	a.Reported(false, start.Add(time.Second))
+	a.ReportCold(true, start.Add(-time.Second))
+	a.ReportCold(false, start.Add(time.Second))
 	requireBound(t, a, 4, Unknown)
-	a.Reported(true, start.Add(time.Second))
+	a.ReportCold(true, start.Add(time.Second))
 	requireBound(t, a, 2, Announced)
-	a.Reported(false, start.Add(2*time.Second))
+	a.ReportCold(false, start.Add(2*time.Second))
 	requireBound(t, a, 2, Announced)
 }
 
@@ -171,13 +171,13 @@
 		}
 		tickets = append(tickets, ticket)
 	}
-	a.Restarted(ConnectionLost)
+	a.StartColdStart(ConnectionLost)
 	for i, ticket := range tickets {
 		_, err := a.Admit(start)
 		if refused, want := err != nil, i < 7; refused != want {
 			t.Fatalf("with %d old requests running: refused %v", 8-i, refused)
 		}
-		a.Completed(ticket, start)
+		a.Complete(ticket, start)
 		requireBound(t, a, 2, ConnectionLost)
 	}
 }
@@ -193,19 +193,19 @@
 		ticket, _ := a.Admit(start)
 		tickets = append(tickets, ticket)
 	}
-	a.Restarted(ConnectionLost)
+	a.StartColdStart(ConnectionLost)
 	for n, ticket := range tickets[:2] {
-		if _, err := a.Renew(ticket, start); result.CodeOf(err) != result.EndpointCold || err.RetryAfter() == 0 {
+		if _, err := a.Revalidate(ticket, start); result.CodeOf(err) != result.EndpointCold || err.RetryAfter() == 0 {
 			t.Fatalf("with %d tickets held: %v", 4-n, err)
 		}
-		a.Failed(ticket, start)
+		a.Fail(ticket, start)
 	}
 	for _, ticket := range tickets[2:] {
-		renewed, err := a.Renew(ticket, start)
+		renewed, err := a.Revalidate(ticket, start)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.Completed(renewed, start)
+		a.Complete(renewed, start)
 	}
 	requireBound(t, a, 4, ConnectionLost)
 }
@@ -223,7 +223,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		running += delta
-		if running > a.State().Bound() {
+		if running > a.State().Limit() {
 			exceeded++
 		}
 	}
@@ -238,7 +238,7 @@
 				}
 				addRunning(1)
 				addRunning(-1)
-				a.Completed(ticket, start)
+				a.Complete(ticket, start)
 			}
 		}()
 	}
@@ -320,8 +320,8 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond)
 			running = applyEvent(t, a, ref, running, now)
 			s := a.State()
-			if s.Bound() != ref.bound() || s.Running() != ref.running {
-				t.Fatalf("limit %d with %d running, reference %d with %d", s.Bound(), s.Running(), ref.bound(), ref.running)
+			if s.Limit() != ref.bound() || s.Running() != ref.running {
+				t.Fatalf("limit %d with %d running, reference %d with %d", s.Limit(), s.Running(), ref.bound(), ref.running)
 			}
 		}
 	})
@@ -336,13 +336,13 @@
 		return admitBoth(t, a, ref, running, now)
 	case "restart":
 		if rapid.IntRange(0, 9).Draw(t, "rare") == 0 {
-			a.Restarted(ConnectionLost)
+			a.StartColdStart(ConnectionLost)
 			ref.startCold()
 		}
 		return running
 	case "incarnation":
 		id := rapid.SampledFrom([]string{"", "1", "1", "1", "2"}).Draw(t, "id")
-		a.Incarnation(id)
+		a.SetIncarnation(id)
 		if id != "" && ref.lastID != "" && id != ref.lastID {
 			ref.startCold()
 		}
@@ -358,15 +358,15 @@
 	req := running[i]
 	if kind == "token" {
 		d := time.Duration(rapid.SampledFrom([]int{5, 6, 7, 8, 500}).Draw(t, "token")) * time.Millisecond
-		a.FirstToken(req.ticket, d)
+		a.ObserveTTFT(req.ticket, d)
 		ref.firstToken(req.admittedAt, d)
 		return running
 	}
 	ref.running--
 	if kind == "fail" {
-		a.Failed(req.ticket, now)
+		a.Fail(req.ticket, now)
 	} else {
-		a.Completed(req.ticket, now)
+		a.Complete(req.ticket, now)
 		ref.completions = append(ref.completions, completion{req.admittedAt, ref.events})
 	}
 	return slices.Delete(running, i, i+1)
--- a/internal/endpoint/allowance/burst_test.go
+++ b/internal/endpoint/allowance/burst_test.go
@@ -52,7 +52,7 @@
 		now := start.Add(e.at)
 		out.duration = e.at
 		if e.ends {
-			a.Completed(e.ticket, now)
+			a.Complete(e.ticket, now)
 			continue
 		}
 		ticket, err := a.Admit(now)
@@ -130,7 +130,7 @@
 			}
 			for b.Loop() {
 				if ticket, err := a.Admit(start); err == nil {
-					a.Completed(ticket, start)
+					a.Complete(ticket, start)
 				}
 			}
 		})
--- a/internal/endpoint/allowance/example_test.go
+++ b/internal/endpoint/allowance/example_test.go
@@ -18,10 +18,10 @@
 	first, _ := a.Admit(now)
 	_, refused := a.Admit(now)
 	fmt.Println(refused.Code(), refused.RetryAfter())
-	a.Completed(first, now)
+	a.Complete(first, now)
 	second, _ := a.Admit(now)
-	a.Completed(second, now)
-	fmt.Println(a.State().Bound())
+	a.Complete(second, now)
+	fmt.Println(a.State().Limit())
 	// Output:
 	// endpointCold 500ms
 	// 2
--- a/internal/endpoint/allowance/inherited.go
+++ b/internal/endpoint/allowance/inherited.go
@@ -32,7 +32,7 @@
 // it can run. The first report sets the count. Later reports can only lower it,
 // because from then on all requests pass through this agent. As reports lag,
 // requests that started just before the earlier agent died may be missed.
-func (a *Allowance) ReportedRunning(n, own int, now time.Time) {
+func (a *Allowance) ReportRunning(n, own int, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n = max(0, n-own)
--- a/internal/endpoint/allowance/inherited_test.go
+++ b/internal/endpoint/allowance/inherited_test.go
@@ -31,27 +31,27 @@
 		do   func(a *Allowance) time.Time
 		want int
 	}{
-		{"nothing runs", func(a *Allowance) time.Time { a.ReportedRunning(0, 0, now); return now }, 4},
-		{"three run", func(a *Allowance) time.Time { a.ReportedRunning(3, 0, now); return now }, 1},
-		{"own requests are not inherited", func(a *Allowance) time.Time { a.ReportedRunning(3, 3, now); return now }, 4},
+		{"nothing runs", func(a *Allowance) time.Time { a.ReportRunning(0, 0, now); return now }, 4},
+		{"three run", func(a *Allowance) time.Time { a.ReportRunning(3, 0, now); return now }, 1},
+		{"own requests are not inherited", func(a *Allowance) time.Time { a.ReportRunning(3, 3, now); return now }, 4},
 		{"two have ended", func(a *Allowance) time.Time {
-			a.ReportedRunning(3, 0, now)
-			a.ReportedRunning(1, 0, now)
+			a.ReportRunning(3, 0, now)
+			a.ReportRunning(1, 0, now)
 			return now
 		}, 3},
 		{"later report does not raise the count", func(a *Allowance) time.Time {
-			a.ReportedRunning(1, 0, now)
-			a.ReportedRunning(4, 0, now)
+			a.ReportRunning(1, 0, now)
+			a.ReportRunning(4, 0, now)
 			return now
 		}, 3},
 		{"restart clears the count", func(a *Allowance) time.Time {
-			a.Incarnation("1")
-			a.ReportedRunning(3, 0, now)
-			a.Incarnation("2")
+			a.SetIncarnation("1")
+			a.ReportRunning(3, 0, now)
+			a.SetIncarnation("2")
 			return now
 		}, 4},
 		{"count expires", func(a *Allowance) time.Time {
-			a.ReportedRunning(4, 0, now)
+			a.ReportRunning(4, 0, now)
 			return now.Add(inheritedTTL)
 		}, 4},
 	}
--- a/internal/endpoint/batch/batch.go
+++ b/internal/endpoint/batch/batch.go
@@ -13,13 +13,13 @@
 	// that a batch is sized for. After a sudden change in expert popularity,
 	// 2.4 to 3 were observed until the next expert map took effect half a second
 	// later; a planned map has 1.2 to 1.4.
-	JumpSkew = 1.7
+	DesignSkew = 1.7
 	// CalmSkew is the load imbalance of a planned expert map.
-	CalmSkew = 1.3
+	PlannedSkew = 1.3
 	// SlowFrom is the slowdown factor from which an engine counts as slow.
 	// Engines report their slowdown rounded; without the threshold, expert maps
 	// and allowances would change with every tenth for no benefit.
-	SlowFrom = 1.2
+	SlowdownThreshold = 1.2
 	// deliveryMargin is the part of the bound on the delay between events that
 	// is reserved for delivery to the client and for prefill of other prompts.
 	deliveryMargin = 10 * time.Millisecond
@@ -28,7 +28,7 @@
 // Pass returns the duration of one pass, which is e.Stride token steps, over a
 // batch of the given size. The parameter skew is the load imbalance of the
 // experts: the load of the busiest rank over the mean.
-func Pass(e *routing.Engine, size int, skew float64) time.Duration {
+func PassDuration(e *routing.Engine, size int, skew float64) time.Duration {
 	context := float64(e.MeanPrompt+e.MeanOutput) / 1000
 	perRequest := float64(e.PerSequence) + context*float64(e.PerThousandTokens)
 	step := float64(e.Step) + float64(size)*perRequest
@@ -45,12 +45,12 @@
 // longer than the longest pause that clients tolerate, and all running streams
 // are late. Smaller batches keep passes below it and cost a tenth of the
 // throughput.
-func MostWriters(e *routing.Engine, gap time.Duration) int {
+func MaxBatch(e *routing.Engine, gap time.Duration) int {
 	if gap <= 0 || e.Slots <= 0 {
 		return max(1, e.Slots)
 	}
 	n := 1
-	for n < e.Slots && Pass(e, n+1, JumpSkew) <= gap-deliveryMargin {
+	for n < e.Slots && PassDuration(e, n+1, DesignSkew) <= gap-deliveryMargin {
 		n++
 	}
 	return n
@@ -59,12 +59,12 @@
 // MostAtPace returns the largest batch of which a pass takes at most gap less
 // deliveryMargin at an imbalance of CalmSkew, on an engine that is slower than usual
 // by the factor pace. It may be 0; a gap of zero means no bound.
-func MostAtPace(e *routing.Engine, gap time.Duration, pace float64) int {
+func MaxBatchAtSlowdown(e *routing.Engine, gap time.Duration, pace float64) int {
 	if gap <= 0 {
 		return e.Slots
 	}
 	n := 0
-	for n < e.Slots && float64(Pass(e, n+1, CalmSkew))*pace <= float64(gap-deliveryMargin) {
+	for n < e.Slots && float64(PassDuration(e, n+1, PlannedSkew))*pace <= float64(gap-deliveryMargin) {
 		n++
 	}
 	return n
--- a/internal/endpoint/batch/batch_test.go
+++ b/internal/endpoint/batch/batch_test.go
@@ -17,10 +17,10 @@
 
 func TestPassGrowsWithWritersAndSkew(t *testing.T) {
 	e := engine()
-	if a, b := Pass(e, 4, 1.3), Pass(e, 8, 1.3); a >= b {
+	if a, b := PassDuration(e, 4, 1.3), PassDuration(e, 8, 1.3); a >= b {
 		t.Fatalf("a pass takes %v with 4 requests, %v with 8", a, b)
 	}
-	if a, b := Pass(e, 8, 1.3), Pass(e, 8, 3); a >= b {
+	if a, b := PassDuration(e, 8, 1.3), PassDuration(e, 8, 3); a >= b {
 		t.Fatalf("a pass takes %v with a planned map, %v with a skew of 3", a, b)
 	}
 }
@@ -30,18 +30,18 @@
 func TestMostWritersKeepThePause(t *testing.T) {
 	e := engine()
 	for _, gap := range []time.Duration{80 * time.Millisecond, 120 * time.Millisecond, 150 * time.Millisecond} {
-		n := MostWriters(e, gap)
-		if n > 1 && Pass(e, n, JumpSkew) > gap {
-			t.Errorf("a pass over %d requests takes %v, the bound is %v", n, Pass(e, n, JumpSkew), gap)
+		n := MaxBatch(e, gap)
+		if n > 1 && PassDuration(e, n, DesignSkew) > gap {
+			t.Errorf("a pass over %d requests takes %v, the bound is %v", n, PassDuration(e, n, DesignSkew), gap)
 		}
-		if n < e.Slots && Pass(e, n+1, JumpSkew) <= gap-deliveryMargin {
+		if n < e.Slots && PassDuration(e, n+1, DesignSkew) <= gap-deliveryMargin {
 			t.Errorf("got a batch of %d, one more request fits into %v", n, gap)
 		}
 	}
-	if n := MostWriters(e, 0); n != e.Slots {
+	if n := MaxBatch(e, 0); n != e.Slots {
 		t.Errorf("got a batch of %d without a bound", n)
 	}
-	if n := MostWriters(e, time.Millisecond); n != 1 {
+	if n := MaxBatch(e, time.Millisecond); n != 1 {
 		t.Errorf("got a batch of %d for a bound that no pass keeps, want 1", n)
 	}
 }
--- a/internal/endpoint/direct/answer.go
+++ b/internal/endpoint/direct/answer.go
@@ -18,7 +18,7 @@
 )
 
 // Answer is a response whose header has arrived. Close must be called.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the declared length of the body in bytes, or -1 if it is unknown.
@@ -34,7 +34,7 @@
 
 // exchange writes r and reads the header of the response to it, skipping up to
 // maxStaleResponses responses to earlier requests.
-func (a *Answer) exchange(r *Request) error {
+func (a *Response) exchange(r *Request) error {
 	a.writer = startWriter(a.conn, r)
 	if a.writer.sent == 0 && a.writer.err != nil {
 		return &NotSentError{cause: a.writer.err}
@@ -45,20 +45,20 @@
 			return err
 		}
 		a.resp, a.Status, a.Header, a.Length = resp, resp.StatusCode, resp.Header, resp.ContentLength
-		if r.Mine == nil || r.Mine(resp.Header) {
+		if r.Matches == nil || r.Matches(resp.Header) {
 			return nil
 		}
 		// An endpoint may respond to a request twice, and the duplicate is read
 		// as the response to the next request. The id in its header shows that;
 		// the right response follows on the same connection.
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			return ErrForeign
+			return ErrMismatchedResponse
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return err
 		}
 	}
-	return ErrForeign
+	return ErrMismatchedResponse
 }
 
 // readResponse reads the header of the next response, skipping informational (1xx)
@@ -73,13 +73,13 @@
 			return resp, nil
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, ErrSpoiled
+			return nil, ErrUnexpectedUpgrade
 		}
 	}
 }
 
 // Read reads the body. It returns io.EOF only if the body is complete.
-func (a *Answer) Read(p []byte) (int, error) {
+func (a *Response) Read(p []byte) (int, error) {
 	n, err := a.resp.Body.Read(p)
 	if err == io.EOF {
 		a.complete = true
@@ -88,11 +88,11 @@
 }
 
 // Whole reports whether the body has been read to its end.
-func (a *Answer) Whole() bool { return a.complete }
+func (a *Response) Complete() bool { return a.complete }
 
 // Close returns the connection to the pool if the body was read to its end and
 // the connection can be reused, and closes it otherwise.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	active := a.stopAbort()
 	if !active || !a.reusable() {
 		a.closeAfterWrite(active)
@@ -105,7 +105,7 @@
 // reusable reports whether the connection can carry another request: request
 // and response are complete, no data follows, and the endpoint doesn't close
 // the connection.
-func (a *Answer) reusable() bool {
+func (a *Response) reusable() bool {
 	return a.complete && a.resp != nil && !a.resp.Close && a.conn.br.Buffered() == 0 && a.writer.finished() == nil && hasFraming(a.resp)
 }
 
@@ -121,7 +121,7 @@
 // later. It must receive all of the body, so after a complete response the
 // connection is closed only when the body has been written or bodyWriteTimeout
 // has passed. Otherwise the connection is reset at once.
-func (a *Answer) closeAfterWrite(active bool) {
+func (a *Response) closeAfterWrite(active bool) {
 	if !active || !a.complete {
 		a.conn.abort()
 		return
--- a/internal/endpoint/direct/client.go
+++ b/internal/endpoint/direct/client.go
@@ -24,11 +24,11 @@
 }
 
 // ErrForeign reports a response that belongs to another request.
-var ErrForeign = errors.New("direct: response belongs to another request")
+var ErrMismatchedResponse = errors.New("direct: response belongs to another request")
 
 // ErrSpoiled reports a 101 Switching Protocols response, which can't be passed
 // on.
-var ErrSpoiled = errors.New("direct: unexpected switch of protocols")
+var ErrUnexpectedUpgrade = errors.New("direct: unexpected switch of protocols")
 
 // Request is an HTTP request to an endpoint.
 type Request struct {
@@ -37,11 +37,11 @@
 	Body                 []byte
 	// Mine reports whether a response with the given header belongs to this
 	// request. If it is nil, every response is accepted.
-	Mine func(http.Header) bool
+	Matches func(http.Header) bool
 	// Fresh excludes pooled connections that are close to their idle timeout.
 	// It is for requests that must not run twice: if the endpoint closes the
 	// connection while such a request is in flight, its outcome is unknown.
-	Fresh bool
+	AvoidExpiring bool
 }
 
 // Client sends requests to endpoints over pooled connections. Its zero value is
@@ -55,12 +55,12 @@
 // Do sends r to addr and returns the response when its header has arrived. The
 // returned Answer must be closed. When ctx is done, the connection is reset, also
 // while the body is being read.
-func (c *Client) Do(ctx context.Context, addr string, r *Request) (*Answer, error) {
-	cn, err := c.acquire(ctx, addr, r.Fresh)
+func (c *Client) Do(ctx context.Context, addr string, r *Request) (*Response, error) {
+	cn, err := c.acquire(ctx, addr, r.AvoidExpiring)
 	if err != nil {
 		return nil, &NotSentError{cause: err}
 	}
-	a := &Answer{client: c, conn: cn}
+	a := &Response{client: c, conn: cn}
 	a.stopAbort = context.AfterFunc(ctx, cn.abort)
 	if err := a.exchange(r); err != nil {
 		a.Close()
--- a/internal/endpoint/direct/client_test.go
+++ b/internal/endpoint/direct/client_test.go
@@ -58,7 +58,7 @@
 func request(id string) *Request {
 	return &Request{
 		Method: http.MethodGet, Target: "/x?y=1", Host: "h", Header: http.Header{"X-Id": {id}},
-		Mine: func(h http.Header) bool { return h.Get("X-Id") == id },
+		Matches: func(h http.Header) bool { return h.Get("X-Id") == id },
 	}
 }
 
@@ -274,7 +274,7 @@
 
 func TestEvents(t *testing.T) {
 	read := func(text string) (ids []int64, err error) {
-		e := NewEvents(oneByte{strings.NewReader(text)})
+		e := NewEventReader(oneByte{strings.NewReader(text)})
 		for {
 			ev, err := e.Next()
 			if err != nil {
@@ -291,7 +291,7 @@
 	})
 	t.Run("torn", func(t *testing.T) {
 		ids, err := read("id: 1\ndata: a\n\nid: 2\nda")
-		if !errors.Is(err, ErrTorn) || fmt.Sprint(ids) != "[1]" {
+		if !errors.Is(err, ErrPartialEvent) || fmt.Sprint(ids) != "[1]" {
 			t.Fatalf("%v, %v", ids, err)
 		}
 	})
--- a/internal/endpoint/direct/events.go
+++ b/internal/endpoint/direct/events.go
@@ -11,7 +11,7 @@
 const maxEventSize = 1 << 20
 
 // ErrTorn reports a stream that ended inside an event.
-var ErrTorn = errors.New("direct: stream ended inside an event")
+var ErrPartialEvent = errors.New("direct: stream ended inside an event")
 
 var errEventTooLong = errors.New("direct: event is too long")
 
@@ -29,7 +29,7 @@
 // Events splits a stream into complete events, independent of how its bytes are
 // distributed over reads. It never returns an event that is cut off by the end
 // of the stream.
-type Events struct {
+type EventReader struct {
 	r     io.Reader
 	buf   []byte
 	start int
@@ -37,19 +37,19 @@
 }
 
 // NewEvents returns an Events that reads from r.
-func NewEvents(r io.Reader) *Events { return &Events{r: r} }
+func NewEventReader(r io.Reader) *EventReader { return &EventReader{r: r} }
 
 // Next returns the next event. It returns io.EOF at the end of the stream, ErrTorn
 // if the stream ended inside an event, and else the error of the reader or an error
 // for an event that is too long.
-func (e *Events) Next() (Event, error) {
+func (e *EventReader) Next() (Event, error) {
 	for {
 		if ev, ok := e.takeEvent(); ok {
 			return ev, nil
 		}
 		if e.err != nil {
 			if e.err == io.EOF && len(bytes.TrimSpace(e.buf[e.start:])) > 0 {
-				return Event{}, ErrTorn
+				return Event{}, ErrPartialEvent
 			}
 			return Event{}, e.err
 		}
@@ -58,10 +58,10 @@
 }
 
 // Waiting reports whether another complete event is buffered.
-func (e *Events) Waiting() bool { return eventEnd(e.buf[e.start:]) > 0 }
+func (e *EventReader) Buffered() bool { return eventEnd(e.buf[e.start:]) > 0 }
 
 // fill reads more bytes into the buffer and records the error, if any.
-func (e *Events) fill() {
+func (e *EventReader) fill() {
 	if e.start > 0 {
 		e.buf = append(e.buf[:0], e.buf[e.start:]...)
 		e.start = 0
@@ -78,7 +78,7 @@
 }
 
 // takeEvent removes the first complete event from the buffer.
-func (e *Events) takeEvent() (Event, bool) {
+func (e *EventReader) takeEvent() (Event, bool) {
 	n := eventEnd(e.buf[e.start:])
 	if n == 0 {
 		return Event{}, false
--- a/internal/endpoint/direct/pool.go
+++ b/internal/endpoint/direct/pool.go
@@ -143,7 +143,7 @@
 }
 
 // Sweep closes the idle connections that have expired by now.
-func (c *Client) Sweep(now time.Time) {
+func (c *Client) CloseExpired(now time.Time) {
 	var expired []*conn
 	c.mu.Lock()
 	for addr, conns := range c.idle {
--- a/internal/endpoint/placement/affinity.go
+++ b/internal/endpoint/placement/affinity.go
@@ -73,7 +73,7 @@
 // An endpoint that hasn't cached the prefix must compute it again, whereas a
 // popular prefix can overload the one endpoint that has; AffineBound is the
 // compromise between both.
-func (p *Picture) affinityEndpoint(s *route, q *Query, now time.Time) *endpoint {
+func (p *Balancer) affinityEndpoint(s *route, q *Query, now time.Time) *endpoint {
 	if q.Prefix == 0 {
 		return nil
 	}
@@ -84,7 +84,7 @@
 	if len(points) == 0 {
 		return nil
 	}
-	maxScore := p.AffineBound * p.meanLoadScore(s, q, now)
+	maxScore := p.AffinityBound * p.meanLoadScore(s, q, now)
 	pos := s.ring.successor(mix64(q.Prefix))
 	var previous *endpoint
 	for candidates := 0; candidates < maxRingCandidates; pos++ {
@@ -107,7 +107,7 @@
 
 // meanLoadScore estimates the mean load score of the available endpoints from a
 // random sample. It returns 1 if the sample contains none.
-func (p *Picture) meanLoadScore(s *route, q *Query, now time.Time) float64 {
+func (p *Balancer) meanLoadScore(s *route, q *Query, now time.Time) float64 {
 	var sum, n float64
 	for range meanSampleSize {
 		e := s.endpoints[p.nextRandom()%uint64(len(s.endpoints))]
--- a/internal/endpoint/placement/choose.go
+++ b/internal/endpoint/placement/choose.go
@@ -43,7 +43,7 @@
 // loadScore returns the load of e with the query added, relative to its
 // capacity; lower is better. Slow endpoints, endpoints in slow start and
 // endpoints of other data centres get higher scores.
-func (p *Picture) loadScore(e *endpoint, s *route, q *Query, now time.Time) float64 {
+func (p *Balancer) loadScore(e *endpoint, s *route, q *Query, now time.Time) float64 {
 	streams := e.streams() + 1
 	tokens := e.otherTokens + float64(e.ownTokens+q.Tokens)
 	capacity := float64(e.capacity)
@@ -56,7 +56,7 @@
 	score := (streams + tokenWeight*tokens/p.meanTokens) / (capacity * p.slowStartFraction(e, now))
 	score *= e.slowdown(s, now)
 	if !e.local {
-		score += p.Spill
+		score += p.RemotePenalty
 	}
 	return score
 }
@@ -70,7 +70,7 @@
 // load, all its endpoints look idle at once; without the slow start, all
 // entries would immediately send them all requests, while their caches are
 // empty.
-func (p *Picture) slowStartFraction(e *endpoint, now time.Time) float64 {
+func (p *Balancer) slowStartFraction(e *endpoint, now time.Time) float64 {
 	elapsed := now.Sub(e.availableSince)
 	if elapsed >= p.SlowStart {
 		return 1
@@ -82,7 +82,7 @@
 // reason that none could be selected: EndpointBusy and EndpointCold are
 // temporary, the other codes last until an endpoint comes into service. Choose
 // doesn't allocate.
-func (p *Picture) Choose(q Query, now time.Time) (c Choice, ok bool, why result.Code) {
+func (p *Balancer) Choose(q Query, now time.Time) (c Choice, ok bool, why result.Code) {
 	s := p.routes[q.Route]
 	if s == nil || len(s.endpoints) == 0 {
 		return Choice{}, false, result.NoEndpoint
@@ -102,24 +102,24 @@
 }
 
 // recordChoice records that e was selected and returns the Choice.
-func (p *Picture) recordChoice(e *endpoint, affine, probe bool, now time.Time) Choice {
+func (p *Balancer) recordChoice(e *endpoint, affine, probe bool, now time.Time) Choice {
 	e.lastChosen = now
 	if probe {
 		e.probes++
 	}
 	return Choice{
 		Endpoint: e.name, Incarnation: e.incarnation, DataCentre: e.dataCentre,
-		Affine: affine, Probe: probe,
+		ByAffinity: affine, Probe: probe,
 	}
 }
 
 // sample returns the endpoint with the lowest load score among p.Draws random
 // ones, or nil if none of them can be selected. It returns a slow endpoint,
 // with probe set, as soon as it finds one that is due to be probed.
-func (p *Picture) sample(s *route, q *Query, now time.Time) (lowest *endpoint, probe bool) {
+func (p *Balancer) sample(s *route, q *Query, now time.Time) (lowest *endpoint, probe bool) {
 	lowestScore := math.Inf(1)
 	n := uint64(len(s.endpoints))
-	for range p.Draws {
+	for range p.Samples {
 		e := s.endpoints[p.nextRandom()%n]
 		if p.state(e, s, now) != eligible || alreadyTried(q, e) {
 			continue
@@ -139,8 +139,8 @@
 // for ever, because it gets no requests that could show its recovery. Probes
 // become less frequent as long as the endpoint stays slow, because each of them
 // delays a client.
-func (p *Picture) probeDue(e *endpoint, s *route, q *Query, now time.Time) bool {
-	interval := p.ProbeEvery << min(e.probes, maxProbeDoublings)
+func (p *Balancer) probeDue(e *endpoint, s *route, q *Query, now time.Time) bool {
+	interval := p.ProbeInterval << min(e.probes, maxProbeDoublings)
 	if q.RunOnce || e.ownStreams > 0 || now.Sub(e.lastChosen) < interval {
 		return false
 	}
@@ -150,7 +150,7 @@
 // scan returns the endpoint with the lowest load score among all endpoints, for
 // when sample finds none. If no endpoint can be selected, it returns the index
 // in rejectionCodes of the reason that is most likely to pass.
-func (p *Picture) scan(s *route, q *Query, now time.Time) (lowest *endpoint, why int) {
+func (p *Balancer) scan(s *route, q *Query, now time.Time) (lowest *endpoint, why int) {
 	lowestScore := math.Inf(1)
 	for _, e := range s.endpoints {
 		if alreadyTried(q, e) {
--- a/internal/endpoint/placement/endpoint.go
+++ b/internal/endpoint/placement/endpoint.go
@@ -83,11 +83,11 @@
 	e.local = r.DataCentre == dataCentre
 	e.allowance = max(0, r.Allowance)
 	e.capacity = max(1, r.Capacity, r.Allowance)
-	e.cold, e.leaving, e.reportedOut = r.Cold, r.Leaving, r.Out
-	e.reportedAt = r.At
-	own, tokens := e.history.loadAt(r.At)
+	e.cold, e.leaving, e.reportedOut = r.Cold, r.Draining, r.OutOfService
+	e.reportedAt = r.ValidAt
+	own, tokens := e.history.loadAt(r.ValidAt)
 	others := math.Max(0, float64(r.Running-own))
-	if !r.At.After(e.lastRefusal) {
+	if !r.ValidAt.After(e.lastRefusal) {
 		others = math.Max(others, e.otherStreams)
 	}
 	e.otherStreams = others
@@ -105,7 +105,7 @@
 
 // state returns eligible, or the index in rejectionCodes of the reason that the
 // endpoint can't be selected.
-func (p *Picture) state(e *endpoint, s *route, now time.Time) int {
+func (p *Balancer) state(e *endpoint, s *route, now time.Time) int {
 	switch {
 	case e.reportedOut || e.configuredOut:
 		return outOfService
@@ -134,7 +134,7 @@
 // one attempt of this entry at a time, so that an endpoint that looks idle only
 // because its reports have stopped isn't flooded. One attempt is enough to get
 // new information, because the agent still refuses what the endpoint can't run.
-func (p *Picture) stateUnknown(e *endpoint, now time.Time) int {
+func (p *Balancer) stateUnknown(e *endpoint, now time.Time) int {
 	if e.ownStreams > 0 || now.Before(e.backoffUntil) {
 		return busy
 	}
@@ -146,7 +146,7 @@
 // back, all entries see the same free allowance in the same outdated report.
 // The agent would refuse the excess, but each refusal costs the client a round
 // trip.
-func (p *Picture) stateCold(e *endpoint, now time.Time) int {
+func (p *Balancer) stateCold(e *endpoint, now time.Time) int {
 	free := float64(e.allowance) - e.otherStreams
 	quota := math.Ceil(free / float64(p.Entries))
 	if now.Before(e.backoffUntil) || float64(e.ownStreams) >= quota || free <= 0 {
--- a/internal/endpoint/placement/picture.go
+++ b/internal/endpoint/placement/picture.go
@@ -9,17 +9,17 @@
 
 // Default values of the fields of Picture.
 const (
-	DefaultStaleAfter  = 5 * time.Second
-	DefaultSlowStart   = 10 * time.Second
-	DefaultProbeEvery  = 2 * time.Second
-	DefaultDraws       = 4
-	DefaultSpill       = 0.15
-	DefaultAffineBound = 1.25
+	DefaultStaleAfter    = 5 * time.Second
+	DefaultSlowStart     = 10 * time.Second
+	DefaultProbeInterval = 2 * time.Second
+	DefaultSamples       = 4
+	DefaultRemotePenalty = 0.15
+	DefaultAffinityBound = 1.25
 )
 
 // Picture is one entry's view of its endpoints. The exported fields must be set
 // before the first call; zero values select the defaults.
-type Picture struct {
+type Balancer struct {
 	// DataCentre is the data centre of the entry.
 	DataCentre string
 	// Entries is the number of entries that send requests to the same
@@ -37,18 +37,18 @@
 	SlowStart time.Duration
 	// ProbeEvery is the interval between probes of a slow endpoint without
 	// load.
-	ProbeEvery time.Duration
+	ProbeInterval time.Duration
 	// Draws is the number of random endpoints that are compared for each
 	// choice.
-	Draws int
+	Samples int
 	// Spill is the penalty on endpoints of other data centres: the difference
 	// in load, as a fraction of the capacity of an endpoint, from which a
 	// request goes to another data centre.
-	Spill float64
+	RemotePenalty float64
 	// AffineBound is the bound on the load score of the endpoint that keeps a
 	// prefix, as a factor of the mean. A lower value disperses the cached
 	// prefixes, a higher one overloads single endpoints with popular prefixes.
-	AffineBound float64
+	AffinityBound float64
 
 	endpoints      map[string]*endpoint
 	routes         map[string]*route
@@ -58,7 +58,7 @@
 	meanTokens     float64
 }
 
-func (p *Picture) init() {
+func (p *Balancer) init() {
 	if p.endpoints != nil {
 		return
 	}
@@ -77,17 +77,17 @@
 	if p.SlowStart <= 0 {
 		p.SlowStart = DefaultSlowStart
 	}
-	if p.ProbeEvery <= 0 {
-		p.ProbeEvery = DefaultProbeEvery
+	if p.ProbeInterval <= 0 {
+		p.ProbeInterval = DefaultProbeInterval
 	}
-	if p.Draws <= 0 {
-		p.Draws = DefaultDraws
+	if p.Samples <= 0 {
+		p.Samples = DefaultSamples
 	}
-	if p.Spill <= 0 {
-		p.Spill = DefaultSpill
+	if p.RemotePenalty <= 0 {
+		p.RemotePenalty = DefaultRemotePenalty
 	}
-	if p.AffineBound <= 0 {
-		p.AffineBound = DefaultAffineBound
+	if p.AffinityBound <= 0 {
+		p.AffinityBound = DefaultAffinityBound
 	}
 }
 
@@ -97,7 +97,7 @@
 
 // Update applies a report. It returns false if it ignored the report because it
 // names no endpoint or is older than a previous one.
-func (p *Picture) Update(r Report, now time.Time) bool {
+func (p *Balancer) Update(r Report, now time.Time) bool {
 	p.init()
 	if r.Endpoint == "" {
 		return false
@@ -112,7 +112,7 @@
 	}
 	if r.Incarnation > e.incarnation {
 		e.reset(r.Incarnation, now)
-	} else if !r.At.IsZero() && r.At.Before(e.reportedAt) {
+	} else if !r.ValidAt.IsZero() && r.ValidAt.Before(e.reportedAt) {
 		return false
 	}
 	wasUnavailable := e.unavailable()
@@ -127,7 +127,7 @@
 
 // Remove removes an endpoint whose VM has gone. Open attempts on it may still
 // be ended afterwards.
-func (p *Picture) Remove(name string) {
+func (p *Balancer) Remove(name string) {
 	p.init()
 	e := p.endpoints[name]
 	if e == nil {
@@ -139,7 +139,7 @@
 
 // SetOut sets the endpoints and the data centres that operators have taken out
 // of service. The lists replace those of earlier calls.
-func (p *Picture) SetOut(endpoints, dataCentres []string, now time.Time) {
+func (p *Balancer) SetOutOfService(endpoints, dataCentres []string, now time.Time) {
 	p.init()
 	p.outEndpoints = toSet(endpoints)
 	p.outDataCentres = toSet(dataCentres)
@@ -161,7 +161,7 @@
 }
 
 // setRoutes makes e serve exactly the given routes.
-func (p *Picture) setRoutes(e *endpoint, routes []string) {
+func (p *Balancer) setRoutes(e *endpoint, routes []string) {
 	if equal(e.routes, routes) {
 		return
 	}
@@ -192,11 +192,11 @@
 }
 
 // Len returns the number of known endpoints.
-func (p *Picture) Len() int { return len(p.endpoints) }
+func (p *Balancer) Len() int { return len(p.endpoints) }
 
 // Load returns the estimated number of streams on the endpoint, and whether the
 // endpoint is known and its report is recent.
-func (p *Picture) Load(name string, now time.Time) (float64, bool) {
+func (p *Balancer) Load(name string, now time.Time) (float64, bool) {
 	e := p.endpoints[name]
 	if e == nil {
 		return 0, false
@@ -205,7 +205,7 @@
 }
 
 // nextRandom returns a pseudo-random number (SplitMix64).
-func (p *Picture) nextRandom() uint64 {
+func (p *Balancer) nextRandom() uint64 {
 	p.rngState += 0x9e3779b97f4a7c15
 	return mix64(p.rngState)
 }
@@ -218,7 +218,7 @@
 }
 
 // observeTokens updates the moving average of the number of tokens per request.
-func (p *Picture) observeTokens(n int) {
+func (p *Balancer) observeTokens(n int) {
 	const step = 0.01
 	p.meanTokens += step * (math.Max(1, float64(n)) - p.meanTokens)
 }
--- a/internal/endpoint/placement/placement_test.go
+++ b/internal/endpoint/placement/placement_test.go
@@ -17,13 +17,13 @@
 func idleReport(i int, at time.Time) Report {
 	return Report{
 		Endpoint: name(i), Incarnation: 1, DataCentre: fmt.Sprint("dc", i%3), Routes: []string{"model"},
-		Allowance: 8, Capacity: 8, At: at,
+		Allowance: 8, Capacity: 8, ValidAt: at,
 	}
 }
 
 // newPicture returns a Picture of n idle endpoints whose slow start is over.
-func newPicture(n int, now time.Time) *Picture {
-	p := &Picture{DataCentre: "dc0", Spill: 0.01}
+func newPicture(n int, now time.Time) *Balancer {
+	p := &Balancer{DataCentre: "dc0", RemotePenalty: 0.01}
 	for i := range n {
 		p.Update(idleReport(i, now.Add(-time.Hour)), now.Add(-time.Hour))
 		p.Update(idleReport(i, now), now)
@@ -31,7 +31,7 @@
 	return p
 }
 
-func mustChoose(t testing.TB, p *Picture, q Query, now time.Time) Choice {
+func mustChoose(t testing.TB, p *Balancer, q Query, now time.Time) Choice {
 	t.Helper()
 	c, ok, why := p.Choose(q, now)
 	if !ok {
@@ -41,18 +41,18 @@
 }
 
 // startRequests places n requests and returns how many each endpoint got.
-func startRequests(t testing.TB, p *Picture, q Query, n int, now time.Time) map[string]int {
+func startRequests(t testing.TB, p *Balancer, q Query, n int, now time.Time) map[string]int {
 	t.Helper()
 	got := make(map[string]int)
 	for range n {
 		c := mustChoose(t, p, q, now)
-		p.Started(c, q, now)
+		p.Start(c, q, now)
 		got[c.Endpoint]++
 	}
 	return got
 }
 
-func assertNoChoice(t testing.TB, p *Picture, q Query, now time.Time, want result.Code) {
+func assertNoChoice(t testing.TB, p *Balancer, q Query, now time.Time, want result.Code) {
 	t.Helper()
 	if c, ok, why := p.Choose(q, now); ok || why != want {
 		t.Errorf("got %v, %v, %v; want no endpoint and %v", c, ok, why, want)
@@ -68,14 +68,14 @@
 		change func(r *Report)
 		want   result.Code
 	}{
-		{"out", func(r *Report) { r.Out = true }, result.OutOfService},
-		{"leaving", func(r *Report) { r.Leaving = true }, result.EndpointLeaving},
+		{"out", func(r *Report) { r.OutOfService = true }, result.OutOfService},
+		{"leaving", func(r *Report) { r.Draining = true }, result.EndpointLeaving},
 		{"cold and used", func(r *Report) { r.Cold, r.Allowance, r.Running = true, 1, 1 }, result.EndpointCold},
 		{"busy", func(r *Report) { r.Running = 8 }, result.EndpointBusy},
 		{"other route", func(r *Report) { r.Routes = []string{"other"} }, result.NoEndpoint},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := &Picture{DataCentre: "dc0"}
+			p := &Balancer{DataCentre: "dc0"}
 			r := idleReport(0, now)
 			tc.change(&r)
 			p.Update(r, now)
@@ -84,7 +84,7 @@
 	}
 	p := newPicture(2, now)
 	assertNoChoice(t, p, Query{Route: "model", Tried: []string{name(0), name(1)}}, now, result.NoEndpoint)
-	p.SetOut([]string{name(0)}, []string{"dc1"}, now)
+	p.SetOutOfService([]string{name(0)}, []string{"dc1"}, now)
 	assertNoChoice(t, p, query, now, result.OutOfService)
 	p.Update(idleReport(1, now.Add(time.Second)), now.Add(time.Second))
 	assertNoChoice(t, p, query, now, result.OutOfService)
@@ -100,7 +100,7 @@
 func (ref *loadReference) otherStreams(r Report) int {
 	own := 0
 	for i, at := range ref.at {
-		if !at.After(r.At) {
+		if !at.After(r.ValidAt) {
 			own = ref.own[i]
 		}
 	}
@@ -111,7 +111,7 @@
 // endpoint looks full or idle when it is not.
 func TestOwnWorkIsJoinedWithLaggingReports(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	p := &Picture{DataCentre: "dc0"}
+	p := &Balancer{DataCentre: "dc0"}
 	p.Update(idleReport(0, epoch), epoch)
 	ref := &loadReference{}
 	var open []*Attempt
@@ -120,10 +120,10 @@
 		now = now.Add(time.Duration(1+rng.IntN(50)) * time.Millisecond)
 		switch x := rng.IntN(10); {
 		case x < 5 && len(open) < 20:
-			open = append(open, p.Started(Choice{Endpoint: name(0)}, query, now))
+			open = append(open, p.Start(Choice{Endpoint: name(0)}, query, now))
 		case x < 9 && len(open) > 0:
 			i := rng.IntN(len(open))
-			p.Ended(open[i], now)
+			p.End(open[i], now)
 			open = append(open[:i], open[i+1:]...)
 		default:
 			at := now.Add(-time.Duration(rng.IntN(500)) * time.Millisecond)
@@ -173,7 +173,7 @@
 			p.Update(r, epoch)
 			for range 40 {
 				if c, ok, _ := p.Choose(query, epoch); ok {
-					p.Started(c, query, epoch)
+					p.Start(c, query, epoch)
 				}
 			}
 			n, _ := p.Load(name(0), epoch)
@@ -194,16 +194,16 @@
 // slow start all entries would send it all requests at once.
 func TestReturningDataCentreIsNotStormed(t *testing.T) {
 	p := newPicture(12, epoch)
-	p.SetOut(nil, []string{"dc1"}, epoch)
+	p.SetOutOfService(nil, []string{"dc1"}, epoch)
 	startRequests(t, p, query, 30, epoch)
-	p.SetOut(nil, nil, epoch)
+	p.SetOutOfService(nil, nil, epoch)
 	assertReturnedShare(t, p, 100*time.Millisecond, 0, 4)
 	assertReturnedShare(t, p, 4*time.Second, 6, 20)
 }
 
 // assertReturnedShare places 24 requests and checks how many of them go to the
 // data centre that has come back.
-func assertReturnedShare(t *testing.T, p *Picture, after time.Duration, least, most int) {
+func assertReturnedShare(t *testing.T, p *Balancer, after time.Duration, least, most int) {
 	t.Helper()
 	now := epoch.Add(after)
 	got := startRequests(t, p, query, 24, now)
@@ -224,7 +224,7 @@
 		chosen[prefix] = c.Endpoint
 	}
 	for prefix, want := range chosen {
-		if c := mustChoose(t, p, Query{Route: "model", Prefix: prefix}, epoch); c.Endpoint != want || !c.Affine {
+		if c := mustChoose(t, p, Query{Route: "model", Prefix: prefix}, epoch); c.Endpoint != want || !c.ByAffinity {
 			t.Errorf("prefix %d went to %v, want %s", prefix, c, want)
 		}
 	}
@@ -236,7 +236,7 @@
 
 func TestNearDataCentreUntilPressed(t *testing.T) {
 	p := newPicture(12, epoch)
-	p.Spill = DefaultSpill
+	p.RemotePenalty = DefaultRemotePenalty
 	got := startRequests(t, p, query, 30, epoch)
 	local := got[name(0)] + got[name(3)] + got[name(6)] + got[name(9)]
 	if local < 12 || local > 24 {
@@ -261,7 +261,7 @@
 // it again and again.
 func TestRefusalPausesUntilNewerReport(t *testing.T) {
 	p := newPicture(1, epoch)
-	p.Refused(p.Started(mustChoose(t, p, query, epoch), query, epoch), 0, epoch)
+	p.Refuse(p.Start(mustChoose(t, p, query, epoch), query, epoch), 0, epoch)
 	assertNoChoice(t, p, query, epoch, result.EndpointBusy)
 	p.Update(idleReport(0, epoch), epoch.Add(5*time.Millisecond))
 	assertNoChoice(t, p, query, epoch.Add(5*time.Millisecond), result.EndpointBusy)
@@ -276,7 +276,7 @@
 	r := idleReport(0, epoch)
 	r.Incarnation = 3
 	p.Update(r, epoch)
-	r.Incarnation, r.Leaving, r.At = 2, true, epoch.Add(time.Hour)
+	r.Incarnation, r.Draining, r.ValidAt = 2, true, epoch.Add(time.Hour)
 	if p.Update(r, epoch) {
 		t.Error("a report of an older incarnation was accepted")
 	}
@@ -316,20 +316,20 @@
 	}
 }
 
-func ExamplePicture() {
+func ExampleBalancer() {
 	now := epoch
-	p := &Picture{DataCentre: "dc0"}
+	p := &Balancer{DataCentre: "dc0"}
 	p.Update(Report{
 		Endpoint: "endpoint1", Incarnation: 1, DataCentre: "dc0", Routes: []string{"model"},
-		Allowance: 1, Capacity: 8, At: now,
+		Allowance: 1, Capacity: 8, ValidAt: now,
 	}, now)
 	q := Query{Route: "model", Tokens: 300}
 	c, ok, _ := p.Choose(q, now)
 	fmt.Println(c.Endpoint, ok)
-	a := p.Started(c, q, now)
+	a := p.Start(c, q, now)
 	_, ok, why := p.Choose(q, now)
 	fmt.Println(ok, why)
-	p.Ended(a, now.Add(time.Second))
+	p.End(a, now.Add(time.Second))
 	// Output:
 	// endpoint1 true
 	// false endpointBusy
@@ -343,14 +343,14 @@
 			return false
 		}
 	}
-	return !r.Out && !r.Leaving && !out[r.Endpoint] && !out[r.DataCentre]
+	return !r.OutOfService && !r.Draining && !out[r.Endpoint] && !out[r.DataCentre]
 }
 
 // For any order of reports, orders of operators and attempts, no attempt may be
 // placed on an endpoint that is leaving, out of service or already tried.
 func TestEachChoiceIsAllowed(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 1))
-	p := &Picture{DataCentre: "dc0"}
+	p := &Balancer{DataCentre: "dc0"}
 	last := make(map[string]Report)
 	out := make(map[string]bool)
 	var open []*Attempt
@@ -361,7 +361,7 @@
 		case x < 6:
 			r := idleReport(rng.IntN(12), now)
 			r.Incarnation += uint64(rng.IntN(2))
-			r.Cold, r.Leaving, r.Out = rng.IntN(4) == 0, rng.IntN(6) == 0, rng.IntN(6) == 0
+			r.Cold, r.Draining, r.OutOfService = rng.IntN(4) == 0, rng.IntN(6) == 0, rng.IntN(6) == 0
 			r.Running, r.Allowance = rng.IntN(9), rng.IntN(9)
 			if p.Update(r, now) {
 				last[r.Endpoint] = r
@@ -372,13 +372,13 @@
 			for n := range out {
 				names = append(names, n)
 			}
-			p.SetOut(names, names, now)
+			p.SetOutOfService(names, names, now)
 		case x < 9 && len(open) > 0:
 			i := rng.IntN(len(open))
 			[]func(){
-				func() { p.Ended(open[i], now) },
-				func() { p.Failed(open[i], now) },
-				func() { p.Refused(open[i], 0, now) },
+				func() { p.End(open[i], now) },
+				func() { p.Fail(open[i], now) },
+				func() { p.Refuse(open[i], 0, now) },
 			}[rng.IntN(3)]()
 			open = append(open[:i], open[i+1:]...)
 		default:
@@ -390,7 +390,7 @@
 			if !referenceAllows(last[c.Endpoint], out, q) {
 				t.Fatalf("chose %v, last report %+v, out %v, tried %v", c, last[c.Endpoint], out, q.Tried)
 			}
-			open = append(open, p.Started(c, q, now))
+			open = append(open, p.Start(c, q, now))
 		}
 	}
 }
--- a/internal/endpoint/placement/report.go
+++ b/internal/endpoint/placement/report.go
@@ -24,12 +24,12 @@
 	CommittedTokens uint64
 	// Cold, Leaving and Out report that the endpoint is in cold start, is
 	// draining before it leaves, or has been taken out of service.
-	Cold    bool
-	Leaving bool
-	Out     bool
+	Cold         bool
+	Draining     bool
+	OutOfService bool
 	// At is the time at which the report was valid, by the clock of the entry.
 	// If it is zero, the load of the endpoint counts as unknown.
-	At time.Time
+	ValidAt time.Time
 }
 
 // Query describes the attempt for which an endpoint is to be selected.
@@ -53,8 +53,8 @@
 	DataCentre  string
 	// Affine means that the endpoint was selected for the prefix of the prompt,
 	// and Probe that it is slow and was selected to see if it has recovered.
-	Affine bool
-	Probe  bool
+	ByAffinity bool
+	Probe      bool
 }
 
 // rejectionCodes are the reasons that no endpoint can be selected, ordered by
--- a/internal/endpoint/placement/slow_test.go
+++ b/internal/endpoint/placement/slow_test.go
@@ -8,7 +8,7 @@
 // runWithSlowEndpoint places a request every 20 ms for d; requests on endpoint
 // 2 take factor times as long as on the others. It returns how many requests
 // each endpoint got.
-func runWithSlowEndpoint(t testing.TB, p *Picture, start time.Time, d time.Duration, factor int) map[string]int {
+func runWithSlowEndpoint(t testing.TB, p *Balancer, start time.Time, d time.Duration, factor int) map[string]int {
 	t.Helper()
 	type completion struct {
 		at time.Time
@@ -23,8 +23,8 @@
 				pending = append(pending, e)
 				continue
 			}
-			p.Piece(e.a, now)
-			p.Ended(e.a, now)
+			p.Progress(e.a, now)
+			p.End(e.a, now)
 		}
 		completions = pending
 		for i := range 6 {
@@ -39,11 +39,11 @@
 			run *= time.Duration(factor)
 		}
 		got[c.Endpoint]++
-		completions = append(completions, completion{now.Add(run), p.Started(c, query, now)})
+		completions = append(completions, completion{now.Add(run), p.Start(c, query, now)})
 	}
 	for _, e := range completions {
-		p.Piece(e.a, e.at)
-		p.Ended(e.a, e.at)
+		p.Progress(e.a, e.at)
+		p.End(e.a, e.at)
 	}
 	return got
 }
@@ -80,10 +80,10 @@
 	for i := range 6 {
 		p.Update(idleReport(i, epoch), epoch)
 		for range 4 {
-			a := p.Started(Choice{Endpoint: name(i)}, query, epoch)
-			p.Piece(a, epoch.Add(100*time.Millisecond))
+			a := p.Start(Choice{Endpoint: name(i)}, query, epoch)
+			p.Progress(a, epoch.Add(100*time.Millisecond))
 			if i != 2 {
-				p.Piece(a, epoch.Add(3*time.Second))
+				p.Progress(a, epoch.Add(3*time.Second))
 			}
 		}
 	}
@@ -99,10 +99,10 @@
 // although the endpoint has free capacity.
 func TestPauseBetweenEventsIsNotSlow(t *testing.T) {
 	p := newPicture(1, epoch)
-	a := p.Started(mustChoose(t, p, query, epoch), query, epoch)
+	a := p.Start(mustChoose(t, p, query, epoch), query, epoch)
 	now := epoch.Add(time.Millisecond)
 	for range 40 {
-		p.Piece(a, now)
+		p.Progress(a, now)
 		now = now.Add(50 * time.Millisecond)
 		p.Update(idleReport(0, now), now)
 		mustChoose(t, p, query, now)
@@ -116,9 +116,9 @@
 	p := newPicture(2, epoch)
 	for i, took := range []time.Duration{time.Millisecond, 20 * time.Millisecond} {
 		for range 10 {
-			a := p.Started(Choice{Endpoint: name(i)}, query, epoch)
-			p.Piece(a, epoch.Add(took))
-			p.Ended(a, epoch.Add(took))
+			a := p.Start(Choice{Endpoint: name(i)}, query, epoch)
+			p.Progress(a, epoch.Add(took))
+			p.End(a, epoch.Add(took))
 		}
 	}
 	now := epoch.Add(time.Second)
@@ -143,17 +143,17 @@
 			p.Update(idleReport(k, now), now)
 		}
 		c := mustChoose(t, p, query, now)
-		a := p.Started(c, query, now)
+		a := p.Start(c, query, now)
 		if c.Endpoint == name(2) && i < 1000 {
 			got["failed"]++
-			p.Failed(a, now)
+			p.Fail(a, now)
 			continue
 		}
 		if i >= 2000 {
 			got[c.Endpoint]++
 		}
-		p.Piece(a, now.Add(100*time.Millisecond))
-		p.Ended(a, now.Add(100*time.Millisecond))
+		p.Progress(a, now.Add(100*time.Millisecond))
+		p.End(a, now.Add(100*time.Millisecond))
 	}
 	if got["failed"] == 0 || got["failed"] > 10 {
 		t.Errorf("%d of 1000 requests failed, want 1 to 10", got["failed"])
@@ -170,11 +170,11 @@
 	p.Update(idleReport(0, epoch), epoch)
 	var broken []*Attempt
 	for range 8 {
-		broken = append(broken, p.Started(mustChoose(t, p, query, epoch), query, epoch))
+		broken = append(broken, p.Start(mustChoose(t, p, query, epoch), query, epoch))
 	}
 	now := epoch.Add(time.Second)
 	for _, a := range broken {
-		p.Failed(a, now)
+		p.Fail(a, now)
 		now = now.Add(time.Millisecond)
 	}
 	now = now.Add(minEjection)
@@ -192,7 +192,7 @@
 
 // assertProbes makes 100 choices and checks that at least want of them are
 // probes or, if want is 0, that none is.
-func assertProbes(t *testing.T, p *Picture, runOnce bool, want int) {
+func assertProbes(t *testing.T, p *Balancer, runOnce bool, want int) {
 	t.Helper()
 	q := query
 	q.RunOnce = runOnce
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -245,7 +245,7 @@
 	s.budget.Percent = v.preset.RetryBudget() * 100
 	// The preset's check has found these limits good.
 	_ = s.admission.Configure(v.limits(), now)
-	s.picture.SetOut(v.endpoints, v.dataCentres, now)
+	s.picture.SetOutOfService(v.endpoints, v.dataCentres, now)
 	s.pump(now)
 }
 
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -132,7 +132,7 @@
 	m.mu.Unlock()
 	for _, r := range told {
 		p := reportOf(r, now)
-		p.Leaving = true
+		p.Draining = true
 		m.report(p, now)
 	}
 }
@@ -260,8 +260,8 @@
 		Running:         int(r.GetRunning()),
 		CommittedTokens: r.GetCommittedTokens(),
 		Cold:            r.GetCold(),
-		Leaving:         r.GetLeaving(),
-		Out:             r.GetOutOfService(),
-		At:              now,
+		Draining:        r.GetLeaving(),
+		OutOfService:    r.GetOutOfService(),
+		ValidAt:         now,
 	}
 }
--- a/internal/entry/memberwatch.go
+++ b/internal/entry/memberwatch.go
@@ -65,7 +65,7 @@
 		m.ring.Add(timeline.PeerJoined, "", r.GetEndpoint(), one.addr, r.GetIncarnation(), now)
 	}
 	p := reportOf(r, now)
-	p.Leaving = p.Leaving || leaving
+	p.Draining = p.Draining || leaving
 	m.report(p, now)
 	if due {
 		m.push(ctx, one.addr)
--- a/internal/entry/retry_test.go
+++ b/internal/entry/retry_test.go
@@ -78,7 +78,7 @@
 func (s *scheduler) hear(name string, allowed int, now time.Time) {
 	s.report(placement.Report{
 		Endpoint: name, Incarnation: 1, DataCentre: "a", Routes: []string{"small"},
-		Allowance: allowed, Capacity: allowed, At: now,
+		Allowance: allowed, Capacity: allowed, ValidAt: now,
 	}, now)
 }
 
--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -40,7 +40,7 @@
 type scheduler struct {
 	mu        sync.Mutex
 	admission admission.Controller
-	picture   placement.Picture
+	picture   placement.Balancer
 	budget    admission.RetryBudget
 	jobs      map[string]*job
 	arrivals  map[string]int
@@ -124,7 +124,7 @@
 func (s *scheduler) retry(j *job, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.picture.Failed(j.attempt, now)
+	s.picture.Fail(j.attempt, now)
 	s.release(j, false, 0, now)
 	if !s.budget.TrySpend(now) {
 		s.drop(j, result.New(result.RetryBudget, "").WithRetryAfter(absentRetry), now)
@@ -145,9 +145,9 @@
 	}
 	j.query.Tried = append(j.query.Tried, j.choice.Endpoint)
 	if refused {
-		s.picture.Refused(j.attempt, retryAfter, now)
+		s.picture.Refuse(j.attempt, retryAfter, now)
 	} else {
-		s.picture.Ended(j.attempt, now)
+		s.picture.End(j.attempt, now)
 	}
 	j.attempt = nil
 }
@@ -210,7 +210,7 @@
 			return false
 		}
 		j.choice = c
-		j.attempt = s.picture.Started(c, j.query, now)
+		j.attempt = s.picture.Start(c, j.query, now)
 		return j.attempt != nil
 	}
 }
@@ -233,7 +233,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if j.attempt != nil {
-		s.picture.Accepted(j.attempt)
+		s.picture.Accept(j.attempt)
 	}
 }
 
@@ -242,7 +242,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if j.attempt != nil {
-		s.picture.Piece(j.attempt, now)
+		s.picture.Progress(j.attempt, now)
 	}
 }
 
--- a/internal/measure/naive.go
+++ b/internal/measure/naive.go
@@ -83,7 +83,7 @@
 	for k := range n.w.servers {
 		i := (n.turn + k) % len(n.w.servers)
 		r := n.reports[i]
-		if r.Endpoint == "" || r.Out || r.Running >= endpointCapacity {
+		if r.Endpoint == "" || r.OutOfService || r.Running >= endpointCapacity {
 			continue
 		}
 		if n.inTurn {
--- a/internal/measure/ours.go
+++ b/internal/measure/ours.go
@@ -22,7 +22,7 @@
 	w       *world
 	place   placing
 	ctl     admission.Controller
-	pic     placement.Picture
+	pic     placement.Balancer
 	budget  admission.RetryBudget
 	open    map[string]*job
 	attempt map[*job]*placement.Attempt
@@ -36,7 +36,7 @@
 	o := &ours{
 		budget: admission.RetryBudget{Percent: admission.DefaultRetryPercent},
 		w:      w, place: place, open: make(map[string]*job), attempt: make(map[*job]*placement.Attempt),
-		pic: placement.Picture{
+		pic: placement.Balancer{
 			DataCentre: dcName(i / entriesPerDC), Seed: uint64(i),
 			Entries: dataCentres * entriesPerDC, StaleAfter: max(5*time.Second, 3*w.lag.delay),
 		},
@@ -96,14 +96,14 @@
 		if !ok {
 			return false
 		}
-		a := o.pic.Started(c, q, now)
+		a := o.pic.Start(c, q, now)
 		if o.w.offer(o.w.servers[serverIndex(c.Endpoint)], j) {
-			o.pic.Accepted(a)
+			o.pic.Accept(a)
 			o.attempt[j] = a
 			o.forget(a, now)
 			return true
 		}
-		o.pic.Refused(a, 0, now)
+		o.pic.Refuse(a, 0, now)
 		q.Tried = append(q.Tried, c.Endpoint)
 	}
 	return false
@@ -112,7 +112,7 @@
 // forget takes the own commitment away again for the report-only variant.
 func (o *ours) forget(a *placement.Attempt, now time.Time) {
 	if o.place == reportOnly {
-		o.pic.Ended(a, now)
+		o.pic.End(a, now)
 	}
 }
 
@@ -131,14 +131,14 @@
 	o.pic.Update(r, clock(now))
 }
 
-func (o *ours) piece(j *job, now time.Duration) { o.pic.Piece(o.attempt[j], clock(now)) }
+func (o *ours) piece(j *job, now time.Duration) { o.pic.Progress(o.attempt[j], clock(now)) }
 
 func (o *ours) ended(j *job, whole bool, now time.Duration) {
 	id := strconv.Itoa(j.id)
 	if whole {
-		o.pic.Ended(o.attempt[j], clock(now))
+		o.pic.End(o.attempt[j], clock(now))
 	} else {
-		o.pic.Failed(o.attempt[j], clock(now))
+		o.pic.Fail(o.attempt[j], clock(now))
 	}
 	delete(o.attempt, j)
 	if whole || j.outcome != pending || !o.budget.TrySpend(clock(now)) {
@@ -166,7 +166,7 @@
 		return
 	}
 	o.w.cancel(j)
-	o.pic.Ended(o.attempt[j], clock(now))
+	o.pic.End(o.attempt[j], clock(now))
 	delete(o.attempt, j)
 	delete(o.open, id)
 	o.ctl.Cancel(id)
--- a/internal/measure/server.go
+++ b/internal/measure/server.go
@@ -133,7 +133,7 @@
 	r := placement.Report{
 		Endpoint: s.name, Incarnation: s.incarnation, DataCentre: dcName(s.dc),
 		Routes: []string{route}, Allowance: s.bears(now), Capacity: endpointCapacity,
-		Running: len(s.jobs), Cold: s.cold(now), Out: s.out, At: clock(now),
+		Running: len(s.jobs), Cold: s.cold(now), OutOfService: s.out, ValidAt: clock(now),
 	}
 	for _, j := range s.jobs {
 		r.CommittedTokens += uint64(j.tokens)
--- a/internal/ranker/planner.go
+++ b/internal/ranker/planner.go
@@ -103,5 +103,5 @@
 	for i, s := range sets {
 		skew += s.Skew(loads[i]) / float64(len(sets))
 	}
-	return float64(batch.Pass(p.engine, maxRunning, skew)) < shortPassShare*float64(p.maxGap)
+	return float64(batch.PassDuration(p.engine, maxRunning, skew)) < shortPassShare*float64(p.maxGap)
 }
--- a/internal/ranker/propose.go
+++ b/internal/ranker/propose.go
@@ -62,7 +62,7 @@
 	out := make([]float64, len(byRank))
 	for i, report := range byRank {
 		out[i] = 1
-		if report.state.Pace >= batch.SlowFrom {
+		if report.state.Pace >= batch.SlowdownThreshold {
 			out[i] = report.state.Pace
 		}
 	}
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -87,8 +87,8 @@
 	j.relay.HeaderCodec.WriteRequest(h, info)
 	return &direct.Request{
 		Method: j.raw.Method, Target: j.raw.Target, Host: j.raw.Host, Header: h, Body: j.raw.Body,
-		Mine:  j.isOwnAnswer,
-		Fresh: !j.route.MayRepeat(),
+		Matches:       j.isOwnAnswer,
+		AvoidExpiring: !j.route.MayRepeat(),
 	}
 }
 
@@ -144,7 +144,7 @@
 }
 
 // checkAnswer rejects encoded bodies, and successes that are unsigned or answer another request.
-func (j *job) checkAnswer(a *direct.Answer, info AnswerInfo) error {
+func (j *job) checkAnswer(a *direct.Response, info AnswerInfo) error {
 	switch {
 	case a.Header.Get("Content-Encoding") != "":
 		return errEncoded
@@ -160,7 +160,7 @@
 
 // forwardBuffered reads the complete answer before it forwards any of it, so that the request can
 // still be sent to another endpoint if the answer is cut off.
-func (j *job) forwardBuffered(ctx context.Context, assigned Assignment, a *direct.Answer) Outcome {
+func (j *job) forwardBuffered(ctx context.Context, assigned Assignment, a *direct.Response) Outcome {
 	body, err := io.ReadAll(io.LimitReader(a, maxAnswerBytes+1))
 	if err == nil && len(body) > maxAnswerBytes {
 		err = errAnswerTooLarge
@@ -191,8 +191,8 @@
 
 // forwardStream forwards events as they arrive. The header is sent to the caller with the first
 // event, so that another endpoint can take over if this one fails before that.
-func (j *job) forwardStream(ctx context.Context, assigned Assignment, a *direct.Answer) Outcome {
-	events := direct.NewEvents(a)
+func (j *job) forwardStream(ctx context.Context, assigned Assignment, a *direct.Response) Outcome {
+	events := direct.NewEventReader(a)
 	for {
 		ev, err := events.Next()
 		if err == io.EOF {
@@ -213,7 +213,7 @@
 	}
 }
 
-func (j *job) forwardEvent(assigned Assignment, a *direct.Answer, ev direct.Event) error {
+func (j *job) forwardEvent(assigned Assignment, a *direct.Response, ev direct.Event) error {
 	now := j.relay.Now()
 	j.relay.State.PartReceived(assigned, now)
 	if pause := now.Sub(j.lastPartAt); j.headSent && pause > j.longestPause {
@@ -232,7 +232,7 @@
 	return j.reply.Piece(ev.Raw)
 }
 
-func (j *job) endStream(a *direct.Answer) Outcome {
+func (j *job) endStream(a *direct.Response) Outcome {
 	if !j.headSent {
 		if err := j.reply.BeginRaw(a.Status, caller.EndToEnd(a.Header)); err != nil {
 			return Disconnected{Cause: err}
@@ -254,7 +254,7 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-t.C:
-			r.Client.Sweep(now)
+			r.Client.CloseExpired(now)
 		}
 	}
 }
--- a/internal/relay/belief_test.go
+++ b/internal/relay/belief_test.go
@@ -211,7 +211,7 @@
 	listEndpoints(st, 2, "quotes")
 	s := st.Table().Service("quotes")
 	held := takeAllPlaces(t, st, s, start)
-	if want := 2 * batch.MostWriters(testEngine(), 120*time.Millisecond); len(held) != want {
+	if want := 2 * batch.MaxBatch(testEngine(), 120*time.Millisecond); len(held) != want {
 		t.Fatalf("%d places, want %d", len(held), want)
 	}
 	done := make(chan *result.Error, 1)
--- a/internal/relay/late.go
+++ b/internal/relay/late.go
@@ -87,7 +87,7 @@
 	guess := time.Duration(0)
 	if e := s.Engine; e != nil && e.Stride > 0 {
 		passes := float64(e.MeanOutput) / float64(e.Stride)
-		guess = time.Duration(passes * float64(batch.Pass(e, e.Slots, batch.CalmSkew)))
+		guess = time.Duration(passes * float64(batch.PassDuration(e, e.Slots, batch.PlannedSkew)))
 	}
 	return quantile(st.latencies.forService(s.Name, now).whole, usualWholePercentile, guess)
 }
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -104,7 +104,7 @@
 		return slots, slots
 	}
 	if s := st.table.Service(ep.Service); s != nil && s.Engine != nil {
-		n := min(slots, batch.MostWriters(s.Engine, st.maxPauses[ep.Service]))
+		n := min(slots, batch.MaxBatch(s.Engine, st.maxPauses[ep.Service]))
 		return st.slowAllowance(ep, n), n
 	}
 	return slots + extraQueue, slots
@@ -117,7 +117,7 @@
 // holds up the others least when it has no requests of its own.
 func (st *State) slowAllowance(ep directory.Endpoint, n int) int {
 	slowdown, fastest := st.slowdowns(ep)
-	if slowdown/fastest < batch.SlowFrom {
+	if slowdown/fastest < batch.SlowdownThreshold {
 		return n
 	}
 	return int(float64(n) * (fastest / slowdown) * (fastest / slowdown))
@@ -128,7 +128,7 @@
 // at all other endpoints.
 func (st *State) slowdowns(ep directory.Endpoint) (slowdown, fastest float64) {
 	slowdown = st.loads[ep.ID].Slowdown
-	if slowdown < batch.SlowFrom {
+	if slowdown < batch.SlowdownThreshold {
 		return 1, 1
 	}
 	fastest = slowdown
@@ -187,6 +187,6 @@
 		Endpoint: ep.ID, Incarnation: ep.StartMillis, DataCentre: ep.DataCentre, Routes: []string{ep.Service},
 	}
 	r.Allowance, r.Capacity = st.endpointCapacity(ep)
-	r.Running, r.At = st.running(ep, now)
+	r.Running, r.ValidAt = st.running(ep, now)
 	st.selector.Update(r, now)
 }
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -101,7 +101,7 @@
 	if s == nil || s.Engine == nil || slowdown < minSlowdownToMove || now.Sub(st.loads[ep.ID].At) >= maxLoadAge {
 		return 0
 	}
-	supported := batch.MostAtPace(s.Engine, st.maxPauses[ep.Service], slowdown)
+	supported := batch.MaxBatchAtSlowdown(s.Engine, st.maxPauses[ep.Service], slowdown)
 	running, _ := st.running(ep, now)
 	if running <= supported || running <= 0 {
 		return 0
