--- a/internal/agent/ranks.go
+++ b/internal/agent/ranks.go
@@ -83,7 +83,7 @@
 // firstMap returns the map that a group begins with: experts in order, spread
 // evenly over the ranks.
 func firstMap(s *settings.Rank) (*expertmap.Map, error) {
-	l, err := expertmap.Contiguous(expertmap.Shape{Ranks: s.Ranks, Slots: s.Slots, Experts: s.Experts})
+	l, err := expertmap.NewContiguousLayer(expertmap.Shape{Ranks: s.Ranks, Slots: s.Slots, Experts: s.Experts})
 	if err != nil {
 		return nil, err
 	}
@@ -96,8 +96,8 @@
 
 func planLimits(s *settings.Rank) expertmap.Limits {
 	return expertmap.Limits{
-		ExpertBytes: int64(s.ExpertBytes), StoreRate: int64(s.StoreRate), StageTime: s.StageTime,
-		Life: s.PlanEvery, Slowdown: loadSlowdown, MinGain: planGain, Goal: planGoal, Tokens: true,
+		ExpertBytes: int64(s.ExpertBytes), StoreBandwidth: int64(s.StoreRate), MaxStagingTime: s.StageTime,
+		MapLifetime: s.PlanEvery, LoadingSlowdown: loadSlowdown, MinGain: planGain, SkewTolerance: planGoal, PoissonLoads: true,
 	}
 }
 
--- a/internal/endpoint/ranks_test.go
+++ b/internal/endpoint/ranks_test.go
@@ -56,7 +56,7 @@
 
 func smallMap(t *testing.T) *expertmap.Map {
 	t.Helper()
-	l, err := expertmap.Contiguous(expertmap.Shape{Ranks: 2, Slots: 3, Experts: 4})
+	l, err := expertmap.NewContiguousLayer(expertmap.Shape{Ranks: 2, Slots: 3, Experts: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rank/codec_test.go
+++ b/internal/rank/codec_test.go
@@ -17,7 +17,7 @@
 		for e := range load {
 			load[(e+i)%128] = float64(1 + e)
 		}
-		l, err := expertmap.Solve(expertmap.Shape{Ranks: 128, Slots: 2, Experts: 128}, load, expertmap.Risk{})
+		l, err := expertmap.Solve(expertmap.Shape{Ranks: 128, Slots: 2, Experts: 128}, load, expertmap.LoadVariance{})
 		if err != nil {
 			tb.Fatal(err)
 		}
@@ -44,7 +44,7 @@
 		if i == 0 {
 			moves = 1
 		}
-		imp, err := expertmap.Improve(m.Layer(i), load, expertmap.Risk{}, moves, 0, 0)
+		imp, err := expertmap.Improve(m.Layer(i), load, expertmap.LoadVariance{}, moves, 0, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/rank/evenmap/jumptable/run.go
+++ b/internal/rank/evenmap/jumptable/run.go
@@ -46,15 +46,15 @@
 	case fromScratch:
 		return placeGreedily(c.Shape, counts)
 	case planned:
-		return evenmap.NewPlan([]*evenmap.Placement{p}, [][]float64{counts}, c.Limits).Next()[0], nil
+		return evenmap.NewPlan([]*evenmap.Placement{p}, [][]float64{counts}, c.Limits).Placements()[0], nil
 	case oracle:
-		free := evenmap.Limits{PerRank: c.Shape.Slots, PerSet: c.Shape.Slots}
+		free := evenmap.Limits{CopiesPerRank: c.Shape.Slots, CopiesPerSet: c.Shape.Slots}
 		for range maxOraclePlans {
 			plan := evenmap.NewPlan([]*evenmap.Placement{p}, [][]float64{truth}, free)
-			if plan.Before()-plan.After() < 1e-3 {
+			if plan.SkewBefore()-plan.SkewAfter() < 1e-3 {
 				break
 			}
-			p = plan.Next()[0]
+			p = plan.Placements()[0]
 		}
 		return p, nil
 	default:
@@ -74,14 +74,14 @@
 	counts := make([]float64, c.Shape.Experts)
 	for range c.Jumps {
 		truth := popularity(rng, c.Shape.Experts)
-		for range c.Looks {
+		for range c.PlansPerJump {
 			if _, ok := s.(oracle); ok {
 				// The oracle has its placement at the moment of the jump.
 				if p, err = nextPlacement(s, p, c, truth, truth); err != nil {
 					return r, err
 				}
 			}
-			r.skew += p.Skew(truth) / float64(c.Jumps*c.Looks)
+			r.skew += p.Skew(truth) / float64(c.Jumps*c.PlansPerJump)
 			sampleCounts(rng, truth, counts)
 			if _, ok := s.(oracle); ok {
 				continue
--- a/internal/rank/evenmap/jumptable/table.go
+++ b/internal/rank/evenmap/jumptable/table.go
@@ -20,7 +20,7 @@
 	Limits evenmap.Limits
 	// Jumps is how often the popularity changes, and Looks the number of rounds
 	// after each change. A round samples counts and computes a placement.
-	Jumps, Looks int
+	Jumps, PlansPerJump int
 	// Seed initialises the random number generator.
 	Seed uint64
 }
@@ -43,8 +43,8 @@
 	cases := make([]Case, 0, len(shapes))
 	for i, s := range shapes {
 		// One copy per rank and plan, as leaders plan.
-		l := evenmap.Limits{PerRank: 1, PerSet: 1, MinGain: 0.02}
-		cases = append(cases, Case{Shape: s, Limits: l, Jumps: jumpsPerCase, Looks: plansPerJump, Seed: uint64(i + 1)})
+		l := evenmap.Limits{CopiesPerRank: 1, CopiesPerSet: 1, MinGain: 0.02}
+		cases = append(cases, Case{Shape: s, Limits: l, Jumps: jumpsPerCase, PlansPerJump: plansPerJump, Seed: uint64(i + 1)})
 	}
 	return cases
 }
@@ -66,20 +66,20 @@
 }
 
 // None returns the result of keeping the initial placement.
-func (r Row) None() Result { return r.static }
+func (r Row) Static() Result { return r.static }
 
 // Naive returns the result of exchanging one expert per pair of ranks.
 func (r Row) Naive() Result { return r.naive }
 
 // Afresh returns the result of a placement computed from scratch in each round.
-func (r Row) Afresh() Result { return r.fromScratch }
+func (r Row) FromScratch() Result { return r.fromScratch }
 
 // Planned returns the result of plans of package evenmap within the limits.
 func (r Row) Planned() Result { return r.planned }
 
 // Bound returns the result of placements that are based on the true popularity
 // and whose copies are free.
-func (r Row) Bound() Result { return r.oracle }
+func (r Row) Oracle() Result { return r.oracle }
 
 // Run simulates one case with all strategies.
 func Run(c Case) (Row, error) {
--- a/internal/rank/evenmap/jumptable/table_test.go
+++ b/internal/rank/evenmap/jumptable/table_test.go
@@ -18,14 +18,14 @@
 		t.Fatal(err)
 	}
 	planned, naive := r.Planned(), r.Naive()
-	if planned.Skew() >= naive.Skew() || planned.Skew() > 0.6*r.None().Skew() {
-		t.Errorf("skew: planned %.2f, naive %.2f, static %.2f", planned.Skew(), naive.Skew(), r.None().Skew())
+	if planned.Skew() >= naive.Skew() || planned.Skew() > 0.6*r.Static().Skew() {
+		t.Errorf("skew: planned %.2f, naive %.2f, static %.2f", planned.Skew(), naive.Skew(), r.Static().Skew())
 	}
-	if planned.Copies() > naive.Copies() || planned.Copies() > r.Afresh().Copies()/4 {
-		t.Errorf("copies: planned %.0f, naive %.0f, from scratch %.0f", planned.Copies(), naive.Copies(), r.Afresh().Copies())
+	if planned.Copies() > naive.Copies() || planned.Copies() > r.FromScratch().Copies()/4 {
+		t.Errorf("copies: planned %.0f, naive %.0f, from scratch %.0f", planned.Copies(), naive.Copies(), r.FromScratch().Copies())
 	}
-	if r.Bound().Skew() > planned.Skew() {
-		t.Errorf("skew: oracle %.2f, planned %.2f", r.Bound().Skew(), planned.Skew())
+	if r.Oracle().Skew() > planned.Skew() {
+		t.Errorf("skew: oracle %.2f, planned %.2f", r.Oracle().Skew(), planned.Skew())
 	}
 	if err := jumptable.Write(io.Discard, []jumptable.Row{r}); err != nil {
 		t.Error(err)
--- a/internal/rank/evenmap/placement.go
+++ b/internal/rank/evenmap/placement.go
@@ -7,7 +7,7 @@
 )
 
 // ErrPlacement is returned for lists that do not form a valid placement.
-var ErrPlacement = eris.New("evenmap: lists do not form a valid placement")
+var ErrInvalidPlacement = eris.New("evenmap: lists do not form a valid placement")
 
 // Shape holds the dimensions of a placement.
 type Shape struct {
@@ -28,23 +28,23 @@
 // an expert twice and none holds more experts than it has slots.
 func NewPlacement(shape Shape, ranks [][]int) (*Placement, error) {
 	if len(ranks) != shape.Ranks {
-		return nil, eris.Wrapf(ErrPlacement, "%d lists of experts for %d ranks", len(ranks), shape.Ranks)
+		return nil, eris.Wrapf(ErrInvalidPlacement, "%d lists of experts for %d ranks", len(ranks), shape.Ranks)
 	}
 	p := &Placement{shape: shape, ranks: make([][]int, shape.Ranks), holders: make([][]int, shape.Experts)}
 	for r, experts := range ranks {
 		if len(experts) > shape.Slots {
-			return nil, eris.Wrapf(ErrPlacement, "rank %d holds %d experts, more than its slots", r, len(experts))
+			return nil, eris.Wrapf(ErrInvalidPlacement, "rank %d holds %d experts, more than its slots", r, len(experts))
 		}
 		for _, e := range experts {
 			if e < 0 || e >= shape.Experts || slices.Contains(p.ranks[r], e) {
-				return nil, eris.Wrapf(ErrPlacement, "rank %d lists the unknown or repeated expert %d", r, e)
+				return nil, eris.Wrapf(ErrInvalidPlacement, "rank %d lists the unknown or repeated expert %d", r, e)
 			}
 			p.add(e, r)
 		}
 	}
 	for e, hs := range p.holders {
 		if len(hs) == 0 {
-			return nil, eris.Wrapf(ErrPlacement, "no rank holds expert %d", e)
+			return nil, eris.Wrapf(ErrInvalidPlacement, "no rank holds expert %d", e)
 		}
 	}
 	return p, nil
--- a/internal/rank/evenmap/plan.go
+++ b/internal/rank/evenmap/plan.go
@@ -29,13 +29,13 @@
 	// PerRank is how many experts one rank may copy in all sets together. A
 	// rank loads them one after the other, so it determines how long the plan
 	// takes.
-	PerRank int
+	CopiesPerRank int
 	// PerSet is how many experts of one set a rank may copy.
-	PerSet int
+	CopiesPerSet int
 	// Slow is the factor by which each rank is slower than usual; nil means 1
 	// for all. All ranks wait for the slowest one, so a slow rank is given less
 	// load.
-	Slow []float64
+	Slowdown []float64
 	// MinGain is the minimum decrease of a set's skew, approximated by the norm
 	// of its rank loads, for each copy.
 	MinGain float64
@@ -49,16 +49,16 @@
 }
 
 // Next returns the planned placements by set.
-func (p *Plan) Next() []*Placement { return p.next }
+func (p *Plan) Placements() []*Placement { return p.next }
 
 // Copies returns the number of experts to copy.
 func (p *Plan) Copies() int { return p.copies }
 
 // Before returns the mean skew of the sets without the plan.
-func (p *Plan) Before() float64 { return p.before }
+func (p *Plan) SkewBefore() float64 { return p.before }
 
 // After returns the mean skew of the sets with the plan.
-func (p *Plan) After() float64 { return p.after }
+func (p *Plan) SkewAfter() float64 { return p.after }
 
 // change is one step of the search. If to is not negative, expert is copied to
 // this rank, in place of the expert evict unless that is negative. If from is
@@ -90,7 +90,7 @@
 	s := &search{limits: limits, current: current, copied: make([]int, current[0].shape.Ranks)}
 	plan := &Plan{}
 	for i, p := range current {
-		st := newSetState(p.clone(), loads[i], limits.Slow)
+		st := newSetState(p.clone(), loads[i], limits.Slowdown)
 		s.sets = append(s.sets, st)
 		plan.before += st.skew() / float64(len(current))
 	}
@@ -190,7 +190,7 @@
 	if s.current[set].Holds(r, e) {
 		return 0, true
 	}
-	return 1, s.copied[r] < s.limits.PerRank && s.sets[set].copied[r] < s.limits.PerSet
+	return 1, s.copied[r] < s.limits.CopiesPerRank && s.sets[set].copied[r] < s.limits.CopiesPerSet
 }
 
 // bestChange returns the change of a set with the highest score. Its gain is 0
@@ -226,7 +226,7 @@
 	st := s.sets[i]
 	out := make([]int, 0, maxTargetRanks)
 	for k := len(order) - 1; k >= 0 && len(out) < maxTargetRanks; k-- {
-		if r := order[k]; s.copied[r] < s.limits.PerRank && st.copied[r] < s.limits.PerSet {
+		if r := order[k]; s.copied[r] < s.limits.CopiesPerRank && st.copied[r] < s.limits.CopiesPerSet {
 			out = append(out, r)
 		}
 	}
--- a/internal/rank/evenmap/plan_test.go
+++ b/internal/rank/evenmap/plan_test.go
@@ -42,7 +42,7 @@
 }
 
 func testLimits(perRank int) Limits {
-	return Limits{PerRank: perRank, PerSet: 3, MinGain: 0.02}
+	return Limits{CopiesPerRank: perRank, CopiesPerSet: 3, MinGain: 0.02}
 }
 
 // checkPlan checks that a plan keeps within its limits.
@@ -50,23 +50,23 @@
 	t.Helper()
 	perRank := make([]int, from[0].shape.Ranks)
 	copies := 0
-	for i, next := range p.Next() {
+	for i, next := range p.Placements() {
 		if _, err := NewPlacement(next.shape, next.Ranks()); err != nil {
 			t.Fatal(err)
 		}
 		for r, n := range next.Copies(from[i]) {
-			if n > l.PerSet {
+			if n > l.CopiesPerSet {
 				t.Fatalf("rank %d copies %d experts of set %d", r, n, i)
 			}
 			perRank[r] += n
 			copies += n
 		}
 	}
-	if top := slices.Max(perRank); top > l.PerRank {
-		t.Fatalf("a rank copies %d experts, limit %d", top, l.PerRank)
+	if top := slices.Max(perRank); top > l.CopiesPerRank {
+		t.Fatalf("a rank copies %d experts, limit %d", top, l.CopiesPerRank)
 	}
-	if copies != p.Copies() || p.After() > p.Before()+1e-9 {
-		t.Fatalf("plan reports %d copies and makes %d; skew %.3f before, %.3f after", p.Copies(), copies, p.Before(), p.After())
+	if copies != p.Copies() || p.SkewAfter() > p.SkewBefore()+1e-9 {
+		t.Fatalf("plan reports %d copies and makes %d; skew %.3f before, %.3f after", p.Copies(), copies, p.SkewBefore(), p.SkewAfter())
 	}
 }
 
@@ -86,9 +86,9 @@
 				p := NewPlan(sets, loads, l)
 				checkPlan(t, sets, p, l)
 				if round == 0 {
-					first = p.Before()
+					first = p.SkewBefore()
 				}
-				sets, skew = p.Next(), p.After()
+				sets, skew = p.Placements(), p.SkewAfter()
 			}
 			if skew-1 > 0.4*(first-1) {
 				t.Fatalf("skew %.2f after eight plans, %.2f before", skew, first)
@@ -105,10 +105,10 @@
 	rng := rand.New(rand.NewPCG(2, 2))
 	sets, loads := []*Placement{roundRobin(t, s)}, [][]float64{popularity(rng, s.Experts)}
 	for range 12 {
-		sets = NewPlan(sets, loads, testLimits(3)).Next()
+		sets = NewPlan(sets, loads, testLimits(3)).Placements()
 	}
 	if p := NewPlan(sets, loads, testLimits(3)); p.Copies() > 0 {
-		t.Fatalf("%d copies for a balanced placement (skew %.3f)", p.Copies(), p.Before())
+		t.Fatalf("%d copies for a balanced placement (skew %.3f)", p.Copies(), p.SkewBefore())
 	}
 }
 
@@ -119,11 +119,11 @@
 	rng := rand.New(rand.NewPCG(3, 3))
 	sets, loads := []*Placement{roundRobin(t, s)}, [][]float64{popularity(rng, s.Experts)}
 	l := testLimits(1)
-	l.Slow = slices.Repeat([]float64{1}, s.Ranks)
-	l.Slow[4] = 6.3
+	l.Slowdown = slices.Repeat([]float64{1}, s.Ranks)
+	l.Slowdown[4] = 6.3
 	before := sets[0].Loads(loads[0])[4]
 	for range 8 {
-		sets = NewPlan(sets, loads, l).Next()
+		sets = NewPlan(sets, loads, l).Placements()
 	}
 	if after := sets[0].Loads(loads[0])[4]; after > before/3 {
 		t.Fatalf("load of the slow rank is %.1f, was %.1f before", after, before)
@@ -165,8 +165,8 @@
 		rng := rand.New(rand.NewPCG(seed, 4))
 		from, load := roundRobin(t, s), popularity(rng, s.Experts)
 		p := NewPlan([]*Placement{from}, [][]float64{load}, testLimits(1))
-		if n := replicateNaively(from, load, p.Copies()).Skew(load); p.After() > n+1e-9 {
-			t.Errorf("seed %d: skew %.3f with %d copies, naive replication has %.3f", seed, p.After(), p.Copies(), n)
+		if n := replicateNaively(from, load, p.Copies()).Skew(load); p.SkewAfter() > n+1e-9 {
+			t.Errorf("seed %d: skew %.3f with %d copies, naive replication has %.3f", seed, p.SkewAfter(), p.Copies(), n)
 		}
 	}
 }
--- a/internal/rank/expertmap/balance.go
+++ b/internal/rank/expertmap/balance.go
@@ -40,7 +40,7 @@
 }
 
 // newPlacement returns a placement with empty slots.
-func newPlacement(shape Shape, load []float64, risk Risk) *placement {
+func newPlacement(shape Shape, load []float64, risk LoadVariance) *placement {
 	p := &placement{
 		shape:        shape,
 		expertAt:     make([]int, shape.Ranks*shape.Slots),
@@ -68,7 +68,7 @@
 
 // placementOf returns the placement of l with the given expert loads, split by
 // the shares of l.
-func placementOf(l *Layer, load []float64, risk Risk) *placement {
+func placementOf(l *Layer, load []float64, risk LoadVariance) *placement {
 	p := newPlacement(l.shape, load, risk)
 	for i, s := range l.slots {
 		if s.Expert != none {
@@ -93,7 +93,7 @@
 }
 
 func (p *placement) clone() *placement {
-	q := newPlacement(p.shape, p.expertLoad, Risk{})
+	q := newPlacement(p.shape, p.expertLoad, LoadVariance{})
 	copy(q.relVariance, p.relVariance)
 	q.copyFrom(p)
 	return q
--- a/internal/rank/expertmap/exact_test.go
+++ b/internal/rank/expertmap/exact_test.go
@@ -117,7 +117,7 @@
 			for range 50 {
 				l := mustSolve(t, shape, randomLoad(rng, shape.Experts))
 				load := randomLoad(rng, shape.Experts)
-				rebalanced, err := Improve(l, load, Risk{}, 0, 0, 0)
+				rebalanced, err := Improve(l, load, LoadVariance{}, 0, 0, 0)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -138,7 +138,7 @@
 			for range rounds {
 				load := randomLoad(rng, shape.Experts)
 				optimum := optimalSkew(shape, load)
-				imp, err := Improve(mustSolve(t, shape, load), load, Risk{}, 8, 0, 0)
+				imp, err := Improve(mustSolve(t, shape, load), load, LoadVariance{}, 8, 0, 0)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -157,7 +157,7 @@
 // valid layer.
 func mustSolve(t *testing.T, shape Shape, load []float64) *Layer {
 	t.Helper()
-	l, err := Solve(shape, load, Risk{})
+	l, err := Solve(shape, load, LoadVariance{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rank/expertmap/example_test.go
+++ b/internal/rank/expertmap/example_test.go
@@ -13,12 +13,12 @@
 	shape := expertmap.Shape{Ranks: 4, Slots: 2, Experts: 4}
 	load := []float64{600, 200, 200, 200}
 
-	static, err := expertmap.Contiguous(shape)
+	static, err := expertmap.NewContiguousLayer(shape)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	imp, err := expertmap.Improve(static, load, expertmap.Risk{}, 4, 0.01, 0)
+	imp, err := expertmap.Improve(static, load, expertmap.LoadVariance{}, 4, 0.01, 0)
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/internal/rank/expertmap/expertmap_test.go
+++ b/internal/rank/expertmap/expertmap_test.go
@@ -20,13 +20,13 @@
 	for _, s := range []Shape{{8, 5, 32}, {32, 3, 64}, {128, 2, 128}} {
 		b.Run(s.name(), func(b *testing.B) {
 			rng := rand.New(rand.NewSource(1))
-			l, err := Solve(s, randomLoad(rng, s.Experts), Risk{})
+			l, err := Solve(s, randomLoad(rng, s.Experts), LoadVariance{})
 			if err != nil {
 				b.Fatal(err)
 			}
 			load := randomLoad(rng, s.Experts)
 			for b.Loop() {
-				if _, err := Improve(l, load, Risk{Drift: 0.05}, 16, 1e-4, 0.01); err != nil {
+				if _, err := Improve(l, load, LoadVariance{Drift: 0.05}, 16, 1e-4, 0.01); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -39,7 +39,7 @@
 		b.Run(s.name(), func(b *testing.B) {
 			load := randomLoad(rand.New(rand.NewSource(1)), s.Experts)
 			for b.Loop() {
-				if _, err := Solve(s, load, Risk{}); err != nil {
+				if _, err := Solve(s, load, LoadVariance{}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -71,7 +71,7 @@
 	layers := make([]*Layer, n)
 	for i := range layers {
 		load := randomLoad(rng, shape.Experts)
-		l, err := Solve(shape, load, Risk{})
+		l, err := Solve(shape, load, LoadVariance{})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -88,8 +88,8 @@
 		b.Fatal(err)
 	}
 	limits := Limits{
-		ExpertBytes: 45_000_000, StoreRate: 100_000_000, StageTime: 10 * time.Second,
-		Life: time.Hour, Slowdown: 0.2, Goal: 0.01,
+		ExpertBytes: 45_000_000, StoreBandwidth: 100_000_000, MaxStagingTime: 10 * time.Second,
+		MapLifetime: time.Hour, LoadingSlowdown: 0.2, SkewTolerance: 0.01,
 	}
 	for b.Loop() {
 		if _, err := NewPlan(current, pop, limits, time.Unix(2, 0)); err != nil {
--- a/internal/rank/expertmap/improve.go
+++ b/internal/rank/expertmap/improve.go
@@ -45,19 +45,19 @@
 func (i *Improvement) Moves() int { return i.moves }
 
 // Before returns the expected skew of the original layer.
-func (i *Improvement) Before() float64 { return i.before }
+func (i *Improvement) SkewBefore() float64 { return i.before }
 
 // Kept returns the expected skew with the original placement and new shares.
-func (i *Improvement) Kept() float64 { return i.kept }
+func (i *Improvement) SkewWithoutMoves() float64 { return i.kept }
 
 // After returns the expected skew of the improved layer.
-func (i *Improvement) After() float64 { return i.after }
+func (i *Improvement) SkewAfter() float64 { return i.after }
 
 // checkLoads returns ErrObservation if load does not have one finite,
 // non-negative value for each expert.
 func checkLoads(shape Shape, load []float64) error {
 	if len(load) != shape.Experts {
-		return eris.Wrapf(ErrObservation, "%d loads for %d experts", len(load), shape.Experts)
+		return eris.Wrapf(ErrInvalidLoad, "%d loads for %d experts", len(load), shape.Experts)
 	}
 	return checkValues(load)
 }
@@ -70,7 +70,7 @@
 // later ones is not missed. The search ends early when the expected skew is at
 // most goal above the lower bound. Improve returns ErrObservation if load does
 // not match the layer or has a value that is negative or not finite.
-func Improve(l *Layer, load []float64, risk Risk, maxMoves int, cost, goal float64) (*Improvement, error) {
+func Improve(l *Layer, load []float64, risk LoadVariance, maxMoves int, cost, goal float64) (*Improvement, error) {
 	if err := checkLoads(l.shape, load); err != nil {
 		return nil, err
 	}
--- a/internal/rank/expertmap/input_test.go
+++ b/internal/rank/expertmap/input_test.go
@@ -24,13 +24,13 @@
 		slots []Slot
 		want  error
 	}{
-		{"more experts than slots", Shape{1, 1, 2}, nil, ErrShape},
-		{"no ranks", Shape{0, 1, 1}, nil, ErrShape},
-		{"too few slots", shape, []Slot{full}, ErrLayer},
-		{"expert without replica", shape, []Slot{full, empty, empty, empty}, ErrLayer},
-		{"two replicas of an expert on a rank", shape, []Slot{{0, 1}, {0, ShareUnits - 1}, {1, ShareUnits}, empty}, ErrLayer},
-		{"shares do not add up", shape, []Slot{{0, 1}, {1, ShareUnits}, empty, empty}, ErrLayer},
-		{"expert out of range", shape, []Slot{full, {2, ShareUnits}, {1, ShareUnits}, empty}, ErrLayer},
+		{"more experts than slots", Shape{1, 1, 2}, nil, ErrInvalidShape},
+		{"no ranks", Shape{0, 1, 1}, nil, ErrInvalidShape},
+		{"too few slots", shape, []Slot{full}, ErrInvalidLayer},
+		{"expert without replica", shape, []Slot{full, empty, empty, empty}, ErrInvalidLayer},
+		{"two replicas of an expert on a rank", shape, []Slot{{0, 1}, {0, ShareUnits - 1}, {1, ShareUnits}, empty}, ErrInvalidLayer},
+		{"shares do not add up", shape, []Slot{{0, 1}, {1, ShareUnits}, empty, empty}, ErrInvalidLayer},
+		{"expert out of range", shape, []Slot{full, {2, ShareUnits}, {1, ShareUnits}, empty}, ErrInvalidLayer},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := NewLayer(c.shape, c.slots)
@@ -42,20 +42,20 @@
 func TestInvalidLoadsAreRejected(t *testing.T) {
 	shape := Shape{Ranks: 2, Slots: 2, Experts: 2}
 	for _, load := range [][]float64{{1}, {1, -1}, {1, math.NaN()}, {1, math.Inf(1)}} {
-		_, err := Solve(shape, load, Risk{})
-		assertError(t, err, ErrObservation)
+		_, err := Solve(shape, load, LoadVariance{})
+		assertError(t, err, ErrInvalidLoad)
 		err = NewPopularity(1, 2, 0).Observe(0, load, time.Unix(1, 0))
-		assertError(t, err, ErrObservation)
+		assertError(t, err, ErrInvalidLoad)
 	}
 }
 
 func TestImproveWithZeroLoad(t *testing.T) {
 	shape := Shape{Ranks: 2, Slots: 2, Experts: 3}
-	imp, err := Improve(mustSolve(t, shape, make([]float64, 3)), make([]float64, 3), Risk{Draw: true}, 4, 0, 0)
+	imp, err := Improve(mustSolve(t, shape, make([]float64, 3)), make([]float64, 3), LoadVariance{Poisson: true}, 4, 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	assertNear(t, imp.After(), 1, 0)
+	assertNear(t, imp.SkewAfter(), 1, 0)
 	if imp.Moves() != 0 {
 		t.Errorf("%d moves for zero load", imp.Moves())
 	}
@@ -88,11 +88,11 @@
 // not planned, and a plan with too small a gain leaves the map unchanged.
 func TestPlanRespectsLimits(t *testing.T) {
 	shape := Shape{Ranks: 4, Slots: 3, Experts: 8}
-	cheap := Limits{ExpertBytes: 1, StoreRate: 100, StageTime: time.Second, Life: time.Hour, Slowdown: 0.1}
+	cheap := Limits{ExpertBytes: 1, StoreBandwidth: 100, MaxStagingTime: time.Second, MapLifetime: time.Hour, LoadingSlowdown: 0.1}
 	costly := cheap
-	costly.ExpertBytes, costly.StageTime, costly.Life = 100, 100*time.Second, 10*time.Millisecond
+	costly.ExpertBytes, costly.MaxStagingTime, costly.MapLifetime = 100, 100*time.Second, 10*time.Millisecond
 	noStageTime := cheap
-	noStageTime.StageTime = 0
+	noStageTime.MaxStagingTime = 0
 	highMinGain := cheap
 	highMinGain.MinGain = 10
 	for _, c := range []struct {
@@ -114,7 +114,7 @@
 			if got := plan.Next().Version() == 2; got != c.changed {
 				t.Errorf("version %d", plan.Next().Version())
 			}
-			assertAtMost(t, plan.After(), plan.Before())
+			assertAtMost(t, plan.SkewAfter(), plan.SkewBefore())
 		})
 	}
 }
@@ -151,5 +151,5 @@
 	_, err = NewPlan(current, NewPopularity(1, 2, 0), Limits{}, time.Unix(1, 0))
 	assertError(t, err, ErrNotObserved)
 	_, err = NewPlan(current, NewPopularity(2, 2, 0), Limits{}, time.Unix(1, 0))
-	assertError(t, err, ErrShape)
+	assertError(t, err, ErrInvalidShape)
 }
--- a/internal/rank/expertmap/layer.go
+++ b/internal/rank/expertmap/layer.go
@@ -20,10 +20,10 @@
 
 // ErrShape is returned for impossible layer sizes and for numbers of layers or
 // ranks that do not match.
-var ErrShape = eris.New("expertmap: invalid or mismatched shape")
+var ErrInvalidShape = eris.New("expertmap: invalid or mismatched shape")
 
 // ErrLayer is returned for slots that do not make a valid layer; see NewLayer.
-var ErrLayer = eris.New("expertmap: invalid layer slots")
+var ErrInvalidLayer = eris.New("expertmap: invalid layer slots")
 
 // Shape holds the dimensions of a layer.
 type Shape struct {
@@ -38,7 +38,7 @@
 
 func (s Shape) check() error {
 	if s.Ranks < 1 || s.Slots < 1 || s.Experts < 1 || s.Experts > s.Ranks*s.Slots {
-		return eris.Wrapf(ErrShape, "%d ranks with %d slots each for %d experts", s.Ranks, s.Slots, s.Experts)
+		return eris.Wrapf(ErrInvalidShape, "%d ranks with %d slots each for %d experts", s.Ranks, s.Slots, s.Experts)
 	}
 	return nil
 }
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	if len(slots) != shape.Ranks*shape.Slots {
-		return nil, eris.Wrapf(ErrLayer, "%d slots", len(slots))
+		return nil, eris.Wrapf(ErrInvalidLayer, "%d slots", len(slots))
 	}
 	l := &Layer{shape: shape, slots: append([]Slot(nil), slots...)}
 	if err := l.check(); err != nil {
@@ -81,7 +81,7 @@
 // Contiguous returns the layer that assigns contiguous ranges of experts to the
 // ranks, with one replica for each expert. It returns ErrShape if the
 // dimensions are impossible.
-func Contiguous(shape Shape) (*Layer, error) {
+func NewContiguousLayer(shape Shape) (*Layer, error) {
 	if err := shape.check(); err != nil {
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 			continue
 		}
 		if s.Expert < none || s.Expert >= l.shape.Experts || s.Share < 0 {
-			return eris.Wrapf(ErrLayer, "slot %d", i)
+			return eris.Wrapf(ErrInvalidLayer, "slot %d", i)
 		}
 		sums[s.Expert] += s.Share
 	}
@@ -120,7 +120,7 @@
 	}
 	for e, sum := range sums {
 		if sum != ShareUnits {
-			return eris.Wrapf(ErrLayer, "shares of expert %d add up to %d", e, sum)
+			return eris.Wrapf(ErrInvalidLayer, "shares of expert %d add up to %d", e, sum)
 		}
 	}
 	return nil
@@ -131,7 +131,7 @@
 	for i, s := range slots {
 		for _, other := range slots[:i] {
 			if s.Expert != none && s.Expert == other.Expert {
-				return eris.Wrapf(ErrLayer, "rank %d holds two replicas of expert %d", r, s.Expert)
+				return eris.Wrapf(ErrInvalidLayer, "rank %d holds two replicas of expert %d", r, s.Expert)
 			}
 		}
 	}
--- a/internal/rank/expertmap/map.go
+++ b/internal/rank/expertmap/map.go
@@ -26,7 +26,7 @@
 	h := xxhash.New()
 	for _, l := range layers {
 		if l.shape.Ranks != layers[0].shape.Ranks {
-			return nil, eris.Wrapf(ErrShape, "layers have %d and %d ranks", l.shape.Ranks, layers[0].shape.Ranks)
+			return nil, eris.Wrapf(ErrInvalidShape, "layers have %d and %d ranks", l.shape.Ranks, layers[0].shape.Ranks)
 		}
 		l.hash(h)
 	}
--- a/internal/rank/expertmap/plan.go
+++ b/internal/rank/expertmap/plan.go
@@ -17,42 +17,42 @@
 	ExpertBytes int64
 	// StoreRate is the bandwidth of the weight store that is available to the
 	// group, in bytes per second.
-	StoreRate int64
+	StoreBandwidth int64
 	// StageTime is the maximum time for staging a plan, which is the time for
 	// loading its weights.
-	StageTime time.Duration
+	MaxStagingTime time.Duration
 	// Life is the expected time that the planned map is in use.
-	Life time.Duration
+	MapLifetime time.Duration
 	// Slowdown is the relative increase of step time while weights are loaded.
-	Slowdown float64
+	LoadingSlowdown float64
 	// MinGain is the minimum reduction of skew that justifies the messages and
 	// the write that activating a new map takes.
 	MinGain float64
 	// Goal is the distance from the lower bound on the skew within which a
 	// layer needs no moves.
-	Goal float64
+	SkewTolerance float64
 	// Tokens says that loads are in tokens per step, so their sampling variance
 	// is taken into account; see Risk.
-	Tokens bool
+	PoissonLoads bool
 }
 
 // MaxMoves returns the number of replicas that the weight store can deliver
 // within StageTime, or zero if ExpertBytes or StoreRate is not positive.
 func (l Limits) MaxMoves() int {
-	if l.ExpertBytes <= 0 || l.StoreRate <= 0 {
+	if l.ExpertBytes <= 0 || l.StoreBandwidth <= 0 {
 		return 0
 	}
-	return int(l.StageTime.Seconds() * float64(l.StoreRate) / float64(l.ExpertBytes))
+	return int(l.MaxStagingTime.Seconds() * float64(l.StoreBandwidth) / float64(l.ExpertBytes))
 }
 
 // moveCost returns the reduction of skew over Life that compensates for the
 // slower steps while the weights of one move are loaded.
 func (l Limits) moveCost() float64 {
-	if l.Life <= 0 || l.StoreRate <= 0 {
+	if l.MapLifetime <= 0 || l.StoreBandwidth <= 0 {
 		return 0
 	}
-	load := float64(l.ExpertBytes) / float64(l.StoreRate)
-	return l.Slowdown * load / l.Life.Seconds()
+	load := float64(l.ExpertBytes) / float64(l.StoreBandwidth)
+	return l.LoadingSlowdown * load / l.MapLifetime.Seconds()
 }
 
 // Plan is a proposed change of a map.
@@ -73,14 +73,14 @@
 
 // Before returns the expected skew of the current map, averaged over all layers
 // by load.
-func (p *Plan) Before() float64 { return p.before }
+func (p *Plan) SkewBefore() float64 { return p.before }
 
 // After returns the expected skew of the planned map, averaged over all layers
 // by load.
-func (p *Plan) After() float64 { return p.after }
+func (p *Plan) SkewAfter() float64 { return p.after }
 
 // At returns the time for which the plan was made.
-func (p *Plan) At() time.Time { return p.plannedAt }
+func (p *Plan) PlannedAt() time.Time { return p.plannedAt }
 
 // NewPlan plans the successor of current for the estimated popularity. Both
 // must have the same number of experts in each layer. It returns ErrNotObserved
@@ -95,11 +95,11 @@
 // layers together have to be loaded within StageTime, layers with a higher skew
 // are planned first, and a plan that reduces the skew by less than MinGain is
 // discarded.
-func NewPlan(current *Map, pop *Popularity, limits Limits, now time.Time) (*Plan, error) {
+func NewPlan(current *Map, pop *PopularityEstimator, limits Limits, now time.Time) (*Plan, error) {
 	if pop.Layers() != current.Layers() {
-		return nil, eris.Wrapf(ErrShape, "map has %d layers, estimator has %d", current.Layers(), pop.Layers())
+		return nil, eris.Wrapf(ErrInvalidShape, "map has %d layers, estimator has %d", current.Layers(), pop.Layers())
 	}
-	if !pop.Known() {
+	if !pop.Observed() {
 		return nil, ErrNotObserved
 	}
 	plan := &Plan{next: current, plannedAt: now}
@@ -117,14 +117,14 @@
 
 // improveLayers returns the improved layers. It records the moves and the
 // skews, averaged by load, in p.
-func (p *Plan) improveLayers(current *Map, pop *Popularity, limits Limits) ([]*Layer, error) {
+func (p *Plan) improveLayers(current *Map, pop *PopularityEstimator, limits Limits) ([]*Layer, error) {
 	layers := make([]*Layer, current.Layers())
 	budget := limits.MaxMoves()
 	totalWeight := 0.0
 	for _, i := range layersBySkew(current, pop) {
 		load := pop.Load(i)
-		risk := Risk{Drift: pop.Drift(i), Draw: limits.Tokens}
-		imp, err := Improve(current.layers[i], load, risk, budget, limits.moveCost(), limits.Goal)
+		risk := LoadVariance{Drift: pop.Drift(i), Poisson: limits.PoissonLoads}
+		imp, err := Improve(current.layers[i], load, risk, budget, limits.moveCost(), limits.SkewTolerance)
 		if err != nil {
 			return nil, err
 		}
@@ -146,7 +146,7 @@
 }
 
 // layersBySkew returns the indexes of the layers in descending order of skew.
-func layersBySkew(m *Map, pop *Popularity) []int {
+func layersBySkew(m *Map, pop *PopularityEstimator) []int {
 	order := make([]int, m.Layers())
 	skews := make([]float64, m.Layers())
 	for i := range order {
--- a/internal/rank/expertmap/popularity.go
+++ b/internal/rank/expertmap/popularity.go
@@ -9,11 +9,11 @@
 
 // ErrObservation is returned for expert loads that do not match the layer, are
 // negative or are not finite.
-var ErrObservation = eris.New("expertmap: invalid expert loads")
+var ErrInvalidLoad = eris.New("expertmap: invalid expert loads")
 
 // Popularity estimates the load of each expert as an exponentially weighted
 // moving average of the observed counts. It is not safe for concurrent use.
-type Popularity struct {
+type PopularityEstimator struct {
 	// tau is the time constant of the moving average.
 	tau    time.Duration
 	layers []estimate
@@ -36,8 +36,8 @@
 // experts per layer. The weight of an observation decays to 1/e after the time
 // constant tau. If tau is zero or negative, the estimate is the latest
 // observation.
-func NewPopularity(layers, experts int, tau time.Duration) *Popularity {
-	p := &Popularity{tau: tau, layers: make([]estimate, layers)}
+func NewPopularity(layers, experts int, tau time.Duration) *PopularityEstimator {
+	p := &PopularityEstimator{tau: tau, layers: make([]estimate, layers)}
 	for i := range p.layers {
 		p.layers[i].load = make([]float64, experts)
 	}
@@ -49,9 +49,9 @@
 // observation older than the latest one is treated as having the time of the
 // latest one. Observe returns ErrObservation if the layer does not exist, the
 // number of counts is wrong, or a count is negative or not finite.
-func (p *Popularity) Observe(layer int, counts []float64, now time.Time) error {
+func (p *PopularityEstimator) Observe(layer int, counts []float64, now time.Time) error {
 	if layer < 0 || layer >= len(p.layers) || len(counts) != len(p.layers[layer].load) {
-		return eris.Wrapf(ErrObservation, "layer %d has %d counts", layer, len(counts))
+		return eris.Wrapf(ErrInvalidLoad, "layer %d has %d counts", layer, len(counts))
 	}
 	if err := checkValues(counts); err != nil {
 		return err
@@ -104,14 +104,14 @@
 // variance T - T/12. A map planned at the end of an interval takes effect about
 // T/4 later and is used for T, so the difference between the load and the
 // counts has an average variance of T/12 + T/4 + T/2.
-func (p *Popularity) Drift(layer int) float64 {
+func (p *PopularityEstimator) Drift(layer int) float64 {
 	const varianceRatio = (1.0/12 + 1.0/4 + 1.0/2) / (1 - 1.0/12)
 	return math.Sqrt(varianceRatio * p.layers[layer].meanSqChange)
 }
 
 // observationWeight returns the weight in the moving average of an observation
 // made at now, when the previous one was made at last.
-func (p *Popularity) observationWeight(last, now time.Time) float64 {
+func (p *PopularityEstimator) observationWeight(last, now time.Time) float64 {
 	if last.IsZero() || p.tau <= 0 {
 		return 1
 	}
@@ -120,7 +120,7 @@
 }
 
 // Known reports whether every layer has been observed at least once.
-func (p *Popularity) Known() bool {
+func (p *PopularityEstimator) Observed() bool {
 	for _, e := range p.layers {
 		if e.observedAt.IsZero() {
 			return false
@@ -130,10 +130,10 @@
 }
 
 // Layers returns the number of layers.
-func (p *Popularity) Layers() int { return len(p.layers) }
+func (p *PopularityEstimator) Layers() int { return len(p.layers) }
 
 // Load returns a copy of the estimated load of each expert of a layer.
-func (p *Popularity) Load(layer int) []float64 {
+func (p *PopularityEstimator) Load(layer int) []float64 {
 	return append([]float64(nil), p.layers[layer].load...)
 }
 
@@ -141,7 +141,7 @@
 func checkValues(load []float64) error {
 	for e, v := range load {
 		if v < 0 || math.IsNaN(v) || math.IsInf(v, 0) {
-			return eris.Wrapf(ErrObservation, "expert %d has load %v", e, v)
+			return eris.Wrapf(ErrInvalidLoad, "expert %d has load %v", e, v)
 		}
 	}
 	return nil
--- a/internal/rank/expertmap/risk.go
+++ b/internal/rank/expertmap/risk.go
@@ -14,13 +14,13 @@
 // with a few large replicas therefore has a higher standard deviation than one
 // with many small ones, and splitting a popular expert over two ranks halves
 // its standard deviation on each.
-type Risk struct {
+type LoadVariance struct {
 	// Drift is the standard deviation of an expert's load, relative to the
 	// planned load, caused by changes in popularity after planning.
 	Drift float64
 	// Draw says that loads are token counts, whose number in a step has Poisson
 	// variance.
-	Draw bool
+	Poisson bool
 }
 
 // maxZScore approximates the expected maximum of n independent standard normal
@@ -31,9 +31,9 @@
 
 // relativeVariance returns the variance of an expert's load divided by the
 // square of the load.
-func (r Risk) relativeVariance(load float64) float64 {
+func (r LoadVariance) relativeVariance(load float64) float64 {
 	v := r.Drift * r.Drift
-	if r.Draw && load > 0 {
+	if r.Poisson && load > 0 {
 		v += 1 / load
 	}
 	return v
--- a/internal/rank/expertmap/skewtable/run.go
+++ b/internal/rank/expertmap/skewtable/run.go
@@ -66,7 +66,7 @@
 // loading the weights.
 func (c Case) activationSteps(moves int) int {
 	l := c.Limits()
-	load := float64(moves) * float64(l.ExpertBytes) / float64(l.StoreRate)
+	load := float64(moves) * float64(l.ExpertBytes) / float64(l.StoreBandwidth)
 	return 1 + int(math.Ceil(load/(c.Interval.Seconds()/stepsMeasured)))
 }
 
@@ -74,7 +74,7 @@
 func Run(c Case) (Row, error) {
 	sim := &simulation{
 		params: c,
-		drift:  newDrift(c.Shape.Experts, c.Correlation, c.Seed),
+		drift:  newDrift(c.Shape.Experts, c.CorrelationTime, c.Seed),
 		tokens: float64(c.Shape.Ranks * tokensPerRank * expertsPerToken),
 	}
 	if err := sim.initMaps(); err != nil {
@@ -109,10 +109,10 @@
 // with the full solution for the initial popularity.
 func (sim *simulation) initMaps() error {
 	var err error
-	if sim.static, err = expertmap.Contiguous(sim.params.Shape); err != nil {
+	if sim.static, err = expertmap.NewContiguousLayer(sim.params.Shape); err != nil {
 		return err
 	}
-	first, err := expertmap.Solve(sim.params.Shape, sim.drift.expected(sim.tokens), expertmap.Risk{})
+	first, err := expertmap.Solve(sim.params.Shape, sim.drift.expected(sim.tokens), expertmap.LoadVariance{})
 	if err != nil {
 		return err
 	}
@@ -151,7 +151,7 @@
 func (sim *simulation) measureKnown() error {
 	const maxMoves, samples = 32, 16
 	expected := sim.drift.expected(sim.tokens)
-	risk := expertmap.Risk{Draw: true}
+	risk := expertmap.LoadVariance{Poisson: true}
 	first, err := expertmap.Solve(sim.params.Shape, expected, risk)
 	if err != nil {
 		return err
@@ -168,8 +168,8 @@
 }
 
 // replan schedules the next layers of the strategies full and planned.
-func (sim *simulation) replan(counts []float64, pop *expertmap.Popularity, now time.Time) error {
-	full, err := expertmap.Solve(sim.params.Shape, counts, expertmap.Risk{})
+func (sim *simulation) replan(counts []float64, pop *expertmap.PopularityEstimator, now time.Time) error {
+	full, err := expertmap.Solve(sim.params.Shape, counts, expertmap.LoadVariance{})
 	if err != nil {
 		return err
 	}
--- a/internal/rank/expertmap/skewtable/table.go
+++ b/internal/rank/expertmap/skewtable/table.go
@@ -32,14 +32,14 @@
 // weights are loaded, and replicas that are used for an hour.
 func (c Case) Limits() expertmap.Limits {
 	return expertmap.Limits{
-		ExpertBytes: 45_000_000,
-		StoreRate:   100_000_000,
-		StageTime:   c.Interval,
-		Life:        time.Hour,
-		Slowdown:    0.2,
-		MinGain:     0.001,
-		Goal:        0.01,
-		Tokens:      true,
+		ExpertBytes:     45_000_000,
+		StoreBandwidth:  100_000_000,
+		MaxStagingTime:  c.Interval,
+		MapLifetime:     time.Hour,
+		LoadingSlowdown: 0.2,
+		MinGain:         0.001,
+		SkewTolerance:   0.01,
+		PoissonLoads:    true,
 	}
 }
 
@@ -48,7 +48,7 @@
 	// Shape holds the dimensions of the layer.
 	Shape expertmap.Shape
 	// Correlation is the correlation time of the popularity.
-	Correlation time.Duration
+	CorrelationTime time.Duration
 	// Interval is the time between two plans.
 	Interval time.Duration
 	// Intervals is the number of simulated intervals.
@@ -78,11 +78,11 @@
 	var cases []Case
 	for _, s := range shapes {
 		for _, v := range correlations {
-			cases = append(cases, Case{Shape: s, Correlation: v, Interval: longInterval})
+			cases = append(cases, Case{Shape: s, CorrelationTime: v, Interval: longInterval})
 		}
 	}
 	for _, s := range shapes {
-		cases = append(cases, Case{Shape: s, Correlation: time.Hour, Interval: shortInterval})
+		cases = append(cases, Case{Shape: s, CorrelationTime: time.Hour, Interval: shortInterval})
 	}
 	for i := range cases {
 		cases[i].Seed = int64(i + 1)
@@ -126,7 +126,7 @@
 func (r Row) Planned() Skews { return r.planned }
 
 // Floor returns the skew with a layer optimized for the exact popularity.
-func (r Row) Floor() Skews { return r.known }
+func (r Row) Known() Skews { return r.known }
 
 // Bound returns the lower bound on the skew.
 func (r Row) Bound() Skews { return r.bound }
@@ -150,7 +150,7 @@
 	_, _ = fmt.Fprintln(t, "ranks x experts\tdrift\tinterval\tbound\tknown\tstatic\tp99\tfull\tp99\tmoves\tplanned\tp99\tmoves\tover bound\tof full's moves\t")
 	for _, r := range rows {
 		_, _ = fmt.Fprintf(t, "%d x %d\t%v\t%v\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%.3f\t%.3f\t%d\t%.1f%%\t%.1f%%\t\n",
-			r.params.Shape.Ranks, r.params.Shape.Experts, r.params.Correlation, r.params.Interval, r.bound.mean, r.known.mean,
+			r.params.Shape.Ranks, r.params.Shape.Experts, r.params.CorrelationTime, r.params.Interval, r.bound.mean, r.known.mean,
 			r.static.mean, r.static.p99, r.full.mean, r.full.p99, r.full.moves,
 			r.planned.mean, r.planned.p99, r.planned.moves,
 			100*(r.planned.mean/r.bound.mean-1), 100*float64(r.planned.moves)/float64(max(1, r.full.moves)))
--- a/internal/rank/expertmap/skewtable/table_test.go
+++ b/internal/rank/expertmap/skewtable/table_test.go
@@ -19,7 +19,7 @@
 func TestPlansKeepTheSkewLow(t *testing.T) {
 	var rows []skewtable.Row
 	for _, c := range skewtable.Cases() {
-		steady := c.Shape.Ranks <= 32 && c.Correlation >= time.Hour
+		steady := c.Shape.Ranks <= 32 && c.CorrelationTime >= time.Hour
 		if !steady {
 			c.Intervals = shortRunIntervals
 		}
--- a/internal/rank/expertmap/solve.go
+++ b/internal/rank/expertmap/solve.go
@@ -12,7 +12,7 @@
 // rank with the lowest load that has a free slot and does not hold the expert
 // (longest processing time first, Graham 1969). Finally the shares are
 // balanced.
-func Solve(shape Shape, load []float64, risk Risk) (*Layer, error) {
+func Solve(shape Shape, load []float64, risk LoadVariance) (*Layer, error) {
 	if err := shape.check(); err != nil {
 		return nil, err
 	}
--- a/internal/rank/naming/fakes_test.go
+++ b/internal/rank/naming/fakes_test.go
@@ -73,7 +73,7 @@
 }
 
 func testMap(version uint64) *expertmap.Map {
-	l, err := expertmap.Contiguous(expertmap.Shape{Ranks: 2, Slots: 2, Experts: 4})
+	l, err := expertmap.NewContiguousLayer(expertmap.Shape{Ranks: 2, Slots: 2, Experts: 4})
 	if err != nil {
 		panic(err)
 	}
--- a/internal/rank/planner.go
+++ b/internal/rank/planner.go
@@ -15,7 +15,7 @@
 	// gathering reports whether a call that gathers counts and plans is in
 	// progress.
 	gathering  bool
-	popularity *expertmap.Popularity
+	popularity *expertmap.PopularityEstimator
 }
 
 // step proposes the initial map to a group without a map, and starts a plan
@@ -85,8 +85,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r.stats.skewBefore.Update(plan.Before())
-	r.stats.skewPlanned.Update(plan.After())
+	r.stats.skewBefore.Update(plan.SkewBefore())
+	r.stats.skewPlanned.Update(plan.SkewAfter())
 	if plan.Next() == current {
 		return nil, nil
 	}
--- a/internal/rank/runner_test.go
+++ b/internal/rank/runner_test.go
@@ -109,7 +109,7 @@
 }
 
 func (g *testGroup) runner(i int, client *platform.Client) *rank.Runner {
-	layer, err := expertmap.Contiguous(expertmap.Shape{Ranks: 6, Slots: 3, Experts: 12})
+	layer, err := expertmap.NewContiguousLayer(expertmap.Shape{Ranks: 6, Slots: 3, Experts: 12})
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -128,7 +128,7 @@
 		},
 		Initial: first,
 		Limits: expertmap.Limits{
-			ExpertBytes: 1, StoreRate: 1000, StageTime: time.Second, Life: time.Minute, MinGain: 0.01, Goal: 0.01,
+			ExpertBytes: 1, StoreBandwidth: 1000, MaxStagingTime: time.Second, MapLifetime: time.Minute, MinGain: 0.01, SkewTolerance: 0.01,
 		},
 		PlanEvery: 50 * time.Millisecond, Memory: 10 * time.Millisecond,
 		Tick: 5 * time.Millisecond, Lookahead: 50,
--- a/internal/ranker/planner.go
+++ b/internal/ranker/planner.go
@@ -60,18 +60,18 @@
 		}
 		sets = append(sets, s)
 	}
-	limits := evenmap.Limits{PerRank: p.copiesPerRank(), PerSet: experts.SpareSlots, Slow: slowdowns, MinGain: minCopyGain}
+	limits := evenmap.Limits{CopiesPerRank: p.copiesPerRank(), CopiesPerSet: experts.SpareSlots, Slowdown: slowdowns, MinGain: minCopyGain}
 	minGain := minMapGain
 	if p.hasShortPasses(sets, loads, maxRunning) {
 		limits.MinGain *= shortPassGainFactor
 		minGain *= shortPassGainFactor
 	}
 	plan := evenmap.NewPlan(sets, loads, limits)
-	if plan.Before()-plan.After() < minGain {
+	if plan.SkewBefore()-plan.SkewAfter() < minGain {
 		return nil, nil
 	}
-	next := &proposal{copies: plan.Copies(), skewBefore: plan.Before(), skewAfter: plan.After()}
-	for _, s := range plan.Next() {
+	next := &proposal{copies: plan.Copies(), skewBefore: plan.SkewBefore(), skewAfter: plan.SkewAfter()}
+	for _, s := range plan.Placements() {
 		next.sets = append(next.sets, s.Ranks())
 	}
 	sortExperts(next.sets)
