--- a/internal/rank/lockstep/giveup.go
+++ b/internal/rank/lockstep/giveup.go
@@ -43,24 +43,24 @@
 }
 
 // releaseStep returns the order that releases the held step.
-func releaseStep(ranks []State, h heldStep) []Directive {
-	return []Directive{newDirective(ranks, h.rank, Go{Step: h.step})}
+func releaseStep(ranks []State, h heldStep) []AddressedOrder {
+	return []AddressedOrder{newDirective(ranks, h.rank, Release{Step: h.step})}
 }
 
 // abortStep aborts the held step: it disarms all ranks, prepares the no-op
 // version on them and releases the step. The leader's own rank is disarmed and
 // prepared before the others; see Rescue.
-func (l *Leader) abortStep(ranks []State, h heldStep, now time.Time) []Directive {
+func (l *Leader) abortStep(ranks []State, h heldStep, now time.Time) []AddressedOrder {
 	if l.inForce == nil || l.inForce.Version != ranks[h.rank].Map {
 		return nil // the map in force must be set first; see Current
 	}
 	if l.noopVersion == 0 || l.prepareStalled(now) {
 		l.noopVersion, l.goal = l.nextVersion(), nil
 	}
-	if out := l.abortRank(ranks, l.Own); len(out) > 0 {
+	if out := l.abortRank(ranks, l.OwnRank); len(out) > 0 {
 		return out
 	}
-	var out []Directive
+	var out []AddressedOrder
 	for i := range ranks {
 		out = append(out, l.abortRank(ranks, i)...)
 	}
@@ -72,15 +72,15 @@
 
 // abortRank disarms rank i, or prepares the no-op version on it when it is not
 // armed.
-func (l *Leader) abortRank(ranks []State, i int) []Directive {
+func (l *Leader) abortRank(ranks []State, i int) []AddressedOrder {
 	r := &ranks[i]
 	switch {
 	case r.Armed != nil:
-		return []Directive{newDirective(ranks, i, Disarm{Version: r.Armed.Version})}
+		return []AddressedOrder{newDirective(ranks, i, Disarm{Version: r.Armed.Version})}
 	case r.Busy, r.HasPrepared && r.Prepared == l.noopVersion:
 		return nil
 	default:
-		return []Directive{newDirective(ranks, i, Prepare{Version: l.noopVersion, Sets: l.inForce.Sets})}
+		return []AddressedOrder{newDirective(ranks, i, Prepare{Version: l.noopVersion, Sets: l.inForce.Sets})}
 	}
 }
 
--- a/internal/rank/lockstep/lead.go
+++ b/internal/rank/lockstep/lead.go
@@ -40,10 +40,10 @@
 type Change struct {
 	// Step is the step that was held. Ahead is how many steps in advance it was
 	// held.
-	Step, Ahead uint64
+	Step, StepsAhead uint64
 	// Expected is the estimated and Took the measured duration of the change.
 	// StepTime is the estimated duration of a step before the change.
-	Expected, Took, StepTime time.Duration
+	ExpectedDuration, Duration, StepDuration time.Duration
 }
 
 // begin records that a hold was ordered.
@@ -54,8 +54,8 @@
 	if l.holdOrderedAt.IsZero() {
 		return
 	}
-	l.change.Took = now.Sub(l.holdOrderedAt)
-	l.samples = append(l.samples, l.change.Took)
+	l.change.Duration = now.Sub(l.holdOrderedAt)
+	l.samples = append(l.samples, l.change.Duration)
 	if len(l.samples) > leadSamples {
 		l.samples = l.samples[1:]
 	}
--- a/internal/rank/lockstep/lead_test.go
+++ b/internal/rank/lockstep/lead_test.go
@@ -25,7 +25,7 @@
 		passDuration: passDuration, orderDuration: orderDuration, passRemaining: passDuration,
 	}
 	for i := range g.ranks {
-		g.ranks[i] = State{Group: "g", Epoch: 1, Rank: i, Size: n, Open: true}
+		g.ranks[i] = State{Group: "g", Epoch: 1, Rank: i, Size: n, Accepting: true}
 	}
 	return g
 }
@@ -67,40 +67,40 @@
 }
 
 // execute executes an order at once; a prepare takes no time.
-func (g *pacedGroup) execute(d Directive) Outcome {
+func (g *pacedGroup) execute(d AddressedOrder) Outcome {
 	r := &g.ranks[d.Rank]
 	switch o := d.Order.(type) {
 	case Prepare:
 		r.Prepared, r.HasPrepared = o.Version, true
 	case Hold:
 		if o.Step <= r.Step {
-			return Unfit
+			return Rejected
 		}
 		r.Held = &o.Step
-	case Go:
+	case Release:
 		r.Held = nil
 	case Arm:
-		r.Armed = &Arming{Step: o.Step, Version: o.Version}
+		r.Armed = &ArmedMap{Step: o.Step, Version: o.Version}
 	}
-	return Already
+	return NoChange
 }
 
 // round makes one observation and sends all orders that follow from it.
 func (g *pacedGroup) round(l *Leader) {
 	ranks := g.observe()
-	orders := l.Decide(ranks, true, g.now)
+	orders := l.NextOrders(ranks, true, g.now)
 	for len(orders) > 0 {
 		g.wait(3*time.Millisecond + time.Duration(len(orders))*g.orderDuration)
 		applied := true
 		for _, d := range orders {
 			o := g.execute(d)
-			l.Answered(d, o, g.now)
-			applied = Apply(&ranks[d.Rank], d.Order) && o == Already && applied
+			l.RecordOutcome(d, o, g.now)
+			applied = Apply(&ranks[d.Rank], d.Order) && o == NoChange && applied
 		}
 		if !applied {
 			return
 		}
-		orders = l.Decide(ranks, true, g.now)
+		orders = l.NextOrders(ranks, true, g.now)
 	}
 }
 
@@ -124,7 +124,7 @@
 		for _, passDuration := range []time.Duration{50 * time.Millisecond, 95 * time.Millisecond} {
 			t.Run(fmt.Sprint(n, " ranks in ", passDuration), func(t *testing.T) {
 				g := newPacedGroup(n, passDuration, time.Millisecond)
-				l := &Leader{Own: 0, Holder: 1, Token: 1}
+				l := &Leader{OwnRank: 0, HoldRank: 1, Token: 1}
 				for range 20 {
 					g.round(l)
 					g.wait(100 * time.Millisecond)
--- a/internal/rank/lockstep/leader.go
+++ b/internal/rank/lockstep/leader.go
@@ -33,9 +33,9 @@
 	// Own is the rank on the leader's VM. Holder is the rank to which hold
 	// orders are sent. They differ in a group of more than one rank; see
 	// Rescue.
-	Own, Holder int
+	OwnRank, HoldRank int
 	// Before is the previous leader, or nil when it is not known.
-	Before *Predecessor
+	Predecessor *Predecessor
 	// Token is the leader's fencing token, which increases with each leader.
 	Token uint64
 
@@ -109,7 +109,7 @@
 func (l *Leader) Holding() bool { return !l.heldSince.IsZero() }
 
 // Current sets the map in force, which the leader must know to abort a step.
-func (l *Leader) Current(version uint64, sets [][][]int) {
+func (l *Leader) SetInForce(version uint64, sets [][][]int) {
 	l.inForce = &Goal{Version: version, Sets: sets}
 }
 
@@ -123,7 +123,7 @@
 
 // Awaited returns the ranks that prevent a held step from being released: those
 // that are armed, or have not prepared the no-op version.
-func (l *Leader) Awaited(ranks []State) []int {
+func (l *Leader) BlockingRanks(ranks []State) []int {
 	var out []int
 	for i, r := range ranks {
 		if r.Armed != nil || !r.HasPrepared || r.Prepared != l.noopVersion {
@@ -138,17 +138,17 @@
 
 // Answered records the outcome of an order. The outcome Fenced deposes the
 // leader.
-func (l *Leader) Answered(d Directive, o Outcome, now time.Time) {
+func (l *Leader) RecordOutcome(d AddressedOrder, o Outcome, now time.Time) {
 	if o == Fenced {
 		l.deposed = true
 	}
-	if p, ok := d.Order.(Prepare); ok && o == Unfit && p.Version == l.newestVersion {
+	if p, ok := d.Order.(Prepare); ok && o == Rejected && p.Version == l.newestVersion {
 		l.prepareRefused = true
 	}
 	switch d.Order.(type) {
 	case Hold:
 		l.recordHold(o)
-	case Go:
+	case Release:
 		l.recordGo(o, now)
 	}
 	if o != Unknown && d.Epoch == l.epoch && d.Rank < len(l.fencedAt) && l.fencedAt[d.Rank].IsZero() {
@@ -165,25 +165,25 @@
 // kept its old map for 0.4 s.
 func (l *Leader) recordHold(o Outcome) {
 	switch o {
-	case Unfit:
+	case Rejected:
 		l.extraSteps = min(l.extraSteps+1, maxExtraSteps)
-	case Begun, Already:
+	case Accepted, NoChange:
 		l.extraSteps = 0
 	}
 }
 
 // recordGo records how long a change took, measured from its hold.
 func (l *Leader) recordGo(o Outcome, now time.Time) {
-	if o == Begun || o == Already {
+	if o == Accepted || o == NoChange {
 		l.leadTime.end(now)
 	}
 }
 
 // Changed returns the timing of the last change that was released with all
 // ranks armed. It returns each change once.
-func (l *Leader) Changed() (Change, bool) {
+func (l *Leader) TakeChange() (Change, bool) {
 	c := l.leadTime.change
-	if !l.leadTime.holdOrderedAt.IsZero() || c.Took == 0 {
+	if !l.leadTime.holdOrderedAt.IsZero() || c.Duration == 0 {
 		return Change{}, false
 	}
 	l.leadTime.change = Change{}
@@ -199,7 +199,7 @@
 // armed; for that case see Rescue. If begin is false, Decide only completes
 // what is held or armed, because a leader that is about to stop must not leave
 // the group held.
-func (l *Leader) Decide(ranks []State, begin bool, now time.Time) []Directive {
+func (l *Leader) NextOrders(ranks []State, begin bool, now time.Time) []AddressedOrder {
 	if l.deposed || !l.sameOpenGroup(ranks) {
 		return nil
 	}
@@ -239,8 +239,8 @@
 // have not seen it: all of them, or those for which seen is true. A decision
 // requires an observation made after the last of these orders, so no other
 // order is sent along with them.
-func (l *Leader) fence(ranks []State, seen []bool) []Directive {
-	var out []Directive
+func (l *Leader) fence(ranks []State, seen []bool) []AddressedOrder {
+	var out []AddressedOrder
 	for i := range ranks {
 		if l.fencedAt[i].IsZero() && (seen == nil || seen[i]) {
 			out = append(out, newDirective(ranks, i, Fence{}))
@@ -251,13 +251,13 @@
 
 // newDirective returns an order for rank i, valid for the state in which the
 // rank was observed.
-func newDirective(ranks []State, i int, o Order) Directive {
-	return Directive{Rank: i, Epoch: ranks[i].Epoch, Sequence: ranks[i].Sequence, Order: o}
+func newDirective(ranks []State, i int, o Order) AddressedOrder {
+	return AddressedOrder{Rank: i, Epoch: ranks[i].Epoch, Sequence: ranks[i].Sequence, Order: o}
 }
 
 // prepareAndHold works towards the goal while no step is held: it prepares the
 // goal on all ranks and then orders a hold.
-func (l *Leader) prepareAndHold(ranks []State, armed int, now time.Time) []Directive {
+func (l *Leader) prepareAndHold(ranks []State, armed int, now time.Time) []AddressedOrder {
 	if l.goal == nil || armed > 0 {
 		return nil
 	}
@@ -265,7 +265,7 @@
 		l.goal = nil
 		return nil
 	}
-	var out []Directive
+	var out []AddressedOrder
 	ready := true
 	for i, r := range ranks {
 		if r.HasPrepared && r.Prepared == l.goal.Version {
@@ -288,8 +288,8 @@
 	ahead := l.extraSteps + stepsAhead(expected, l.stepDuration)
 	step := l.latestStep(ranks) + ahead
 	l.holdStep = step
-	l.leadTime.begin(Change{Step: step, Ahead: ahead, Expected: expected, StepTime: l.stepDuration}, now)
-	return []Directive{newDirective(ranks, l.Holder, Hold{Step: step})}
+	l.leadTime.begin(Change{Step: step, StepsAhead: ahead, ExpectedDuration: expected, StepDuration: l.stepDuration}, now)
+	return []AddressedOrder{newDirective(ranks, l.HoldRank, Hold{Step: step})}
 }
 
 // targetVersion returns the version for which the step is held: that of the
@@ -315,22 +315,22 @@
 // arm orders are still in transit: the holder's is not among them, so the
 // successor finds a rank that is not armed. It costs a few milliseconds per
 // change.
-func (l *Leader) armNext(ranks []State, h heldStep) []Directive {
+func (l *Leader) armNext(ranks []State, h heldStep) []AddressedOrder {
 	armed, _ := countArmed(ranks)
 	version, _ := l.targetVersion(ranks, armed)
-	arm := func(i int) Directive { return newDirective(ranks, i, Arm{Version: version, Step: h.step}) }
-	var out []Directive
+	arm := func(i int) AddressedOrder { return newDirective(ranks, i, Arm{Version: version, Step: h.step}) }
+	var out []AddressedOrder
 	for i, r := range ranks {
-		if r.Armed == nil && i != l.Own && i != l.Holder {
+		if r.Armed == nil && i != l.OwnRank && i != l.HoldRank {
 			out = append(out, arm(i))
 		}
 	}
 	switch {
 	case len(out) > 0:
 		return out
-	case ranks[l.Holder].Armed == nil && l.Holder != l.Own:
-		return []Directive{arm(l.Holder)}
+	case ranks[l.HoldRank].Armed == nil && l.HoldRank != l.OwnRank:
+		return []AddressedOrder{arm(l.HoldRank)}
 	default:
-		return []Directive{arm(l.Own)}
+		return []AddressedOrder{arm(l.OwnRank)}
 	}
 }
--- a/internal/rank/lockstep/leader_test.go
+++ b/internal/rank/lockstep/leader_test.go
@@ -11,17 +11,17 @@
 		w.advance(true)
 		ranks := w.observe().ranks
 		if d.l.InForce() == nil || d.l.InForce().Version != ranks[0].Map {
-			d.l.Current(ranks[0].Map, content(d.w.ranks[0].content))
+			d.l.SetInForce(ranks[0].Map, content(d.w.ranks[0].content))
 		}
 		if !d.l.Busy() {
 			d.l.Propose(content(d.w.nextContent()))
 		}
-		for _, o := range d.l.Decide(ranks, true, w.now) {
+		for _, o := range d.l.NextOrders(ranks, true, w.now) {
 			if _, arm := o.Order.(Arm); arm && o.Rank == 2 && w.tick < 100 {
-				d.l.Answered(o, Unknown, w.now)
+				d.l.RecordOutcome(o, Unknown, w.now)
 				continue
 			}
-			d.l.Answered(o, w.deliver(d.token, o), w.now)
+			d.l.RecordOutcome(o, w.deliver(d.token, o), w.now)
 		}
 	}
 	if w.ranks[0].state.Map == 0 || w.passes < 150 {
@@ -43,10 +43,10 @@
 		}
 		for range armed {
 			// Only the first of the pending arm orders is delivered.
-			o := first.l.Decide(w.observe().ranks, true, w.now)[0]
-			first.l.Answered(o, w.deliver(first.token, o), w.now)
+			o := first.l.NextOrders(w.observe().ranks, true, w.now)[0]
+			first.l.RecordOutcome(o, w.deliver(first.token, o), w.now)
 		}
-		w.unreachableRank, w.unreachableUntil = first.l.Own, w.tick+1000
+		w.unreachableRank, w.unreachableUntil = first.l.OwnRank, w.tick+1000
 		next := first.successor()
 		for range 5 {
 			w.advance(true)
@@ -69,32 +69,32 @@
 func TestOwnRankIsTakenBackFirst(t *testing.T) {
 	w := newSimulation(t, 7, 4)
 	d := newLeaderDriver(w, 1)
-	var delayedArm Directive
+	var delayedArm AddressedOrder
 	for delayedArm.Order == nil {
 		w.advance(true)
 		seen := w.observe()
 		if d.l.InForce() == nil {
-			d.l.Current(0, content(0))
+			d.l.SetInForce(0, content(0))
 			d.l.Propose(content(1))
 		}
-		for _, o := range d.l.Decide(seen.ranks, true, w.now) {
-			if _, arm := o.Order.(Arm); arm && o.Rank == d.l.Own {
+		for _, o := range d.l.NextOrders(seen.ranks, true, w.now) {
+			if _, arm := o.Order.(Arm); arm && o.Rank == d.l.OwnRank {
 				delayedArm = o
-				d.l.Answered(o, Unknown, w.now)
+				d.l.RecordOutcome(o, Unknown, w.now)
 				continue
 			}
-			d.l.Answered(o, w.deliver(d.token, o), w.now)
+			d.l.RecordOutcome(o, w.deliver(d.token, o), w.now)
 		}
 	}
 	w.now = w.now.Add(2 * armTimeout)
 	for range 20 {
-		for _, o := range d.l.Decide(w.observe().ranks, true, w.now) {
+		for _, o := range d.l.NextOrders(w.observe().ranks, true, w.now) {
 			if _, disarm := o.Order.(Disarm); disarm {
-				if w.execute(d.token, delayedArm) != Unfit {
+				if w.execute(d.token, delayedArm) != Rejected {
 					t.Fatalf("rank %d is disarmed while the leader's own may still be armed", o.Rank)
 				}
 			}
-			d.l.Answered(o, w.deliver(d.token, o), w.now)
+			d.l.RecordOutcome(o, w.deliver(d.token, o), w.now)
 		}
 		w.advance(true)
 	}
@@ -114,21 +114,21 @@
 		w.advance(true)
 		ranks := w.observe().ranks
 		if d.l.InForce() == nil || d.l.InForce().Version != ranks[0].Map {
-			d.l.Current(ranks[0].Map, content(w.ranks[0].content))
+			d.l.SetInForce(ranks[0].Map, content(w.ranks[0].content))
 		}
 		if !d.l.Busy() {
 			d.l.Propose(content(w.nextContent()))
 		}
-		for _, o := range d.l.Decide(ranks, true, w.now) {
+		for _, o := range d.l.NextOrders(ranks, true, w.now) {
 			if _, prepare := o.Order.(Prepare); prepare && o.Rank == 2 && !accepted {
 				accepted = w.acceptVersion(d.token, o)
 				w.delayed = append(w.delayed, delayedOrder{
 					at: w.tick + 1200, token: d.token, directive: o, versionAccepted: true,
 				})
-				d.l.Answered(o, Unknown, w.now)
+				d.l.RecordOutcome(o, Unknown, w.now)
 				continue
 			}
-			d.l.Answered(o, w.deliver(d.token, o), w.now)
+			d.l.RecordOutcome(o, w.deliver(d.token, o), w.now)
 		}
 	}
 	if !accepted || w.ranks[0].state.Map == 0 {
--- a/internal/rank/lockstep/observe.go
+++ b/internal/rank/lockstep/observe.go
@@ -24,7 +24,7 @@
 // that accepts requests.
 func (l *Leader) sameOpenGroup(ranks []State) bool {
 	for i, r := range ranks {
-		if !r.Open || r.Epoch != ranks[0].Epoch || r.Rank != i || r.Size != len(ranks) {
+		if !r.Accepting || r.Epoch != ranks[0].Epoch || r.Rank != i || r.Size != len(ranks) {
 			return false
 		}
 	}
@@ -114,7 +114,7 @@
 // armed for the same map and step.
 func countArmed(ranks []State) (n int, same bool) {
 	same = true
-	var first *Arming
+	var first *ArmedMap
 	for _, r := range ranks {
 		if r.Armed == nil {
 			continue
--- a/internal/rank/lockstep/rescue.go
+++ b/internal/rank/lockstep/rescue.go
@@ -23,11 +23,11 @@
 // The states must belong to that leader's change, which the versions show, as
 // they begin with its token. A step for which all other ranks are armed stays
 // held until the last rank is observed.
-func (l *Leader) Rescue(ranks []State, seen []bool) []Directive {
+func (l *Leader) RecoverHeldStep(ranks []State, seen []bool) []AddressedOrder {
 	if l.deposed || !l.canRescue(ranks, seen) {
 		return nil
 	}
-	l.enterEpoch(ranks[l.Own].Epoch, len(ranks))
+	l.enterEpoch(ranks[l.OwnRank].Epoch, len(ranks))
 	if out := l.fence(ranks, seen); len(out) > 0 {
 		return out
 	}
@@ -39,7 +39,7 @@
 	if armed == 0 {
 		return releaseStep(ranks, held)
 	}
-	var out []Directive
+	var out []AddressedOrder
 	for i, r := range ranks {
 		if r.Armed != nil {
 			out = append(out, newDirective(ranks, i, Disarm{Version: r.Armed.Version}))
@@ -51,14 +51,14 @@
 // canRescue reports whether only the predecessor's rank is missing and all
 // others take part in a change of the predecessor.
 func (l *Leader) canRescue(ranks []State, seen []bool) bool {
-	if l.Before == nil || l.Before.Rank == l.Own {
+	if l.Predecessor == nil || l.Predecessor.Rank == l.OwnRank {
 		return false
 	}
 	for i, r := range ranks {
-		if seen[i] == (i == l.Before.Rank) {
+		if seen[i] == (i == l.Predecessor.Rank) {
 			return false
 		}
-		if seen[i] && !(r.Open && r.Rank == i && r.Size == len(ranks) && r.Epoch == ranks[l.Own].Epoch && l.Before.ownsMaps(r)) {
+		if seen[i] && !(r.Accepting && r.Rank == i && r.Size == len(ranks) && r.Epoch == ranks[l.OwnRank].Epoch && l.Predecessor.ownsMaps(r)) {
 			return false
 		}
 	}
--- a/internal/rank/lockstep/simulation_test.go
+++ b/internal/rank/lockstep/simulation_test.go
@@ -26,7 +26,7 @@
 type delayedOrder struct {
 	at        int
 	token     uint64
-	directive Directive
+	directive AddressedOrder
 	// versionAccepted reports whether the rank accepted the version at once.
 	versionAccepted bool
 }
@@ -69,7 +69,7 @@
 		rng: rand.New(rand.NewPCG(seed, 1)), ranks: make([]simulatedRank, n), now: time.Unix(1000, 0), proposalInterval: 3,
 	}
 	for i := range w.ranks {
-		w.ranks[i].state = State{Group: "g", Epoch: 1, Rank: i, Size: n, Open: true}
+		w.ranks[i].state = State{Group: "g", Epoch: 1, Rank: i, Size: n, Accepting: true}
 	}
 	return w
 }
@@ -113,58 +113,58 @@
 }
 
 // execute executes an order by the engines' rules.
-func (w *simulation) execute(token uint64, d Directive) Outcome {
+func (w *simulation) execute(token uint64, d AddressedOrder) Outcome {
 	r := &w.ranks[d.Rank]
 	if token < r.token {
 		return Fenced
 	}
 	r.token = token
 	if d.Epoch != r.state.Epoch {
-		return Unfit
+		return Rejected
 	}
 	switch o := d.Order.(type) {
 	case Fence:
-		return Unfit
+		return Rejected
 	case Prepare:
 		if o.Version <= r.highestVersion && !w.resumingPrepare || r.state.Armed != nil {
-			return Unfit
+			return Rejected
 		}
 		if w.resumingPrepare && o.Version < r.highestVersion {
-			return Unfit
+			return Rejected
 		}
 		r.highestVersion, r.copyingVersion, r.preparedContent = o.Version, o.Version, o.Sets[0][0][0]
 		r.copyDoneAt = w.tick + w.rng.IntN(12)
 		r.state.HasPrepared = false
 	case Arm:
 		if !r.state.HasPrepared || r.state.Prepared != o.Version || o.Step <= r.state.Step {
-			return Unfit
+			return Rejected
 		}
-		r.state.Armed = &Arming{Step: o.Step, Version: o.Version}
+		r.state.Armed = &ArmedMap{Step: o.Step, Version: o.Version}
 	case Disarm:
 		if o.Version == r.state.Map {
-			return Unfit
+			return Rejected
 		}
 		if r.state.Armed == nil || r.state.Armed.Version != o.Version {
-			return Already
+			return NoChange
 		}
 		r.state.Armed = nil
 	case Hold:
 		if r.state.Held != nil && *r.state.Held != o.Step || o.Step <= r.state.Step {
-			return Unfit
+			return Rejected
 		}
 		step := o.Step
 		r.state.Held = &step
-	case Go:
+	case Release:
 		if r.state.Held == nil || *r.state.Held != o.Step {
-			return Unfit
+			return Rejected
 		}
 		r.state.Held = nil
 	}
-	return Begun
+	return Accepted
 }
 
 // deliver executes an order, or loses the order or its reply, or delays it.
-func (w *simulation) deliver(token uint64, d Directive) Outcome {
+func (w *simulation) deliver(token uint64, d AddressedOrder) Outcome {
 	if w.isUnreachable(d.Rank) {
 		w.delayed = append(w.delayed, delayedOrder{
 			at: w.unreachableUntil + w.rng.IntN(100), token: token, directive: d,
@@ -195,7 +195,7 @@
 
 // acceptVersion makes a rank accept the version of a prepare order that it
 // executes later, and reports whether it did.
-func (w *simulation) acceptVersion(token uint64, d Directive) bool {
+func (w *simulation) acceptVersion(token uint64, d AddressedOrder) bool {
 	r := &w.ranks[d.Rank]
 	p, ok := d.Order.(Prepare)
 	if !ok || token < r.token || p.Version <= r.highestVersion || r.state.Armed != nil || d.Epoch != r.state.Epoch {
@@ -277,17 +277,17 @@
 
 func newLeaderDriver(w *simulation, token uint64) *leaderDriver {
 	own := int(token) % len(w.ranks)
-	return &leaderDriver{w: w, l: &Leader{Own: own, Holder: (own + 1) % len(w.ranks), Token: token}, token: token}
+	return &leaderDriver{w: w, l: &Leader{OwnRank: own, HoldRank: (own + 1) % len(w.ranks), Token: token}, token: token}
 }
 
 // successor returns the leader that follows d, on the VM of a reachable rank.
 func (d *leaderDriver) successor() *leaderDriver {
 	next := newLeaderDriver(d.w, d.token+1)
-	for d.w.isUnreachable(next.l.Own) {
-		next.l.Own = (next.l.Own + 1) % len(d.w.ranks)
-		next.l.Holder = (next.l.Own + 1) % len(d.w.ranks)
+	for d.w.isUnreachable(next.l.OwnRank) {
+		next.l.OwnRank = (next.l.OwnRank + 1) % len(d.w.ranks)
+		next.l.HoldRank = (next.l.OwnRank + 1) % len(d.w.ranks)
 	}
-	next.l.Before = &Predecessor{Token: d.token, Rank: d.l.Own}
+	next.l.Predecessor = &Predecessor{Token: d.token, Rank: d.l.OwnRank}
 	return next
 }
 
@@ -303,19 +303,19 @@
 // orders. A frozen leader continues with an observation from before it froze.
 func (d *leaderDriver) round(seen observation) {
 	if !seen.complete {
-		for _, o := range d.l.Rescue(seen.ranks, seen.seen) {
-			d.l.Answered(o, d.w.deliver(d.token, o), d.w.now)
+		for _, o := range d.l.RecoverHeldStep(seen.ranks, seen.seen) {
+			d.l.RecordOutcome(o, d.w.deliver(d.token, o), d.w.now)
 		}
 		return
 	}
 	if d.l.InForce() == nil || d.l.InForce().Version != seen.ranks[0].Map {
-		d.l.Current(seen.ranks[0].Map, content(d.w.ranks[0].content))
+		d.l.SetInForce(seen.ranks[0].Map, content(d.w.ranks[0].content))
 	}
 	if !d.l.Busy() && d.w.rng.IntN(d.w.proposalInterval) == 0 {
 		d.l.Propose(content(d.w.nextContent()))
 	}
-	for _, o := range d.l.Decide(seen.ranks, true, d.w.now) {
-		d.l.Answered(o, d.w.deliver(d.token, o), d.w.now)
+	for _, o := range d.l.NextOrders(seen.ranks, true, d.w.now) {
+		d.l.RecordOutcome(o, d.w.deliver(d.token, o), d.w.now)
 	}
 }
 
@@ -345,7 +345,7 @@
 				if w.tick >= w.unreachableUntil && w.rng.IntN(2) == 0 {
 					// The frozen leader's VM, or another one, is unreachable
 					// meanwhile.
-					w.unreachableRank, w.unreachableUntil = last.l.Own, w.tick+w.rng.IntN(150)
+					w.unreachableRank, w.unreachableUntil = last.l.OwnRank, w.tick+w.rng.IntN(150)
 					if w.rng.IntN(4) == 0 {
 						w.unreachableRank = w.rng.IntN(len(w.ranks))
 					}
@@ -361,7 +361,7 @@
 				w.delayingRank, w.delayingUntil = w.rng.IntN(len(w.ranks)), w.tick+70
 			}
 			i := w.rng.IntN(len(leaders))
-			if stale[i] != nil && !w.isUnreachable(leaders[i].l.Own) && w.rng.IntN(4) == 0 {
+			if stale[i] != nil && !w.isUnreachable(leaders[i].l.OwnRank) && w.rng.IntN(4) == 0 {
 				leaders[i].round(*stale[i])
 				// Rescue requires that leaders observe the ranks again after
 				// their orders; Decide tolerates a reused observation.
--- a/internal/rank/lockstep/state.go
+++ b/internal/rank/lockstep/state.go
@@ -6,7 +6,7 @@
 )
 
 // Arming is a map version and the step at which a rank switches to it.
-type Arming struct {
+type ArmedMap struct {
 	Step, Version uint64
 }
 
@@ -20,7 +20,7 @@
 	// ranks.
 	Rank, Size int
 	// Open reports whether the group accepts requests.
-	Open bool
+	Accepting bool
 	// Step is the last step that has begun.
 	Step uint64
 	// Sequence is the number of orders that the rank has accepted. Busy reports
@@ -32,7 +32,7 @@
 	Map, Prepared uint64
 	HasPrepared   bool
 	// Armed is nil when the rank is not armed.
-	Armed *Arming
+	Armed *ArmedMap
 	// Held is the step that the rank holds, or nil.
 	Held *uint64
 	// Running and Queued are the numbers of running and queued requests of the
@@ -40,10 +40,10 @@
 	Running, Queued int
 	// Born is the start time of the engine, in milliseconds since the Unix
 	// epoch.
-	Born uint64
+	StartMillis uint64
 	// Pace is the ratio of the engine's current step time to its usual one; a
 	// value above 1 is slower.
-	Pace float64
+	Slowdown float64
 	// AsOf is a time on the leader's clock at or before the moment that the
 	// report describes. A report obtained through the agent describes the rank
 	// after it was requested; an engine reports its current state only to
@@ -93,14 +93,14 @@
 type Hold struct{ Step uint64 }
 
 // Go releases a held step.
-type Go struct{ Step uint64 }
+type Release struct{ Step uint64 }
 
 func (Fence) isOrder()   {}
 func (Prepare) isOrder() {}
 func (Arm) isOrder()     {}
 func (Disarm) isOrder()  {}
 func (Hold) isOrder()    {}
-func (Go) isOrder()      {}
+func (Release) isOrder() {}
 
 // Outcome is the result of an order.
 type Outcome int
@@ -110,12 +110,12 @@
 	// Unknown means that no reply arrived: the order may be executed later.
 	Unknown Outcome = iota
 	// Begun means that the rank has accepted the order.
-	Begun
+	Accepted
 	// Already means that the rank was already in the ordered state.
-	Already
+	NoChange
 	// Unfit means that the rank rejected the order because it does not fit the
 	// rank's state.
-	Unfit
+	Rejected
 	// Fenced means that the rank has seen the token of a newer leader.
 	Fenced
 )
@@ -127,7 +127,7 @@
 
 // Directive is an order for one rank, valid for the epoch and sequence number
 // at which the rank was observed.
-type Directive struct {
+type AddressedOrder struct {
 	Rank            int
 	Epoch, Sequence uint64
 	Order           Order
@@ -139,7 +139,7 @@
 func Apply(s *State, o Order) bool {
 	switch o := o.(type) {
 	case Arm:
-		s.Armed = &Arming{Step: o.Step, Version: o.Version}
+		s.Armed = &ArmedMap{Step: o.Step, Version: o.Version}
 	case Disarm:
 		s.Armed = nil
 	case Hold:
--- a/internal/ranker/lease.go
+++ b/internal/ranker/lease.go
@@ -36,7 +36,7 @@
 	agents, _ := t.ranker.members(t.group)
 	var recipients []fleet.Member
 	for _, m := range agents {
-		if distance := (t.rankByAgent[m.Name] - t.leader.Own - 1 + t.size) % t.size; distance < firstCandidates {
+		if distance := (t.rankByAgent[m.Name] - t.leader.OwnRank - 1 + t.size) % t.size; distance < firstCandidates {
 			recipients = append(recipients, m)
 		}
 	}
@@ -50,7 +50,7 @@
 // leaderProto identifies this agent as the group's leader, or as its former leader if
 // ended is set.
 func (t *term) leaderProto(ended bool) *fleetpb.Leader {
-	return &fleetpb.Leader{Agent: t.ranker.Settings.Name, Token: t.token, Rank: uint32(t.leader.Own), Ended: ended}
+	return &fleetpb.Leader{Agent: t.ranker.Settings.Name, Token: t.token, Rank: uint32(t.leader.OwnRank), Ended: ended}
 }
 
 // keepLease renews the lease when it is due. The call runs concurrently with the
--- a/internal/ranker/loads.go
+++ b/internal/ranker/loads.go
@@ -60,8 +60,8 @@
 		req.Targets = append(req.Targets, &fleetpb.Target{Endpoint: report.address})
 		req.Running = append(req.Running, uint32(report.state.Running))
 		req.Queued = append(req.Queued, uint32(report.state.Queued))
-		req.Pace = append(req.Pace, uint32(100*report.state.Pace))
-		slow = slow || report.state.Pace > 1
+		req.Pace = append(req.Pace, uint32(100*report.state.Slowdown))
+		slow = slow || report.state.Slowdown > 1
 	}
 	if !slow {
 		req.Pace = nil
@@ -71,7 +71,7 @@
 }
 
 func isClosed(reports []rankReport) bool {
-	return slices.ContainsFunc(reports, func(report rankReport) bool { return !report.state.Open })
+	return slices.ContainsFunc(reports, func(report rankReport) bool { return !report.state.Accepting })
 }
 
 // reportLoads sends entries the engines' loads and whether their group accepts
--- a/internal/ranker/loads_test.go
+++ b/internal/ranker/loads_test.go
@@ -15,7 +15,7 @@
 		// Reports arrive in any order.
 		r := n - 1 - i
 		out = append(out, rankReport{engineReport: engineReport{
-			address: "10.1.64.140:8029" + string(rune('a'+r)), state: lockstep.State{Rank: r, Open: true, Running: r, Pace: 1},
+			address: "10.1.64.140:8029" + string(rune('a'+r)), state: lockstep.State{Rank: r, Accepting: true, Running: r, Slowdown: 1},
 		}})
 	}
 	return out
@@ -37,7 +37,7 @@
 		t.Error("paces are reported although no engine is slow, or the group is reported as closed")
 	}
 	slow := testReports(3)
-	slow[0].state.Pace, slow[1].state.Open = 2, false
+	slow[0].state.Slowdown, slow[1].state.Accepting = 2, false
 	if req := loadsRequestProto(slow, true); len(req.GetPace()) != 3 || req.GetPace()[2] != 200 || !req.GetClosed() || !req.GetForming() {
 		t.Errorf("paces %v, closed %v, forming %v", req.GetPace(), req.GetClosed(), req.GetForming())
 	}
--- a/internal/ranker/orders.go
+++ b/internal/ranker/orders.go
@@ -24,13 +24,13 @@
 // long as every order is answered as already carried out. The ranks' states are then
 // known without another poll, and a held step is released some milliseconds sooner.
 func (t *term) giveAndContinue(
-	ctx context.Context, directives []lockstep.Directive, ranks []lockstep.State, byRank []rankReport,
-	next func(now time.Time) []lockstep.Directive,
+	ctx context.Context, directives []lockstep.AddressedOrder, ranks []lockstep.State, byRank []rankReport,
+	next func(now time.Time) []lockstep.AddressedOrder,
 ) {
 	for range maxFollowUps {
 		outcomes := t.giveAll(ctx, directives, byRank)
 		for i, d := range directives {
-			if outcomes[i] != lockstep.Already || !lockstep.Apply(&ranks[d.Rank], d.Order) {
+			if outcomes[i] != lockstep.NoChange || !lockstep.Apply(&ranks[d.Rank], d.Order) {
 				return
 			}
 		}
@@ -43,7 +43,7 @@
 
 // giveAll delivers orders to their ranks: through the delegate by which the rank was
 // polled, or else one by one. It returns the outcome of each order.
-func (t *term) giveAll(ctx context.Context, directives []lockstep.Directive, byRank []rankReport) []lockstep.Outcome {
+func (t *term) giveAll(ctx context.Context, directives []lockstep.AddressedOrder, byRank []rankReport) []lockstep.Outcome {
 	t.setPrepare(directives)
 	outcomes := make([]lockstep.Outcome, len(directives))
 	byDelegate := map[string][]int{}
@@ -62,7 +62,7 @@
 	parallel(len(calls), func(i int) { calls[i]() })
 	now := boottime.Now()
 	for i, d := range directives {
-		t.leader.Answered(d, outcomes[i], now)
+		t.leader.RecordOutcome(d, outcomes[i], now)
 	}
 	return outcomes
 }
@@ -70,7 +70,7 @@
 // giveToSubgroup delivers the directives with the given indices through the delegate
 // by which their ranks were polled, and stores the outcomes under the same indices.
 func (t *term) giveToSubgroup(
-	ctx context.Context, indices []int, directives []lockstep.Directive, byRank []rankReport, outcomes []lockstep.Outcome,
+	ctx context.Context, indices []int, directives []lockstep.AddressedOrder, byRank []rankReport, outcomes []lockstep.Outcome,
 ) {
 	if !t.mayGive(boottime.Now()) {
 		return
@@ -102,7 +102,7 @@
 }
 
 // addressedProto encodes an order for a rank that was polled through a delegate.
-func addressedProto(d lockstep.Directive, target rankReport) *fleetpb.Addressed {
+func addressedProto(d lockstep.AddressedOrder, target rankReport) *fleetpb.Addressed {
 	order := &fleetpb.Addressed{Order: giveRequestProto(0, d, &fleetpb.Prepare{}), Direct: target.agent == nil}
 	if order.Direct {
 		order.Target = &fleetpb.Target{Endpoint: target.address}
@@ -141,7 +141,7 @@
 
 // setPrepare encodes the map that ranks are to prepare, which is the same for all
 // ranks.
-func (t *term) setPrepare(directives []lockstep.Directive) {
+func (t *term) setPrepare(directives []lockstep.AddressedOrder) {
 	for _, d := range directives {
 		if p, ok := d.Order.(lockstep.Prepare); ok {
 			t.prepareMsg, t.preparedSets = prepareProto(p, t.leader.InForce()), p.Sets
@@ -150,7 +150,7 @@
 	}
 }
 
-func (t *term) giveOrder(ctx context.Context, d lockstep.Directive, target rankReport) lockstep.Outcome {
+func (t *term) giveOrder(ctx context.Context, d lockstep.AddressedOrder, target rankReport) lockstep.Outcome {
 	if !t.mayGive(boottime.Now()) {
 		return lockstep.Unknown
 	}
@@ -170,8 +170,8 @@
 
 // logOrder logs the outcome of an order. A Prepare that an engine has begun is left
 // out, because the proposal of a map is logged once for all ranks.
-func (t *term) logOrder(d lockstep.Directive, o lockstep.Outcome, err error) {
-	if _, ok := d.Order.(lockstep.Prepare); ok && o == lockstep.Begun {
+func (t *term) logOrder(d lockstep.AddressedOrder, o lockstep.Outcome, err error) {
+	if _, ok := d.Order.(lockstep.Prepare); ok && o == lockstep.Accepted {
 		return
 	}
 	fields := logrus.Fields{"group": t.group, "rank": d.Rank, "epoch": d.Epoch, "sequence": d.Sequence, "outcome": o.String()}
@@ -182,7 +182,7 @@
 	t.ranker.Log.WithFields(fields).Info("order given")
 }
 
-func (t *term) send(ctx context.Context, d lockstep.Directive, target rankReport) (lockstep.Outcome, error) {
+func (t *term) send(ctx context.Context, d lockstep.AddressedOrder, target rankReport) (lockstep.Outcome, error) {
 	r := t.ranker
 	switch {
 	case target.agent == nil || isStepOrder(d.Order):
@@ -211,7 +211,7 @@
 // that holds up the group would be out of reach.
 func isStepOrder(o lockstep.Order) bool {
 	switch o.(type) {
-	case lockstep.Hold, lockstep.Go:
+	case lockstep.Hold, lockstep.Release:
 		return true
 	default:
 		return false
@@ -231,7 +231,7 @@
 		fields["order"], fields["map"] = "disarm", o.Version
 	case lockstep.Hold:
 		fields["order"], fields["step"] = "hold", o.Step
-	case lockstep.Go:
+	case lockstep.Release:
 		fields["order"], fields["step"] = "go", o.Step
 	}
 }
--- a/internal/ranker/popularity_test.go
+++ b/internal/ranker/popularity_test.go
@@ -47,7 +47,7 @@
 
 func (c *choiceSource) reports() []engineReport {
 	counts := append([]uint64(nil), c.counts...)
-	return []engineReport{{counts: counts, state: lockstep.State{Born: 1}}}
+	return []engineReport{{counts: counts, state: lockstep.State{StartMillis: 1}}}
 }
 
 // estimateError is the sum of the absolute differences between estimated and true
@@ -198,11 +198,11 @@
 	source.addChoices(100_000)
 	p.observe(source.reports(), nil, start.Add(time.Second))
 	before := source.estimateError(p)
-	restarted := []engineReport{{counts: make([]uint64, 72), state: lockstep.State{Born: 2}}}
+	restarted := []engineReport{{counts: make([]uint64, 72), state: lockstep.State{StartMillis: 2}}}
 	if p.observe(restarted, nil, start.Add(2*time.Second)) || source.estimateError(p) != before {
 		t.Fatal("a restart changed the estimate")
 	}
-	short := []engineReport{{counts: []uint64{1}, state: lockstep.State{Born: 2}}}
+	short := []engineReport{{counts: []uint64{1}, state: lockstep.State{StartMillis: 2}}}
 	if p.observe(short, nil, start.Add(3*time.Second)) {
 		t.Fatal("a report of a different size was accepted")
 	}
--- a/internal/ranker/propose.go
+++ b/internal/ranker/propose.go
@@ -62,8 +62,8 @@
 	out := make([]float64, len(byRank))
 	for i, report := range byRank {
 		out[i] = 1
-		if report.state.Pace >= batch.SlowdownThreshold {
-			out[i] = report.state.Pace
+		if report.state.Slowdown >= batch.SlowdownThreshold {
+			out[i] = report.state.Slowdown
 		}
 	}
 	return out
--- a/internal/ranker/ranker.go
+++ b/internal/ranker/ranker.go
@@ -247,7 +247,7 @@
 	defer r.leading.Store(false)
 	t := newTerm(r, lease, s, token, until)
 	if known && previous.name != r.Settings.Name {
-		t.leader.Before = &previous.Predecessor
+		t.leader.Predecessor = &previous.Predecessor
 		t.poller.expectSilent(previous.name, now)
 		t.tree.NoteFailure(previous.name, now)
 	}
--- a/internal/ranker/round.go
+++ b/internal/ranker/round.go
@@ -34,14 +34,14 @@
 		t.plan(byRank, now)
 	}
 	wasBusy := t.leader.Busy()
-	directives := t.leader.Decide(ranks, t.mayBegin(now), now)
+	directives := t.leader.NextOrders(ranks, t.mayBegin(now), now)
 	t.logHeld(ranks, now)
 	if wasBusy && !t.leader.Busy() {
 		return 0 // counts gathered meanwhile may call for the next change
 	}
 	if len(directives) > 0 {
-		t.giveAndContinue(ctx, directives, ranks, byRank, func(now time.Time) []lockstep.Directive {
-			return t.leader.Decide(ranks, t.mayBegin(now), now)
+		t.giveAndContinue(ctx, directives, ranks, byRank, func(now time.Time) []lockstep.AddressedOrder {
+			return t.leader.NextOrders(ranks, t.mayBegin(now), now)
 		})
 		t.logChange()
 		return 0
@@ -61,7 +61,7 @@
 	}
 	t.heldLoggedAt = now
 	fields := logrus.Fields{"group": t.group, "epoch": ranks[0].Epoch, "held": held.Milliseconds()}
-	for _, i := range t.leader.Awaited(ranks) {
+	for _, i := range t.leader.BlockingRanks(ranks) {
 		fields[fmt.Sprint("rank", i)] = ranks[i].String()
 	}
 	t.ranker.Log.WithFields(fields).Warn("a step stays held")
@@ -70,24 +70,24 @@
 // logChange logs a completed map change with its expected and actual duration: a
 // change that took longer than expected may have stalled the group.
 func (t *term) logChange() {
-	c, ok := t.leader.Changed()
+	c, ok := t.leader.TakeChange()
 	if !ok {
 		return
 	}
 	t.ranker.Log.WithFields(logrus.Fields{
-		"group": t.group, "step": c.Step, "ahead": c.Ahead, "took": c.Took.Milliseconds(),
-		"expected": c.Expected.Milliseconds(), "stepTime": c.StepTime.Milliseconds(),
+		"group": t.group, "step": c.Step, "ahead": c.StepsAhead, "took": c.Duration.Milliseconds(),
+		"expected": c.ExpectedDuration.Milliseconds(), "stepTime": c.StepDuration.Milliseconds(),
 	}).Info("expert map change completed")
 }
 
 // rescue releases a step that the previous leader left held, provided that leader's
 // rank is the only one not polled. It returns how long to wait before the next round.
 func (t *term) rescue(ctx context.Context, ranks []lockstep.State, byRank []rankReport, seen []bool) time.Duration {
-	directives := t.leader.Rescue(ranks, seen)
+	directives := t.leader.RecoverHeldStep(ranks, seen)
 	if len(directives) == 0 {
 		return pollInterval
 	}
-	t.giveAndContinue(ctx, directives, ranks, byRank, func(time.Time) []lockstep.Directive { return t.leader.Rescue(ranks, seen) })
+	t.giveAndContinue(ctx, directives, ranks, byRank, func(time.Time) []lockstep.AddressedOrder { return t.leader.RecoverHeldStep(ranks, seen) })
 	return 0
 }
 
@@ -107,5 +107,5 @@
 			sets[s] = append(sets[s], report.lists[s])
 		}
 	}
-	t.leader.Current(byRank[0].state.Map, sortExperts(sets))
+	t.leader.SetInForce(byRank[0].state.Map, sortExperts(sets))
 }
--- a/internal/ranker/service.go
+++ b/internal/ranker/service.go
@@ -91,7 +91,7 @@
 
 // decodeOrder decodes an order. known is false when the order's map is encoded as
 // changes to a map that this agent does not have.
-func (s *service) decodeOrder(req *fleetpb.GiveRequest) (d lockstep.Directive, known bool, err error) {
+func (s *service) decodeOrder(req *fleetpb.GiveRequest) (d lockstep.AddressedOrder, known bool, err error) {
 	if d, err = directiveFromProto(req); err != nil {
 		return d, false, err
 	}
@@ -105,7 +105,7 @@
 }
 
 // giveLocal delivers an order to the agent's own engine.
-func (r *Ranker) giveLocal(ctx context.Context, token uint64, d lockstep.Directive) (lockstep.Outcome, error) {
+func (r *Ranker) giveLocal(ctx context.Context, token uint64, d lockstep.AddressedOrder) (lockstep.Outcome, error) {
 	if p, ok := d.Order.(lockstep.Prepare); ok {
 		r.mapCache.add(p.Version, p.Sets)
 	}
@@ -114,7 +114,7 @@
 	switch o {
 	case lockstep.Unknown:
 		r.counters.unanswered.Inc(1)
-	case lockstep.Unfit, lockstep.Fenced:
+	case lockstep.Rejected, lockstep.Fenced:
 		r.counters.unfit.Inc(1)
 	}
 	return o, err
@@ -123,10 +123,10 @@
 func lookReplyProto(report engineReport) *fleetpb.LookReply {
 	s := report.state
 	resp := &fleetpb.LookReply{
-		Group: s.Group, Epoch: s.Epoch, Rank: uint32(s.Rank), Size: uint32(s.Size), Open: s.Open,
+		Group: s.Group, Epoch: s.Epoch, Rank: uint32(s.Rank), Size: uint32(s.Size), Open: s.Accepting,
 		Step: s.Step, Sequence: s.Sequence, Busy: s.Busy, Map: s.Map, Prepared: s.Prepared,
-		HasPrepared: s.HasPrepared, Running: uint32(s.Running), Queued: uint32(s.Queued), Born: s.Born,
-		Pace: uint32(100 * s.Pace),
+		HasPrepared: s.HasPrepared, Running: uint32(s.Running), Queued: uint32(s.Queued), Born: s.StartMillis,
+		Pace: uint32(100 * s.Slowdown),
 	}
 	if s.Armed != nil {
 		resp.Armed, resp.ArmedStep, resp.ArmedVersion = true, s.Armed.Step, s.Armed.Version
@@ -142,13 +142,13 @@
 
 func reportFromProto(resp *fleetpb.LookReply, address string) engineReport {
 	report := engineReport{address: address, sums: resp.GetSums(), state: lockstep.State{
-		Group: resp.GetGroup(), Epoch: resp.GetEpoch(), Rank: int(resp.GetRank()), Size: int(resp.GetSize()), Open: resp.GetOpen(),
+		Group: resp.GetGroup(), Epoch: resp.GetEpoch(), Rank: int(resp.GetRank()), Size: int(resp.GetSize()), Accepting: resp.GetOpen(),
 		Step: resp.GetStep(), Sequence: resp.GetSequence(), Busy: resp.GetBusy(), Map: resp.GetMap(), Prepared: resp.GetPrepared(),
-		HasPrepared: resp.GetHasPrepared(), Running: int(resp.GetRunning()), Queued: int(resp.GetQueued()), Born: resp.GetBorn(),
-		Pace: float64(resp.GetPace()) / 100,
+		HasPrepared: resp.GetHasPrepared(), Running: int(resp.GetRunning()), Queued: int(resp.GetQueued()), StartMillis: resp.GetBorn(),
+		Slowdown: float64(resp.GetPace()) / 100,
 	}}
 	if resp.GetArmed() {
-		report.state.Armed = &lockstep.Arming{Step: resp.GetArmedStep(), Version: resp.GetArmedVersion()}
+		report.state.Armed = &lockstep.ArmedMap{Step: resp.GetArmedStep(), Version: resp.GetArmedVersion()}
 	}
 	if resp.GetHeld() {
 		step := resp.GetHeldStep()
@@ -162,7 +162,7 @@
 
 // giveRequestProto encodes an order. prepare is the encoded map of a Prepare order,
 // see prepareProto.
-func giveRequestProto(token uint64, d lockstep.Directive, prepare *fleetpb.Prepare) *fleetpb.GiveRequest {
+func giveRequestProto(token uint64, d lockstep.AddressedOrder, prepare *fleetpb.Prepare) *fleetpb.GiveRequest {
 	req := &fleetpb.GiveRequest{Token: token, Epoch: d.Epoch, Sequence: d.Sequence}
 	switch o := d.Order.(type) {
 	case lockstep.Fence:
@@ -175,7 +175,7 @@
 		req.Order = &fleetpb.GiveRequest_Disarm{Disarm: &fleetpb.Disarm{Version: o.Version}}
 	case lockstep.Hold:
 		req.Order = &fleetpb.GiveRequest_Hold{Hold: &fleetpb.Hold{Step: o.Step}}
-	case lockstep.Go:
+	case lockstep.Release:
 		req.Order = &fleetpb.GiveRequest_Go{Go: &fleetpb.Go{Step: o.Step}}
 	}
 	return req
@@ -183,8 +183,8 @@
 
 // directiveFromProto decodes an order except for the map of a Prepare. It returns an
 // error for an order of unknown kind.
-func directiveFromProto(req *fleetpb.GiveRequest) (lockstep.Directive, error) {
-	d := lockstep.Directive{Epoch: req.GetEpoch(), Sequence: req.GetSequence()}
+func directiveFromProto(req *fleetpb.GiveRequest) (lockstep.AddressedOrder, error) {
+	d := lockstep.AddressedOrder{Epoch: req.GetEpoch(), Sequence: req.GetSequence()}
 	switch o := req.GetOrder().(type) {
 	case *fleetpb.GiveRequest_Fence:
 		d.Order = lockstep.Fence{}
@@ -197,7 +197,7 @@
 	case *fleetpb.GiveRequest_Hold:
 		d.Order = lockstep.Hold{Step: o.Hold.GetStep()}
 	case *fleetpb.GiveRequest_Go:
-		d.Order = lockstep.Go{Step: o.Go.GetStep()}
+		d.Order = lockstep.Release{Step: o.Go.GetStep()}
 	default:
 		return d, result.New(result.MalformedMsg, "order is of an unknown kind")
 	}
--- a/internal/ranker/sums.go
+++ b/internal/ranker/sums.go
@@ -47,8 +47,8 @@
 		t.ranks = map[int]engineCounts{}
 	}
 	previous, ok := t.ranks[report.state.Rank]
-	t.ranks[report.state.Rank] = engineCounts{counts: report.counts, born: report.state.Born}
-	if !ok || previous.born != report.state.Born || len(previous.counts) != len(report.counts) {
+	t.ranks[report.state.Rank] = engineCounts{counts: report.counts, born: report.state.StartMillis}
+	if !ok || previous.born != report.state.StartMillis || len(previous.counts) != len(report.counts) {
 		return
 	}
 	for i, n := range report.counts {
--- a/internal/ranker/sums_test.go
+++ b/internal/ranker/sums_test.go
@@ -19,7 +19,7 @@
 
 // reportWithCounts is the report of a rank with the given counts.
 func reportWithCounts(rank int, born uint64, counts ...uint64) engineReport {
-	return engineReport{state: lockstep.State{Rank: rank, Born: born}, counts: counts}
+	return engineReport{state: lockstep.State{Rank: rank, StartMillis: born}, counts: counts}
 }
 
 func checkCounts(t *testing.T, step string, got []float64, want ...float64) {
@@ -158,8 +158,8 @@
 	for i := range perSubgroup {
 		subgroup = append(subgroup, fleet.Member{Name: "side-alm-a-12", Address: "10.1.10.140:7340", Endpoint: "10.1.64.140:8029"})
 		resp.Gathered = append(resp.Gathered, &fleetpb.Gathered{Target: uint32(i), Look: lookReplyProto(engineReport{state: lockstep.State{
-			Group: "g1", Epoch: 2, Rank: 99, Size: ranks, Open: true, Step: 99999, Sequence: 200, Map: 7 << versionBits,
-			Prepared: 7 << versionBits, HasPrepared: true, Running: 4, Queued: 1, Born: 1 << 40, Pace: 1,
+			Group: "g1", Epoch: 2, Rank: 99, Size: ranks, Accepting: true, Step: 99999, Sequence: 200, Map: 7 << versionBits,
+			Prepared: 7 << versionBits, HasPrepared: true, Running: 4, Queued: 1, StartMillis: 1 << 40, Slowdown: 1,
 		}})})
 	}
 	req := gatherRequestProto(subgroup)
@@ -225,7 +225,7 @@
 	for i := range n {
 		members = append(members, fleet.Member{Name: "agent", Endpoint: "10.1.64.140:8029"})
 		resp.Gathered = append(resp.Gathered, &fleetpb.Gathered{Target: uint32(i), Look: lookReplyProto(engineReport{state: lockstep.State{
-			Group: "g", Rank: first + i, Size: lead.size, Open: true,
+			Group: "g", Rank: first + i, Size: lead.size, Accepting: true,
 		}})})
 	}
 	return lead.reportsFromDelegate(&members[0], members, resp, now)
--- a/internal/ranker/term.go
+++ b/internal/ranker/term.go
@@ -81,7 +81,7 @@
 func newTerm(r *Ranker, lease *rank.KVLease, s lockstep.State, token uint64, until time.Time) *term {
 	return &term{
 		ranker: r, lease: lease, group: s.Group, size: s.Size, token: token, leaseUntil: until,
-		leader: lockstep.Leader{Own: s.Rank, Holder: (s.Rank + 1) % s.Size, Token: token},
+		leader: lockstep.Leader{OwnRank: s.Rank, HoldRank: (s.Rank + 1) % s.Size, Token: token},
 		poller: newPoller(r, agentCallTimeout, engineTimeout),
 		tree:   fanout.Tree{MaxDirect: maxDirectAgents, MaxSize: maxSubgroupAgents},
 		loads:  newLoadReporter(), rankByAgent: map[string]int{},
--- a/internal/ranker/tries_test.go
+++ b/internal/ranker/tries_test.go
@@ -24,9 +24,9 @@
 	// slow.
 	term.retries.timeout, term.retries.lastTimeout = time.Minute, time.Minute
 	const ahead = 1_000_000
-	for _, o := range []lockstep.Order{lockstep.Hold{Step: ahead}, lockstep.Go{Step: ahead}} {
+	for _, o := range []lockstep.Order{lockstep.Hold{Step: ahead}, lockstep.Release{Step: ahead}} {
 		g.LoseOrders(remoteRetries.attempts - 1)
-		d := lockstep.Directive{Rank: 1, Epoch: 1, Order: o}
+		d := lockstep.AddressedOrder{Rank: 1, Epoch: 1, Order: o}
 		got, err := term.send(t.Context(), d, rankReport{engineReport: engineReport{address: g.Addr(1)}})
 		if err != nil || got == lockstep.Unknown {
 			t.Fatalf("%T: %v, %v", o, got, err)
