--- a/internal/agent/ranks.go
+++ b/internal/agent/ranks.go
@@ -49,10 +49,10 @@
 			Holder: fmt.Sprintf("%s/%d", a.Settings.Name, incarnation),
 		},
 		Initial: first, Limits: planLimits(s),
-		PlanEvery: s.PlanEvery, Memory: s.PlanEvery,
-		Tick: s.Tick, Lookahead: uint64(s.Lookahead),
-		Resend: s.LeaseTime / 25, Refresh: s.LeaseTime / 10, HoldTime: 2 * s.LeaseTime,
-		LeaseTime: s.LeaseTime, CallTimeout: rankCallTimeout, Drain: s.SettleTime,
+		PlanEvery: s.PlanEvery, PopularityWindow: s.PlanEvery,
+		EngineInterval: s.Tick, Lookahead: uint64(s.Lookahead),
+		ResendInterval: s.LeaseTime / 25, RefreshInterval: s.LeaseTime / 10, HoldTime: 2 * s.LeaseTime,
+		LeaseTTL: s.LeaseTime, CallTimeout: rankCallTimeout, StartDelay: s.SettleTime,
 		Connect: a.rankConns.Get,
 		Metrics: a.Registry, Events: a.rankEvent, Log: a.Log,
 	}, nil
@@ -77,7 +77,7 @@
 	if a.ranks == nil {
 		return nil
 	}
-	return &peerpb.RankStatus{Group: a.ranks.Group, MapVersion: a.ranks.InForce(), Leads: a.ranks.Leads()}
+	return &peerpb.RankStatus{Group: a.ranks.Group, MapVersion: a.ranks.VersionInForce(), Leads: a.ranks.Leading()}
 }
 
 // firstMap returns the map that a group begins with: experts in order, spread
@@ -112,12 +112,12 @@
 // rankEvent puts a change of the group's state into the time line.
 func (a *Agent) rankEvent(e rank.Event) {
 	kinds := map[string]timeline.Kind{
-		rank.EventLead:    timeline.LeaseTaken,
-		rank.EventDeposed: timeline.LeaseLost,
-		rank.EventStaged:  timeline.MapStaged,
-		rank.EventInForce: timeline.MapNamed,
-		rank.EventJoined:  timeline.PeerJoined,
-		rank.EventLost:    timeline.PeerLost,
+		rank.EventLead:     timeline.LeaseTaken,
+		rank.EventDeposed:  timeline.LeaseLost,
+		rank.EventStaged:   timeline.MapStaged,
+		rank.EventInForce:  timeline.MapNamed,
+		rank.EventJoined:   timeline.PeerJoined,
+		rank.EventMapsLost: timeline.PeerLost,
 	}
 	detail := e.Kind + " " + a.Settings.Rank.Group
 	a.ring.Add(kinds[e.Kind], "", a.Settings.EndpointName, detail, e.Number, a.now())
--- a/internal/endpoint/ranks.go
+++ b/internal/endpoint/ranks.go
@@ -105,8 +105,8 @@
 }
 
 // Activate implements rank.Engine.
-func (r *Ranks) Activate(ctx context.Context, e naming.Entry, restart bool, fencing uint64) error {
-	o := RanksActivate{Entry: RanksEntry{From: e.From, Map: ranksRef(e.Map)}, Restart: restart}
+func (r *Ranks) Activate(ctx context.Context, e naming.ScheduleEntry, restart bool, fencing uint64) error {
+	o := RanksActivate{Entry: RanksEntry{From: e.FirstStep, Map: ranksRef(e.Map)}, Restart: restart}
 	return r.Client.callControl(ctx, http.MethodPost, PathRanksActivate, fencing, o, nil)
 }
 
@@ -124,25 +124,25 @@
 	if s.Incarnation == 0 {
 		return naming.EngineState{}, result.New(result.EndpointFailed, "the ranks' incarnation is missing")
 	}
-	out := naming.EngineState{Incarnation: s.Incarnation, Begun: s.Begun, Allowed: s.Allowed}
+	out := naming.EngineState{Incarnation: s.Incarnation, LastStep: s.Begun, StepLimit: s.Allowed}
 	for _, m := range s.Staged {
 		out.Staged = append(out.Staged, naming.Ref(m))
 	}
 	for _, e := range s.Schedule {
-		out.Schedule = append(out.Schedule, naming.Entry{From: e.From, Map: naming.Ref(e.Map)})
+		out.Schedule = append(out.Schedule, naming.ScheduleEntry{FirstStep: e.From, Map: naming.Ref(e.Map)})
 	}
 	return out, nil
 }
 
 // Counts implements rank.Engine.
-func (r *Ranks) Counts(ctx context.Context) ([]rank.Count, error) {
+func (r *Ranks) Counts(ctx context.Context) ([]rank.ExpertLoad, error) {
 	var counts []RanksCount
 	if err := r.Client.callControl(ctx, http.MethodGet, PathRanksCounts, 0, nil, &counts); err != nil {
 		return nil, err
 	}
-	out := make([]rank.Count, len(counts))
+	out := make([]rank.ExpertLoad, len(counts))
 	for i, c := range counts {
-		out[i] = rank.Count(c)
+		out[i] = rank.ExpertLoad(c)
 	}
 	return out, nil
 }
--- a/internal/endpoint/ranks_test.go
+++ b/internal/endpoint/ranks_test.go
@@ -25,7 +25,7 @@
 	d := direct.Engine(0)
 	ctx := testContext(t)
 	m := smallMap(t)
-	entry := naming.Entry{From: 3, Map: naming.RefOf(m)}
+	entry := naming.ScheduleEntry{FirstStep: 3, Map: naming.RefOf(m)}
 
 	requireCode(t, r.Activate(ctx, entry, true, 1), result.MapMissing)
 	for range 2 {
--- a/internal/rank/engine.go
+++ b/internal/rank/engine.go
@@ -22,7 +22,7 @@
 	// greater step of an activated map, regardless of the order in which the
 	// entries arrive. With restart the ranks discard earlier entries and steps
 	// and continue at this step, unless they are beyond it.
-	Activate(ctx context.Context, e naming.Entry, restart bool, fencing uint64) error
+	Activate(ctx context.Context, e naming.ScheduleEntry, restart bool, fencing uint64) error
 	// Allow lets the ranks begin steps up to and including the given one. Ranks
 	// wait before a step that they may not begin or have no map for. A step
 	// lower than an earlier one has no effect.
@@ -33,11 +33,11 @@
 	// ranks computed recently, for the experts they hold. The average covers
 	// some seconds at most, ideally a quarter of the time between two plans,
 	// because older counts describe a popularity that no longer applies.
-	Counts(ctx context.Context) ([]Count, error)
+	Counts(ctx context.Context) ([]ExpertLoad, error)
 }
 
 // Count is the load of one expert on the ranks of one endpoint.
-type Count struct {
+type ExpertLoad struct {
 	// Layer and Expert identify the expert.
 	Layer, Expert int
 	// Tokens is the mean number of tokens per step.
--- a/internal/rank/kvlease.go
+++ b/internal/rank/kvlease.go
@@ -54,7 +54,7 @@
 
 // Held returns the key-value pair of the lease, and false if nobody holds the
 // lease.
-func (l *KVLease) Held(ctx context.Context) (platform.KeyValue, bool, error) {
+func (l *KVLease) CurrentHolder(ctx context.Context) (platform.KeyValue, bool, error) {
 	reply, err := l.KV.Get(ctx, l.leaseKey())
 	if err != nil {
 		return platform.KeyValue{}, false, err
@@ -66,7 +66,7 @@
 // Acquire implements Lease. If the reply to the write is lost, it reads the
 // lease's key, whose value is unique to this attempt, to determine the holder.
 func (l *KVLease) Acquire(ctx context.Context, now time.Time) (uint64, time.Time, error) {
-	if _, held, err := l.Held(ctx); held || err != nil {
+	if _, held, err := l.CurrentHolder(ctx); held || err != nil {
 		return 0, time.Time{}, cmp.Or(err, ErrLeaseHeld)
 	}
 	id, err := l.KV.Grant(ctx, l.TTL)
--- a/internal/rank/kvlease_test.go
+++ b/internal/rank/kvlease_test.go
@@ -101,8 +101,8 @@
 
 func TestRecordRoundTrip(t *testing.T) {
 	want := naming.Record{
-		Token: 7,
-		Name:  naming.Name{Token: 6, Step: 1 << 40, Map: naming.Ref{Version: 6 << 20, Digest: 1<<64 - 1}},
+		Token:      7,
+		Activation: naming.Activation{Token: 6, Step: 1 << 40, Map: naming.Ref{Version: 6 << 20, Digest: 1<<64 - 1}},
 	}
 	b, err := rank.EncodeRecord(want)
 	assertErrorIs(t, err, nil)
--- a/internal/rank/loops.go
+++ b/internal/rank/loops.go
@@ -14,7 +14,7 @@
 	for {
 		r.syncEngine(ctx)
 		r.reportChanges()
-		if !pause.For(ctx, r.Tick) {
+		if !pause.For(ctx, r.EngineInterval) {
 			return nil
 		}
 	}
@@ -34,10 +34,10 @@
 	report := r.recordChanges()
 	r.mu.Unlock()
 	report()
-	r.stats.begunStep.Update(int64(s.Begun))
-	r.stats.grantedStep.Update(int64(s.Granted))
+	r.stats.begunStep.Update(int64(s.LastStep))
+	r.stats.grantedStep.Update(int64(s.StepLimit))
 	for _, o := range orders {
-		if err := r.sendEngineOrder(callCtx, o, s.Fence); err != nil {
+		if err := r.sendEngineOrder(callCtx, o, s.MaxToken); err != nil {
 			r.stats.engineFailures.Inc(1)
 			return
 		}
@@ -54,7 +54,7 @@
 		return err
 	case naming.EngineActivate:
 		return r.Engine.Activate(ctx, o.Entry, o.Restart, fencing)
-	case naming.EngineAllow:
+	case naming.EngineSetStepLimit:
 		return r.Engine.Allow(ctx, o.Step, fencing)
 	default:
 		return nil
@@ -65,13 +65,13 @@
 func (r *Runner) runJoin(ctx context.Context) error {
 	for {
 		r.mu.Lock()
-		join, needed := r.member.Joins()
+		join, needed := r.member.JoinRequest()
 		r.mu.Unlock()
 		if needed {
 			r.joinPeers(ctx, join)
 			r.reportChanges()
 		}
-		if !pause.For(ctx, r.Resend) {
+		if !pause.For(ctx, r.ResendInterval) {
 			return nil
 		}
 	}
@@ -102,7 +102,7 @@
 		return err
 	}
 	r.mu.Lock()
-	r.member.HandleJoining(a)
+	r.member.HandleJoinReply(a)
 	r.mu.Unlock()
 	return nil
 }
@@ -112,5 +112,5 @@
 // group whose leader has failed costs the platform one call per LeaseTime
 // instead of one per agent.
 func (r *Runner) electionTimeout() time.Duration {
-	return r.LeaseTime + time.Duration(r.Index)*r.Resend
+	return r.LeaseTTL + time.Duration(r.Index)*r.ResendInterval
 }
--- a/internal/rank/naming/decide.go
+++ b/internal/rank/naming/decide.go
@@ -8,15 +8,15 @@
 	l.clearFinished()
 	a := l.inProgress()
 	switch {
-	case a == Name{}:
+	case a == Activation{}:
 		return l.startNext(now)
 	case l.anyActive(a):
 		return l.finish(a, now)
 	case a == l.abandoned:
 		return l.abandon(a, now)
-	case a == l.record.Name && l.stepPassed(a):
+	case a == l.record.Activation && l.stepPassed(a):
 		return l.abandon(a, now)
-	case a == l.record.Name:
+	case a == l.record.Activation:
 		return l.finish(a, now)
 	case a == l.current:
 		return l.commit(a, now)
@@ -28,8 +28,8 @@
 // clearFinished clears the current activation once it has taken effect on all
 // members, and the proposed map once all of them use it.
 func (l *Leader) clearFinished() {
-	if l.current != (Name{}) && l.allMembers(func(s State) bool { return s.isActive(l.current) }) {
-		l.current, l.failedAttempts = Name{}, 0
+	if l.current != (Activation{}) && l.allMembers(func(s State) bool { return s.isActive(l.current) }) {
+		l.current, l.failedAttempts = Activation{}, 0
 	}
 	if l.proposed == nil {
 		return
@@ -42,9 +42,9 @@
 
 // inProgress returns another leader's activation that some member holds, or
 // else this leader's own.
-func (l *Leader) inProgress() Name {
+func (l *Leader) inProgress() Activation {
 	for i := range l.Members {
-		if a := l.states[i].Pending; a != (Name{}) && a != l.current {
+		if a := l.states[i].Pending; a != (Activation{}) && a != l.current {
 			return a
 		}
 	}
@@ -60,7 +60,7 @@
 	return true
 }
 
-func (l *Leader) anyActive(a Name) bool {
+func (l *Leader) anyActive(a Activation) bool {
 	return !l.allMembers(func(s State) bool { return !s.isActive(a) })
 }
 
@@ -70,7 +70,7 @@
 // member takes the hold over from its peers. Members that have not joined count
 // only if all of them have lost their maps; such a group starts again at a
 // later step.
-func (l *Leader) stepPassed(a Name) bool {
+func (l *Leader) stepPassed(a Activation) bool {
 	allLost := l.allMembers(func(s State) bool { return !s.Joined })
 	return !l.allMembers(func(s State) bool {
 		missed := s.Pending != a && !s.isActive(a) && s.mayBegin(a)
@@ -80,24 +80,24 @@
 
 // finish releases the members once all of them hold the activation, and until
 // then makes them hold it.
-func (l *Leader) finish(a Name, now time.Time) []Action {
+func (l *Leader) finish(a Activation, now time.Time) []Action {
 	if l.allMembers(func(s State) bool { return s.Pending == a || s.isActive(a) }) {
 		return l.release(a, now)
 	}
 	return l.holdAll(a, now)
 }
 
-func (l *Leader) release(a Name, now time.Time) []Action {
+func (l *Leader) release(a Activation, now time.Time) []Action {
 	var actions []Action
 	for i := range l.Members {
 		if l.states[i].Pending == a {
-			actions = append(actions, l.send(i, Release{Head: l.head(i), Name: a, View: l.view()}, now)...)
+			actions = append(actions, l.send(i, Release{OrderHeader: l.head(i), Activation: a, View: l.view()}, now)...)
 		}
 	}
 	return actions
 }
 
-func (l *Leader) holdAll(a Name, now time.Time) []Action {
+func (l *Leader) holdAll(a Activation, now time.Time) []Action {
 	var actions []Action
 	for i := range l.Members {
 		s := l.states[i]
@@ -106,7 +106,7 @@
 		case !s.hasStaged(a.Map):
 			actions = append(actions, l.stage(i, a.Map, now)...)
 		default:
-			actions = append(actions, l.send(i, Hold{Head: l.head(i), Name: a, View: l.view()}, now)...)
+			actions = append(actions, l.send(i, Hold{OrderHeader: l.head(i), Activation: a, View: l.view()}, now)...)
 		}
 	}
 	return actions
@@ -115,20 +115,20 @@
 func (l *Leader) stage(to int, r Ref, now time.Time) []Action {
 	for _, m := range l.knownMaps {
 		if RefOf(m) == r {
-			return l.send(to, Stage{Head: l.head(to), Map: m}, now)
+			return l.send(to, Stage{OrderHeader: l.head(to), Map: m}, now)
 		}
 	}
 	return nil
 }
 
-func (l *Leader) abandon(a Name, now time.Time) []Action {
+func (l *Leader) abandon(a Activation, now time.Time) []Action {
 	if a == l.current && l.allMembers(func(s State) bool { return s.Pending != a }) {
-		l.current = Name{}
+		l.current = Activation{}
 	}
 	var actions []Action
 	for i := range l.Members {
 		if l.states[i].Pending == a {
-			actions = append(actions, l.send(i, Abandon{Head: l.head(i), Name: a}, now)...)
+			actions = append(actions, l.send(i, Abandon{OrderHeader: l.head(i), Activation: a}, now)...)
 		}
 	}
 	return actions
@@ -146,7 +146,7 @@
 // An activation is abandoned if the outcome of its write stays unknown for
 // HoldTime. No member has been released by then, and no other leader can
 // release one before members refuse this leader's orders.
-func (l *Leader) commit(a Name, now time.Time) []Action {
+func (l *Leader) commit(a Activation, now time.Time) []Action {
 	if now.Sub(l.startedAt) > l.HoldTime || l.stepPassed(a) {
 		l.abandoned = a
 		l.failedAttempts = min(l.failedAttempts+1, maxFailedAttempts)
@@ -158,7 +158,7 @@
 	if !l.recordKnown || !now.Before(l.leaseUntil) {
 		return nil
 	}
-	return l.writeRecord(Record{Token: l.Token, Name: a})
+	return l.writeRecord(Record{Token: l.Token, Activation: a})
 }
 
 // startNext starts the activation of the proposed map. It requires a live
@@ -169,16 +169,16 @@
 	if l.proposed == nil || !l.recordKnown || !now.Before(l.leaseUntil) {
 		return nil
 	}
-	joined := l.allMembers(func(s State) bool { return s.Joined && s.Begun >= latestEntry(s.Schedule).From })
-	if !joined && !l.allMembers(func(s State) bool { return !s.Joined && s.Orphan }) {
+	joined := l.allMembers(func(s State) bool { return s.Joined && s.LastStep >= latestEntry(s.Schedule).FirstStep })
+	if !joined && !l.allMembers(func(s State) bool { return !s.Joined && s.NoPeerJoined }) {
 		return nil
 	}
 	r := RefOf(l.proposed)
-	l.Learn(l.proposed)
+	l.AddKnownMap(l.proposed)
 	if !l.allMembers(func(s State) bool { return s.hasStaged(r) }) {
 		return l.stageAll(r, now)
 	}
-	l.current = Name{Token: l.Token, Step: l.nextSafeStep(), Map: r}
+	l.current = Activation{Token: l.Token, Step: l.nextSafeStep(), Map: r}
 	l.startedAt = now
 	return l.holdAll(l.current, now)
 }
@@ -206,9 +206,9 @@
 // limits while the hold order is in transit, so with a constant distance slow
 // messages would make every attempt fail.
 func (l *Leader) nextSafeStep() uint64 {
-	step := max(l.abandoned.Step, l.record.Name.Step)
+	step := max(l.abandoned.Step, l.record.Activation.Step)
 	for _, s := range l.states {
-		step = max(step, s.Granted, s.Begun)
+		step = max(step, s.StepLimit, s.LastStep)
 	}
-	return step + (l.Margin+1)<<l.failedAttempts
+	return step + (l.StepMargin+1)<<l.failedAttempts
 }
--- a/internal/rank/naming/engine.go
+++ b/internal/rank/naming/engine.go
@@ -8,13 +8,13 @@
 	Incarnation uint64
 	// Begun is the last step that a rank has begun. A rank that restarts during
 	// a step repeats it, so Begun is then the step before.
-	Begun uint64
+	LastStep uint64
 	// Allowed is the step limit: the last step that the ranks may begin.
-	Allowed uint64
+	StepLimit uint64
 	// Staged lists the loaded maps.
 	Staged []Ref
 	// Schedule holds the activated maps, oldest first.
-	Schedule []Entry
+	Schedule []ScheduleEntry
 }
 
 // EngineOrder is an order of a Member to its engine.
@@ -29,14 +29,14 @@
 // With Restart, the ranks discard earlier entries and steps and begin at this
 // step.
 type EngineActivate struct {
-	Entry   Entry
+	Entry   ScheduleEntry
 	Restart bool
 }
 
 // EngineAllow sets the step limit: the ranks may begin all steps up to and
 // including Step. A step lower than the present limit has no effect.
-type EngineAllow struct{ Step uint64 }
+type EngineSetStepLimit struct{ Step uint64 }
 
-func (EngineStage) isEngineOrder()    {}
-func (EngineActivate) isEngineOrder() {}
-func (EngineAllow) isEngineOrder()    {}
+func (EngineStage) isEngineOrder()        {}
+func (EngineActivate) isEngineOrder()     {}
+func (EngineSetStepLimit) isEngineOrder() {}
--- a/internal/rank/naming/fakes_test.go
+++ b/internal/rank/naming/fakes_test.go
@@ -22,8 +22,8 @@
 		}
 	case EngineActivate:
 		e.activate(o)
-	case EngineAllow:
-		e.Allowed = max(e.Allowed, o.Step)
+	case EngineSetStepLimit:
+		e.StepLimit = max(e.StepLimit, o.Step)
 	}
 }
 
@@ -32,8 +32,8 @@
 func (e *fakeEngine) dropOldest() {
 	const maxStaged = 3
 	for i := 0; len(e.Staged) > maxStaged && i < len(e.Staged)-1; i++ {
-		used := len(After(e.Schedule, e.Begun)) > 0
-		if r, ok := MapAt(e.Schedule, e.Begun+1); !used && (!ok || r != e.Staged[i]) {
+		used := len(EntriesAfter(e.Schedule, e.LastStep)) > 0
+		if r, ok := MapAt(e.Schedule, e.LastStep+1); !used && (!ok || r != e.Staged[i]) {
 			e.Staged = append(e.Staged[:i], e.Staged[i+1:]...)
 			return
 		}
@@ -53,9 +53,9 @@
 	if containsEntry(e.Schedule, o.Entry) || !e.hasStaged(o.Entry.Map) {
 		return
 	}
-	if o.Restart && o.Entry.From > e.Begun {
-		e.Schedule = After(e.Schedule, o.Entry.From)
-		e.Begun = o.Entry.From - 1
+	if o.Restart && o.Entry.FirstStep > e.LastStep {
+		e.Schedule = EntriesAfter(e.Schedule, o.Entry.FirstStep)
+		e.LastStep = o.Entry.FirstStep - 1
 	}
 	e.Schedule = append(e.Schedule, o.Entry)
 }
@@ -108,15 +108,15 @@
 // repeat a step that some ranks have not begun yet.
 func (s *simulation) restartRanks(i int) {
 	e := s.engines[i]
-	begun := e.Begun
+	begun := e.LastStep
 	for _, o := range s.engines {
-		if o.Begun < begun {
-			begun = e.Begun - 1
-			delete(e.mapOfStep, e.Begun)
+		if o.LastStep < begun {
+			begun = e.LastStep - 1
+			delete(e.mapOfStep, e.LastStep)
 			break
 		}
 	}
-	e.EngineState = EngineState{Incarnation: e.Incarnation + 1, Begun: begun}
+	e.EngineState = EngineState{Incarnation: e.Incarnation + 1, LastStep: begun}
 }
 
 func (s *simulation) restartAgent(i int) {
--- a/internal/rank/naming/guards_test.go
+++ b/internal/rank/naming/guards_test.go
@@ -19,7 +19,7 @@
 	oldOrders := g.heldBack
 	g.heldBack = nil
 	b := g.leader(2)
-	b.Learn(testMap(2))
+	b.AddKnownMap(testMap(2))
 	g.runLeader(b, 10, releaseTo(1), g.writeRecord)
 	for _, s := range oldOrders {
 		g.deliver(s)
@@ -83,7 +83,7 @@
 	g.members[0] = g.newMember(0, 2)
 	g.runMembers(3)
 	c := g.leader(3)
-	c.Learn(testMap(3))
+	c.AddKnownMap(testMap(3))
 	g.runLeader(c, 40, nil, g.writeRecord)
 	g.runMembers(40)
 	g.assertOneMap()
@@ -110,7 +110,7 @@
 	g.members[0] = g.newMember(0, 2)
 	g.runMembers(3)
 	b := g.leader(2)
-	b.Learn(testMap(2))
+	b.AddKnownMap(testMap(2))
 	b.Propose(testMap(3))
 	g.runLeader(b, 80, nil, g.writeRecord)
 	g.assertOneMap()
@@ -128,13 +128,13 @@
 	g.runLeader(a, 8, releaseTo(1), g.writeRecord)
 	g.heldBack = nil
 	upcoming := latestEntry(g.engines[0].Schedule)
-	if upcoming.Map.Version != 2 || upcoming.From <= g.engines[0].Begun {
-		t.Fatalf("member 0 is at step %d and has %+v as its newest entry", g.engines[0].Begun, upcoming)
+	if upcoming.Map.Version != 2 || upcoming.FirstStep <= g.engines[0].LastStep {
+		t.Fatalf("member 0 is at step %d and has %+v as its newest entry", g.engines[0].LastStep, upcoming)
 	}
 	g.members[0], g.members[1] = g.newMember(0, 2), g.newMember(1, 2)
 	g.restartRanks(1)
 	b := g.leader(2)
-	b.Margin = 0
+	b.StepMargin = 0
 	b.Propose(testMap(3))
 	g.runLeader(b, 80, nil, g.writeRecord)
 	g.assertOneMap()
@@ -163,11 +163,11 @@
 // endpoint restart; steps must continue with the active map.
 func TestGroupGoesOnWithoutPlatform(t *testing.T) {
 	g, _ := newActiveGroup(t)
-	before := g.engines[0].Begun
+	before := g.engines[0].LastStep
 	g.runMembers(50)
 	g.restartRanks(1)
 	g.runMembers(50)
-	if got := g.engines[0].Begun; got < before+90 {
+	if got := g.engines[0].LastStep; got < before+90 {
 		t.Errorf("%d steps in 100 ticks, want at least 90", got-before)
 	}
 	g.assertActiveVersion(1)
@@ -179,12 +179,12 @@
 // and a map is proposed; no member may be asked to hold.
 func TestNoNameWithoutLease(t *testing.T) {
 	g, a := newActiveGroup(t)
-	a.Extend(g.now)
+	a.ExtendLease(g.now)
 	a.Propose(testMap(2))
 	g.runLeader(a, 30, nil, g.writeRecord)
 	g.assertActiveVersion(1)
 	for i, m := range g.members {
-		if pending := m.State().Pending; pending != (Name{}) {
+		if pending := m.State().Pending; pending != (Activation{}) {
 			t.Errorf("member %d holds an activation for step %d", i, pending.Step)
 		}
 	}
--- a/internal/rank/naming/join.go
+++ b/internal/rank/naming/join.go
@@ -12,42 +12,42 @@
 	m.incarnations[m.Index] = incarnation
 	m.joined = false
 	m.schedule = nil
-	m.pending = Name{}
-	m.joinReplies = map[int]Joining{}
+	m.pending = Activation{}
+	m.joinReplies = map[int]JoinReply{}
 }
 
 // Joins returns the message to send to all peers. It returns false once the
 // member has joined.
-func (m *Member) Joins() (Join, bool) {
+func (m *Member) JoinRequest() (Join, bool) {
 	m.init()
 	return Join{Member: m.Index, Incarnation: m.Incarnation}, !m.joined
 }
 
 // HandleJoin answers a peer that has started and records its incarnation, so
 // that orders that rely on an older one are refused.
-func (m *Member) HandleJoin(j Join) Joining {
+func (m *Member) HandleJoin(j Join) JoinReply {
 	m.init()
 	if j.Member >= 0 && j.Member < len(m.incarnations) && j.Member != m.Index {
 		m.incarnations[j.Member] = max(m.incarnations[j.Member], j.Incarnation)
 	}
-	reply := Joining{To: j.Incarnation, State: m.State()}
+	reply := JoinReply{SenderIncarnation: j.Incarnation, State: m.State()}
 	if j.Member >= 0 && j.Member < len(m.incarnations) {
-		reply.Noted = m.incarnations[j.Member]
+		reply.KnownIncarnation = m.incarnations[j.Member]
 	}
-	reply.Maps = m.Needed()
+	reply.Maps = m.RequiredMaps()
 	return reply
 }
 
 // HandleJoining processes a peer's reply. The member joins once all peers have
 // replied and one of them knows the group's schedule.
-func (m *Member) HandleJoining(j Joining) {
+func (m *Member) HandleJoinReply(j JoinReply) {
 	m.init()
 	from := j.State.Member
-	if m.joined || j.To != m.Incarnation || from < 0 || from >= m.Members || from == m.Index {
+	if m.joined || j.SenderIncarnation != m.Incarnation || from < 0 || from >= m.Members || from == m.Index {
 		return
 	}
-	if j.Noted > m.Incarnation {
-		m.reset(j.Noted + 1)
+	if j.KnownIncarnation > m.Incarnation {
+		m.reset(j.KnownIncarnation + 1)
 		return
 	}
 	if old, ok := m.joinReplies[from]; ok && !j.State.newer(old.State) {
@@ -88,18 +88,18 @@
 	if m.joined || !m.allReplied() {
 		return
 	}
-	var schedule []Entry
+	var schedule []ScheduleEntry
 	pending, found := m.pending, false
 	for i := range m.Members {
 		reply, ok := m.joinReplies[i]
 		if !ok {
 			continue
 		}
-		m.maxToken = max(m.maxToken, reply.State.Fence)
-		if reply.State.Pending != (Name{}) {
+		m.maxToken = max(m.maxToken, reply.State.MaxToken)
+		if reply.State.Pending != (Activation{}) {
 			pending = reply.State.Pending
 		}
-		if reply.State.Joined && latestEntry(reply.State.Schedule).From >= latestEntry(schedule).From {
+		if reply.State.Joined && latestEntry(reply.State.Schedule).FirstStep >= latestEntry(schedule).FirstStep {
 			found = true
 			schedule = reply.State.Schedule
 		}
@@ -108,17 +108,17 @@
 		return
 	}
 	m.joined = true
-	m.schedule = append([]Entry(nil), schedule...)
-	m.pending = Name{}
+	m.schedule = append([]ScheduleEntry(nil), schedule...)
+	m.pending = Activation{}
 	if !m.isActive(pending) && !m.engineMissed(pending) {
 		m.pending = pending
 	}
-	m.joinReplies = map[int]Joining{}
+	m.joinReplies = map[int]JoinReply{}
 }
 
 // engineMissed reports whether the engine, which kept running while the agent
 // restarted, may run the activation's step without the activation. In that case
 // the previous agent did not hold it, so the member must not report a hold.
-func (m *Member) engineMissed(a Name) bool {
-	return m.engine.Allowed >= a.Step && !containsEntry(m.engine.Schedule, Entry{From: a.Step, Map: a.Map})
+func (m *Member) engineMissed(a Activation) bool {
+	return m.engine.StepLimit >= a.Step && !containsEntry(m.engine.Schedule, ScheduleEntry{FirstStep: a.Step, Map: a.Map})
 }
--- a/internal/rank/naming/leader.go
+++ b/internal/rank/naming/leader.go
@@ -16,10 +16,10 @@
 	Token uint64
 	// Resend is how long the leader waits for a member's reply before it sends
 	// another order to this member.
-	Resend time.Duration
+	ResendInterval time.Duration
 	// Refresh is the age at which a member's state is queried again although
 	// there is no order for it.
-	Refresh time.Duration
+	RefreshInterval time.Duration
 	// HoldTime is how long members may hold an activation that is not
 	// committed. It is bounded because ranks that reach the activation's step
 	// wait there.
@@ -27,7 +27,7 @@
 	// Margin is how many steps an activation is placed beyond the highest step
 	// limit reported, because members extend their limits while the hold order
 	// is in transit. It should equal the members' Lookahead.
-	Margin uint64
+	StepMargin uint64
 
 	// leaseUntil is the time until which the lease is held at least.
 	leaseUntil time.Time
@@ -53,7 +53,7 @@
 	// current is the activation that this leader is carrying out, begun at
 	// startedAt. abandoned is the last one that it abandoned before it knew of
 	// a commit, so that no member was released.
-	current, abandoned Name
+	current, abandoned Activation
 	startedAt          time.Time
 	// failedAttempts counts the activations abandoned since one last took
 	// effect, up to maxFailedAttempts.
@@ -93,7 +93,7 @@
 }
 
 // Extend records that the lease is held at least until the given time.
-func (l *Leader) Extend(until time.Time) { l.leaseUntil = until }
+func (l *Leader) ExtendLease(until time.Time) { l.leaseUntil = until }
 
 // Propose sets the map to activate next. It replaces a proposed map whose
 // activation has not been started yet.
@@ -101,7 +101,7 @@
 
 // Learn adds a map that the leader may have to stage again to finish an
 // activation of its predecessor.
-func (l *Leader) Learn(m *expertmap.Map) {
+func (l *Leader) AddKnownMap(m *expertmap.Map) {
 	for _, known := range l.knownMaps {
 		if RefOf(known) == RefOf(m) {
 			return
@@ -119,7 +119,7 @@
 
 // Idle reports whether the leader has no activation in progress and no proposed
 // map.
-func (l *Leader) Idle() bool { return l.proposed == nil && l.current == Name{} }
+func (l *Leader) Idle() bool { return l.proposed == nil && l.current == Activation{} }
 
 // HandleState processes a member's reply. It ignores members outside the group
 // and states older than the last one.
@@ -128,7 +128,7 @@
 	if s.Member < 0 || s.Member >= l.Members {
 		return
 	}
-	if s.Fence > l.Token {
+	if s.MaxToken > l.Token {
 		l.deposed = true
 	}
 	if old, ok := l.states[s.Member]; ok && !s.newer(old) {
@@ -175,7 +175,7 @@
 		actions = append(actions, ReadRecord{})
 	}
 	if l.recordKnown && l.record.Token != l.Token {
-		actions = append(actions, l.writeRecord(Record{Token: l.Token, Name: l.record.Name})...)
+		actions = append(actions, l.writeRecord(Record{Token: l.Token, Activation: l.record.Activation})...)
 	}
 	if !l.ready() {
 		return append(actions, l.queryAll(now)...)
@@ -206,7 +206,7 @@
 		return false
 	}
 	for _, s := range l.states {
-		if s.Fence != l.Token {
+		if s.MaxToken != l.Token {
 			return false
 		}
 	}
@@ -217,8 +217,8 @@
 func (l *Leader) queryAll(now time.Time) []Action {
 	var actions []Action
 	for i := range l.Members {
-		if s, ok := l.states[i]; !ok || s.Fence != l.Token {
-			actions = append(actions, l.send(i, Query{Head{Token: l.Token}}, now)...)
+		if s, ok := l.states[i]; !ok || s.MaxToken != l.Token {
+			actions = append(actions, l.send(i, Query{OrderHeader{Token: l.Token}}, now)...)
 		}
 	}
 	return actions
@@ -228,10 +228,10 @@
 func (l *Leader) queryStale(now time.Time) []Action {
 	var actions []Action
 	for i := range l.Members {
-		if now.Sub(l.repliedAt[i]) < l.Refresh {
+		if now.Sub(l.repliedAt[i]) < l.RefreshInterval {
 			continue
 		}
-		actions = append(actions, l.send(i, Query{Head{Token: l.Token}}, now)...)
+		actions = append(actions, l.send(i, Query{OrderHeader{Token: l.Token}}, now)...)
 	}
 	return actions
 }
@@ -239,7 +239,7 @@
 // send sends an order unless an order to this member is unanswered and less
 // than Resend old.
 func (l *Leader) send(to int, o Order, now time.Time) []Action {
-	if at, ok := l.sentAt[to]; ok && now.Sub(at) < l.Resend {
+	if at, ok := l.sentAt[to]; ok && now.Sub(at) < l.ResendInterval {
 		return nil
 	}
 	l.sentAt[to] = now
@@ -259,15 +259,15 @@
 // reads a second, and an activation is delayed by some seconds once the
 // platform answers.
 func (l *Leader) readDue(now time.Time) bool {
-	if !l.lastReadAt.IsZero() && now.Sub(l.lastReadAt) < l.Resend<<l.failedReads {
+	if !l.lastReadAt.IsZero() && now.Sub(l.lastReadAt) < l.ResendInterval<<l.failedReads {
 		return false
 	}
 	l.lastReadAt = now
 	return true
 }
 
-func (l *Leader) head(to int) Head {
-	return Head{Token: l.Token, Incarnation: l.states[to].Incarnation}
+func (l *Leader) head(to int) OrderHeader {
+	return OrderHeader{Token: l.Token, Incarnation: l.states[to].Incarnation}
 }
 
 // view returns the incarnation of each member that the leader's decisions rely
@@ -282,12 +282,12 @@
 
 // Settled reports whether the leader has no activation in progress. A proposed
 // map does not count.
-func (l *Leader) Settled() bool { return l.current == Name{} }
+func (l *Leader) NoActivation() bool { return l.current == Activation{} }
 
 // Current returns the map that all members use. It returns false while their
 // maps differ or an activation is in progress.
-func (l *Leader) Current() (Ref, bool) {
-	if l.deposed || !l.ready() || !l.Idle() || l.inProgress() != (Name{}) {
+func (l *Leader) CurrentMap() (Ref, bool) {
+	if l.deposed || !l.ready() || !l.Idle() || l.inProgress() != (Activation{}) {
 		return Ref{}, false
 	}
 	r := latestEntry(l.states[0].Schedule).Map
@@ -297,6 +297,6 @@
 
 // Lost reports whether all members have lost their maps, so that the group
 // needs one from outside.
-func (l *Leader) Lost() bool {
-	return !l.deposed && l.ready() && l.Idle() && l.allMembers(func(s State) bool { return !s.Joined && s.Orphan })
+func (l *Leader) AllMapsLost() bool {
+	return !l.deposed && l.ready() && l.Idle() && l.allMembers(func(s State) bool { return !s.Joined && s.NoPeerJoined })
 }
--- a/internal/rank/naming/member.go
+++ b/internal/rank/naming/member.go
@@ -24,15 +24,15 @@
 	// maxToken is the highest fencing token seen.
 	maxToken uint64
 	joined   bool
-	schedule []Entry
-	pending  Name
+	schedule []ScheduleEntry
+	pending  Activation
 	// stepLimit is at least as high as any step limit sent to the engine.
 	stepLimit uint64
 	maps      []*expertmap.Map
 	// incarnations holds the highest known incarnation of each member.
 	incarnations []uint64
 	// joinReplies holds the last reply of each peer while the member joins.
-	joinReplies map[int]Joining
+	joinReplies map[int]JoinReply
 	engine      EngineState
 }
 
@@ -50,7 +50,7 @@
 	}
 	m.incarnations = make([]uint64, m.Members)
 	m.incarnations[m.Index] = m.Incarnation
-	m.joinReplies = map[int]Joining{}
+	m.joinReplies = map[int]JoinReply{}
 }
 
 // apply checks the fencing token and the incarnation of an order and executes
@@ -83,7 +83,7 @@
 	case Release:
 		return m.release(o)
 	case Abandon:
-		m.abandon(o.Name)
+		m.abandon(o.Activation)
 		return nil
 	default:
 		return result.Newf(result.MalformedMsg, "order %T", o)
@@ -100,49 +100,49 @@
 // all have promised.
 func (m *Member) hold(o Hold) error {
 	switch {
-	case m.pending != Name{} && m.pending != o.Name:
+	case m.pending != Activation{} && m.pending != o.Activation:
 		return result.Newf(result.Conflict, "holding for step %d", m.pending.Step)
 	case !m.joined && !m.noPeerJoined():
 		return result.New(result.MapMissing, "the member is joining its group")
 	case !m.viewMatches(o.View):
 		return result.New(result.StaleFencing, "a member has restarted since")
-	case m.pending == o.Name || m.isActive(o.Name):
+	case m.pending == o.Activation || m.isActive(o.Activation):
 		return nil
-	case m.stepLimit >= o.Name.Step || m.engine.Begun >= o.Name.Step:
+	case m.stepLimit >= o.Activation.Step || m.engine.LastStep >= o.Activation.Step:
 		return result.Newf(result.Conflict, "the ranks may run up to step %d", m.stepLimit)
-	case m.engineHasLaterEntry(o.Name):
+	case m.engineHasLaterEntry(o.Activation):
 		return result.New(result.Conflict, "the ranks have a later name ahead of them")
-	case !m.engineStaged(o.Name.Map):
-		return result.Newf(result.MapMissing, "version %d", o.Name.Map.Version)
+	case !m.engineStaged(o.Activation.Map):
+		return result.Newf(result.MapMissing, "version %d", o.Activation.Map.Version)
 	}
-	m.pending = o.Name
+	m.pending = o.Activation
 	return nil
 }
 
 // release schedules the activation that the member holds.
 func (m *Member) release(o Release) error {
-	if m.isActive(o.Name) {
+	if m.isActive(o.Activation) {
 		return nil
 	}
-	if m.pending != o.Name {
-		return result.Newf(result.Conflict, "not holding for step %d", o.Name.Step)
+	if m.pending != o.Activation {
+		return result.Newf(result.Conflict, "not holding for step %d", o.Activation.Step)
 	}
 	if !m.viewMatches(o.View) {
 		return result.New(result.StaleFencing, "a member has restarted since")
 	}
-	m.pending = Name{}
+	m.pending = Activation{}
 	m.joined = true
-	m.addEntry(Entry{From: o.Name.Step, Map: o.Name.Map})
+	m.addEntry(ScheduleEntry{FirstStep: o.Activation.Step, Map: o.Activation.Map})
 	return nil
 }
 
-func (m *Member) abandon(a Name) {
+func (m *Member) abandon(a Activation) {
 	if m.pending == a {
-		m.pending = Name{}
+		m.pending = Activation{}
 	}
 }
 
-func (m *Member) addEntry(e Entry) {
+func (m *Member) addEntry(e ScheduleEntry) {
 	m.schedule = append(m.schedule, e)
 	if len(m.schedule) > maxEntries {
 		m.schedule = m.schedule[len(m.schedule)-maxEntries:]
@@ -167,18 +167,18 @@
 // engineHasLaterEntry reports whether the ranks have another entry for the
 // activation's step or a later one. This happens if the agent has restarted and
 // forgotten what it told its ranks.
-func (m *Member) engineHasLaterEntry(a Name) bool {
-	entry := Entry{From: a.Step, Map: a.Map}
+func (m *Member) engineHasLaterEntry(a Activation) bool {
+	entry := ScheduleEntry{FirstStep: a.Step, Map: a.Map}
 	for _, e := range m.engine.Schedule {
-		if e.From >= a.Step && e != entry {
+		if e.FirstStep >= a.Step && e != entry {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *Member) isActive(a Name) bool {
-	return containsEntry(m.schedule, Entry{From: a.Step, Map: a.Map})
+func (m *Member) isActive(a Activation) bool {
+	return containsEntry(m.schedule, ScheduleEntry{FirstStep: a.Step, Map: a.Map})
 }
 
 // Map returns the map with the given reference, and false if the member does
@@ -238,16 +238,16 @@
 	m.init()
 	m.sequence++
 	s := State{
-		Member:      m.Index,
-		Incarnation: m.Incarnation,
-		Number:      m.sequence,
-		Fence:       m.maxToken,
-		Joined:      m.joined,
-		Orphan:      !m.joined && m.noPeerJoined(),
-		Begun:       m.engine.Begun,
-		Granted:     m.stepLimit,
-		Schedule:    append([]Entry(nil), m.schedule...),
-		Pending:     m.pending,
+		Member:       m.Index,
+		Incarnation:  m.Incarnation,
+		Sequence:     m.sequence,
+		MaxToken:     m.maxToken,
+		Joined:       m.joined,
+		NoPeerJoined: !m.joined && m.noPeerJoined(),
+		LastStep:     m.engine.LastStep,
+		StepLimit:    m.stepLimit,
+		Schedule:     append([]ScheduleEntry(nil), m.schedule...),
+		Pending:      m.pending,
 	}
 	for _, r := range m.engine.Staged {
 		if _, ok := m.Map(r); ok {
@@ -259,7 +259,7 @@
 
 // Needed returns the maps of the schedule and of the pending activation, which
 // a leader may have to stage again.
-func (m *Member) Needed() []*expertmap.Map {
+func (m *Member) RequiredMaps() []*expertmap.Map {
 	var out []*expertmap.Map
 	for _, e := range m.maps {
 		if m.requires(RefOf(e)) {
--- a/internal/rank/naming/message.go
+++ b/internal/rank/naming/message.go
@@ -3,7 +3,7 @@
 import "github.com/hyssoprelay/hyssoprelay/internal/rank/expertmap"
 
 // Head is the header of every order to a member.
-type Head struct {
+type OrderHeader struct {
 	// Token is the fencing token of the leader.
 	Token uint64
 	// Incarnation is the incarnation of the member that the order is meant for.
@@ -13,22 +13,22 @@
 // Order is a message from the leader to a member. Orders are idempotent. The
 // member answers each with its State, which shows the leader whether the order
 // was obeyed.
-type Order interface{ head() Head }
+type Order interface{ head() OrderHeader }
 
 // Query asks for the member's state and makes it refuse older tokens from now
 // on. It applies to any incarnation.
-type Query struct{ Head }
+type Query struct{ OrderHeader }
 
 // Stage gives the member a map for its engine to load.
 type Stage struct {
-	Head
+	OrderHeader
 	Map *expertmap.Map
 }
 
 // Hold asks the member not to let its ranks begin the activation's step.
 type Hold struct {
-	Head
-	Name Name
+	OrderHeader
+	Activation Activation
 	// View holds the incarnation of each member that the leader relies on.
 	View []uint64
 }
@@ -36,22 +36,22 @@
 // Release puts a committed activation, which all members hold, into effect.
 // View is that of Hold.
 type Release struct {
-	Head
-	Name Name
-	View []uint64
+	OrderHeader
+	Activation Activation
+	View       []uint64
 }
 
 // Abandon ends the hold of an activation that will not be released.
 type Abandon struct {
-	Head
-	Name Name
+	OrderHeader
+	Activation Activation
 }
 
-func (q Query) head() Head   { return q.Head }
-func (s Stage) head() Head   { return s.Head }
-func (h Hold) head() Head    { return h.Head }
-func (r Release) head() Head { return r.Head }
-func (a Abandon) head() Head { return a.Head }
+func (q Query) head() OrderHeader   { return q.OrderHeader }
+func (s Stage) head() OrderHeader   { return s.OrderHeader }
+func (h Hold) head() OrderHeader    { return h.OrderHeader }
+func (r Release) head() OrderHeader { return r.OrderHeader }
+func (a Abandon) head() OrderHeader { return a.OrderHeader }
 
 // State is a member's report about itself.
 type State struct {
@@ -59,20 +59,20 @@
 	Incarnation uint64
 	// Number increases with each state of an incarnation, so that a delayed
 	// state is recognised.
-	Number uint64
+	Sequence uint64
 	// Fence is the highest fencing token that the member has seen.
-	Fence uint64
+	MaxToken uint64
 	// Joined is set once the member knows its group's schedule. Orphan is set
 	// if it does not and all peers have replied that they do not either.
-	Joined, Orphan bool
+	Joined, NoPeerJoined bool
 	// Begun is the last step that the ranks are known to have begun.
-	Begun uint64
+	LastStep uint64
 	// Granted is the last step that the ranks may have been allowed to begin.
-	Granted uint64
+	StepLimit uint64
 	// Schedule holds the released activations, oldest first.
-	Schedule []Entry
+	Schedule []ScheduleEntry
 	// Pending is the activation that the member holds, or the zero Name.
-	Pending Name
+	Pending Activation
 	// Staged lists the maps that are loaded in the engine and known to the
 	// member.
 	Staged []Ref
@@ -83,7 +83,7 @@
 	if s.Incarnation != other.Incarnation {
 		return s.Incarnation > other.Incarnation
 	}
-	return s.Number > other.Number
+	return s.Sequence > other.Sequence
 }
 
 func (s State) hasStaged(r Ref) bool {
@@ -95,13 +95,13 @@
 	return false
 }
 
-func (s State) isActive(a Name) bool {
-	return containsEntry(s.Schedule, Entry{From: a.Step, Map: a.Map})
+func (s State) isActive(a Activation) bool {
+	return containsEntry(s.Schedule, ScheduleEntry{FirstStep: a.Step, Map: a.Map})
 }
 
 // mayBegin reports whether the ranks may already begin the activation's step.
-func (s State) mayBegin(a Name) bool {
-	return s.Granted >= a.Step || s.Begun >= a.Step
+func (s State) mayBegin(a Activation) bool {
+	return s.StepLimit >= a.Step || s.LastStep >= a.Step
 }
 
 // Join asks a peer for the group's state after a start of the sender.
@@ -111,12 +111,12 @@
 }
 
 // Joining is the reply to Join.
-type Joining struct {
+type JoinReply struct {
 	// To is the incarnation that sent the Join.
-	To uint64
+	SenderIncarnation uint64
 	// Noted is the highest incarnation of the sender that the peer has seen.
-	Noted uint64
-	State State
+	KnownIncarnation uint64
+	State            State
 	// Maps holds the maps of the schedule and of the pending activation.
 	Maps []*expertmap.Map
 }
--- a/internal/rank/naming/name.go
+++ b/internal/rank/naming/name.go
@@ -16,7 +16,7 @@
 
 // Name is an activation: a map and the first step that uses it. The zero Name
 // means no activation.
-type Name struct {
+type Activation struct {
 	// Token is the fencing token of the leader that chose the step.
 	Token uint64
 	// Step is the first step that uses the map.
@@ -29,13 +29,13 @@
 	// Token is the fencing token of the leader that wrote last.
 	Token uint64
 	// Name is the last committed activation.
-	Name Name
+	Activation Activation
 }
 
 // Entry is an entry of a schedule: a map and the first step that uses it.
-type Entry struct {
-	From uint64
-	Map  Ref
+type ScheduleEntry struct {
+	FirstStep uint64
+	Map       Ref
 }
 
 // maxEntries is the number of schedule entries kept. Members are at most one
@@ -46,10 +46,10 @@
 
 // MapAt returns the map that a schedule has for a step, and false if it has
 // none. The entries may be in any order.
-func MapAt(schedule []Entry, step uint64) (Ref, bool) {
-	best, found := Entry{}, false
+func MapAt(schedule []ScheduleEntry, step uint64) (Ref, bool) {
+	best, found := ScheduleEntry{}, false
 	for _, e := range schedule {
-		if e.From <= step && (!found || e.From > best.From) {
+		if e.FirstStep <= step && (!found || e.FirstStep > best.FirstStep) {
 			best, found = e, true
 		}
 	}
@@ -57,10 +57,10 @@
 }
 
 // After returns the entries of a schedule that begin later than the given step.
-func After(schedule []Entry, step uint64) []Entry {
-	var out []Entry
+func EntriesAfter(schedule []ScheduleEntry, step uint64) []ScheduleEntry {
+	var out []ScheduleEntry
 	for _, e := range schedule {
-		if e.From > step {
+		if e.FirstStep > step {
 			out = append(out, e)
 		}
 	}
@@ -68,14 +68,14 @@
 }
 
 // latestEntry returns the newest entry of a schedule, or the zero Entry.
-func latestEntry(schedule []Entry) Entry {
+func latestEntry(schedule []ScheduleEntry) ScheduleEntry {
 	if len(schedule) == 0 {
-		return Entry{}
+		return ScheduleEntry{}
 	}
 	return schedule[len(schedule)-1]
 }
 
-func containsEntry(schedule []Entry, e Entry) bool {
+func containsEntry(schedule []ScheduleEntry, e ScheduleEntry) bool {
 	for _, other := range schedule {
 		if other == e {
 			return true
--- a/internal/rank/naming/rig_test.go
+++ b/internal/rank/naming/rig_test.go
@@ -29,8 +29,8 @@
 			for _, o := range m.Tick(g.engines[i].EngineState) {
 				g.engines[i].apply(o)
 			}
-			if j, ask := m.Joins(); ask {
-				m.HandleJoining(g.members[1-i].HandleJoin(j))
+			if j, ask := m.JoinRequest(); ask {
+				m.HandleJoinReply(g.members[1-i].HandleJoin(j))
 			}
 		}
 		for i := range g.members {
@@ -41,9 +41,9 @@
 
 func (g *testGroup) leader(token uint64) *Leader {
 	l := &Leader{
-		Members: 2, Token: token, Resend: tick, Refresh: tick, HoldTime: 10 * tick, Margin: 8,
+		Members: 2, Token: token, ResendInterval: tick, RefreshInterval: tick, HoldTime: 10 * tick, StepMargin: 8,
 	}
-	l.Extend(g.now.Add(time.Hour))
+	l.ExtendLease(g.now.Add(time.Hour))
 	return l
 }
 
--- a/internal/rank/naming/schedule_test.go
+++ b/internal/rank/naming/schedule_test.go
@@ -42,7 +42,7 @@
 			t.Errorf("seed %d: no map became active after the faults", seed)
 		}
 		activated += s.distinctMaps()
-		steps += s.engines[0].Begun
+		steps += s.engines[0].LastStep
 		if t.Failed() {
 			return
 		}
@@ -55,7 +55,7 @@
 func (s *simulation) oldestLatestStep() uint64 {
 	oldest := uint64(0)
 	for i, e := range s.engines {
-		v := latestEntry(e.Schedule).From
+		v := latestEntry(e.Schedule).FirstStep
 		if i == 0 || v < oldest {
 			oldest = v
 		}
--- a/internal/rank/naming/tick.go
+++ b/internal/rank/naming/tick.go
@@ -26,7 +26,7 @@
 		m.reset(m.Incarnation + 1)
 	}
 	m.engine = e
-	m.stepLimit = max(m.stepLimit, e.Allowed)
+	m.stepLimit = max(m.stepLimit, e.StepLimit)
 }
 
 // stageOrders gives the engine the maps in use, that of the pending activation
@@ -54,9 +54,9 @@
 
 // entriesInUse returns the entries of the schedule that apply to the ranks'
 // next step or a later one.
-func (m *Member) entriesInUse() []Entry {
+func (m *Member) entriesInUse() []ScheduleEntry {
 	for i := len(m.schedule) - 1; i > 0; i-- {
-		if m.schedule[i].From <= m.engine.Begun+1 {
+		if m.schedule[i].FirstStep <= m.engine.LastStep+1 {
 			return m.schedule[i:]
 		}
 	}
@@ -87,7 +87,7 @@
 	for i := len(entries) - 1; i >= 0; i-- {
 		e := entries[i]
 		if !containsEntry(m.engine.Schedule, e) {
-			restart := i == 0 && e.From > m.engine.Begun+1
+			restart := i == 0 && e.FirstStep > m.engine.LastStep+1
 			return []EngineOrder{EngineActivate{Entry: e, Restart: restart}}
 		}
 	}
@@ -103,16 +103,16 @@
 // steps. The limit is raised once half of it is used, so that an order is sent
 // every Lookahead/2 steps and not on each tick.
 func (m *Member) allowOrders() []EngineOrder {
-	limit := m.engine.Begun + m.Lookahead
-	if m.pending != (Name{}) {
+	limit := m.engine.LastStep + m.Lookahead
+	if m.pending != (Activation{}) {
 		limit = min(limit, m.pending.Step-1)
 	}
-	if limit <= m.engine.Allowed {
+	if limit <= m.engine.StepLimit {
 		return nil
 	}
-	if m.engine.Allowed > m.engine.Begun+m.Lookahead/2 {
+	if m.engine.StepLimit > m.engine.LastStep+m.Lookahead/2 {
 		return nil
 	}
 	m.stepLimit = max(m.stepLimit, limit)
-	return []EngineOrder{EngineAllow{Step: limit}}
+	return []EngineOrder{EngineSetStepLimit{Step: limit}}
 }
--- a/internal/rank/naming/world_test.go
+++ b/internal/rank/naming/world_test.go
@@ -109,7 +109,7 @@
 	for _, o := range m.Tick(e.EngineState) {
 		s.orderEngine(e, o)
 	}
-	if j, ask := m.Joins(); ask && s.tick%5 == 0 {
+	if j, ask := m.JoinRequest(); ask && s.tick%5 == 0 {
 		for p := range s.n {
 			if p != i {
 				s.send(func() { s.answerJoin(p, i, j) })
@@ -134,7 +134,7 @@
 		return
 	}
 	reply := s.members[p].HandleJoin(j)
-	s.send(func() { s.members[i].HandleJoining(reply) })
+	s.send(func() { s.members[i].HandleJoinReply(reply) })
 }
 
 func (s *simulation) stepLeader(i int) {
@@ -150,7 +150,7 @@
 	}
 	s.renewLease(i)
 	for _, m := range s.members[i].maps {
-		c.leader.Learn(m)
+		c.leader.AddKnownMap(m)
 	}
 	if c.leader.Idle() && s.rng.Intn(20) == 0 {
 		c.proposals++
@@ -170,9 +170,9 @@
 	s.kv.token++
 	s.kv.holder, s.kv.leaseUntil = i, s.now.Add(leaseTime)
 	l := &Leader{
-		Members: s.n, Token: s.kv.token, Resend: 4 * tick, Refresh: 4 * tick, HoldTime: 60 * tick, Margin: 8,
+		Members: s.n, Token: s.kv.token, ResendInterval: 4 * tick, RefreshInterval: 4 * tick, HoldTime: 60 * tick, StepMargin: 8,
 	}
-	l.Extend(s.kv.leaseUntil)
+	l.ExtendLease(s.kv.leaseUntil)
 	s.candidates[i].leader = l
 }
 
@@ -185,7 +185,7 @@
 		return
 	}
 	s.kv.leaseUntil = s.now.Add(leaseTime)
-	l.Extend(s.kv.leaseUntil)
+	l.ExtendLease(s.kv.leaseUntil)
 }
 
 func (s *simulation) perform(i int, a Action) {
@@ -246,17 +246,17 @@
 // one, and records a violation if another endpoint used a different map for it.
 func (s *simulation) startStep(i int) {
 	e := s.engines[i]
-	next := e.Begun + 1
+	next := e.LastStep + 1
 	for _, o := range s.engines {
-		if o.Begun < e.Begun {
+		if o.LastStep < e.LastStep {
 			return
 		}
 	}
 	r, ok := MapAt(e.Schedule, next)
-	if !ok || next > e.Allowed {
+	if !ok || next > e.StepLimit {
 		return
 	}
-	e.Begun = next
+	e.LastStep = next
 	e.mapOfStep[next] = r
 	for j, o := range s.engines {
 		if other, ran := o.mapOfStep[next]; ran && other != r {
--- a/internal/rank/peers.go
+++ b/internal/rank/peers.go
@@ -98,7 +98,7 @@
 		return nil, err
 	}
 	r.mu.Lock()
-	known := r.member.Needed()
+	known := r.member.RequiredMaps()
 	r.mu.Unlock()
 	req := &rankpb.FetchRequest{Group: r.Group, Map: refToProto(ref)}
 	for _, m := range known {
@@ -131,32 +131,32 @@
 	return nil
 }
 
-func (r *Runner) requestJoin(ctx context.Context, to int, j naming.Join) (naming.Joining, error) {
+func (r *Runner) requestJoin(ctx context.Context, to int, j naming.Join) (naming.JoinReply, error) {
 	p, err := r.peerClient(to)
 	if err != nil {
-		return naming.Joining{}, err
+		return naming.JoinReply{}, err
 	}
 	reply, err := p.Join(ctx, &rankpb.JoinRequest{
 		Group: r.Group, Member: uint32(j.Member), Incarnation: j.Incarnation,
 	})
 	if err != nil {
-		return naming.Joining{}, eris.Wrapf(err, "request join from member %d", to)
+		return naming.JoinReply{}, eris.Wrapf(err, "request join from member %d", to)
 	}
 	if reply.GetCode() != 0 {
-		return naming.Joining{}, result.New(result.Code(reply.GetCode()), reply.GetDetail())
+		return naming.JoinReply{}, result.New(result.Code(reply.GetCode()), reply.GetDetail())
 	}
-	a := naming.Joining{To: reply.GetTo(), Noted: reply.GetNoted(), State: stateFromProto(reply.GetState())}
+	a := naming.JoinReply{SenderIncarnation: reply.GetTo(), KnownIncarnation: reply.GetNoted(), State: stateFromProto(reply.GetState())}
 	for _, p := range reply.GetMaps() {
 		m, err := mapFromProto(p, nil)
 		if err != nil {
-			return naming.Joining{}, err
+			return naming.JoinReply{}, err
 		}
 		a.Maps = append(a.Maps, m)
 	}
 	return a, nil
 }
 
-func (r *Runner) fetchCounts(ctx context.Context, from int) ([]Count, error) {
+func (r *Runner) fetchCounts(ctx context.Context, from int) ([]ExpertLoad, error) {
 	if from == r.Index {
 		return r.Engine.Counts(ctx)
 	}
@@ -175,9 +175,9 @@
 	if len(layers) != len(reply.GetCounts()) || len(experts) != len(reply.GetCounts()) {
 		return nil, result.New(result.MalformedMsg, "layers, experts and counts differ in length")
 	}
-	counts := make([]Count, len(layers))
+	counts := make([]ExpertLoad, len(layers))
 	for i := range counts {
-		counts[i] = Count{Layer: int(layers[i]), Expert: int(experts[i]), Tokens: float64(reply.GetCounts()[i])}
+		counts[i] = ExpertLoad{Layer: int(layers[i]), Expert: int(experts[i]), Tokens: float64(reply.GetCounts()[i])}
 	}
 	return counts, nil
 }
--- a/internal/rank/planner.go
+++ b/internal/rank/planner.go
@@ -25,11 +25,11 @@
 	r := p.runner
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if t.leader.Lost() {
+	if t.leader.AllMapsLost() {
 		t.leader.Propose(r.Initial.WithVersion(nextVersion(t.leader.Token, r.Initial)))
 		return
 	}
-	ref, ok := t.leader.Current()
+	ref, ok := t.leader.CurrentMap()
 	if !ok || p.gathering || r.PlanEvery <= 0 || now.Before(p.nextPlanAt) {
 		return
 	}
@@ -60,7 +60,7 @@
 	if err != nil || next == nil {
 		return
 	}
-	if ref, ok := t.leader.Current(); ok && ref == naming.RefOf(current) {
+	if ref, ok := t.leader.CurrentMap(); ok && ref == naming.RefOf(current) {
 		t.leader.Propose(next.WithVersion(nextVersion(t.leader.Token, current)))
 	}
 }
@@ -74,7 +74,7 @@
 	}
 	now := time.Now()
 	if p.popularity == nil || p.popularity.Layers() != current.Layers() {
-		p.popularity = expertmap.NewPopularity(current.Layers(), current.Layer(0).Shape().Experts, r.Memory)
+		p.popularity = expertmap.NewPopularity(current.Layers(), current.Layer(0).Shape().Experts, r.PopularityWindow)
 	}
 	for i, c := range counts {
 		if err := p.popularity.Observe(i, c, now); err != nil {
@@ -97,7 +97,7 @@
 
 // memberCounts is the result of a request for the counts of one member.
 type memberCounts struct {
-	counts []Count
+	counts []ExpertLoad
 	err    error
 }
 
@@ -128,7 +128,7 @@
 	return sums, first
 }
 
-func addCounts(sums [][]float64, counts []Count) {
+func addCounts(sums [][]float64, counts []ExpertLoad) {
 	for _, c := range counts {
 		if c.Layer >= 0 && c.Layer < len(sums) && c.Expert >= 0 && c.Expert < len(sums[c.Layer]) {
 			sums[c.Layer][c.Expert] += c.Tokens
--- a/internal/rank/runner.go
+++ b/internal/rank/runner.go
@@ -49,7 +49,7 @@
 	EventJoined = "rankJoined"
 	// EventLost means that the member has lost its maps and waits; Number is
 	// the version of the map that was in force.
-	EventLost = "rankLost"
+	EventMapsLost = "rankLost"
 )
 
 // Runner is an agent's participation in a group of ranks. Set the fields,
@@ -81,24 +81,24 @@
 	Limits    expertmap.Limits
 	PlanEvery time.Duration
 	// Memory is the time span of the popularity estimate.
-	Memory time.Duration
+	PopularityWindow time.Duration
 	// Tick is the interval at which the engine's state is read. Lookahead is
 	// how many steps the ranks may run without a further grant; these must last
 	// for several ticks.
-	Tick      time.Duration
-	Lookahead uint64
+	EngineInterval time.Duration
+	Lookahead      uint64
 	// Resend, Refresh and HoldTime are those of naming.Leader.
-	Resend, Refresh, HoldTime time.Duration
+	ResendInterval, RefreshInterval, HoldTime time.Duration
 	// LeaseTime is the duration of the lease, which is renewed after each third
 	// of it. Another agent tries to acquire the lease after it has received no
 	// order of a leader for LeaseTime plus Index times Resend.
-	LeaseTime time.Duration
+	LeaseTTL time.Duration
 	// CallTimeout is the timeout of each call to a peer, the engine or the
 	// platform.
 	CallTimeout time.Duration
 	// Drain is how long after a start orders of the agent's earlier run may
 	// still reach the engine.
-	Drain time.Duration
+	StartDelay time.Duration
 	// Credentials is the TLS configuration for connections to peers; nil means
 	// plain text.
 	Credentials credentials.TransportCredentials
@@ -125,7 +125,7 @@
 	// changes.
 	lastOrderAt time.Time
 	joined      bool
-	inForce     naming.Entry
+	inForce     naming.ScheduleEntry
 }
 
 // Register registers the runner's gRPC service for the peers on s.
@@ -156,7 +156,7 @@
 		return result.New(result.MissingSetting, "engine, lease or initial map of the group")
 	case r.Incarnation == 0 || r.Lookahead == 0:
 		return result.New(result.BadSetting, "incarnation and lookahead must be positive")
-	case min(r.Tick, r.Resend, r.Refresh, r.HoldTime, r.LeaseTime, r.CallTimeout) <= 0:
+	case min(r.EngineInterval, r.ResendInterval, r.RefreshInterval, r.HoldTime, r.LeaseTTL, r.CallTimeout) <= 0:
 		return result.New(result.BadSetting, "tick, resend, refresh, hold, lease and call times must be positive")
 	}
 	return nil
@@ -174,7 +174,7 @@
 		return err
 	}
 	defer r.closeConns()
-	if !pause.For(ctx, r.Drain) {
+	if !pause.For(ctx, r.StartDelay) {
 		return nil
 	}
 	loops := []func(context.Context) error{r.runEngine, r.runJoin, r.runLeader}
@@ -192,11 +192,11 @@
 }
 
 // Leads reports whether this agent leads the group.
-func (r *Runner) Leads() bool { return r.leading.Load() }
+func (r *Runner) Leading() bool { return r.leading.Load() }
 
 // InForce returns the version of the newest map in the member's schedule, or
 // zero while the member has not joined its group.
-func (r *Runner) InForce() uint64 {
+func (r *Runner) VersionInForce() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.joined {
@@ -242,14 +242,14 @@
 
 // emitChanges reports the difference between the member's previous state, given
 // by wasJoined and previous, and its current state, given by s and current.
-func (r *Runner) emitChanges(s naming.State, wasJoined bool, previous, current naming.Entry) {
+func (r *Runner) emitChanges(s naming.State, wasJoined bool, previous, current naming.ScheduleEntry) {
 	if s.Joined && !wasJoined {
 		r.stats.joins.Inc(1)
 		r.emit(Event{Kind: EventJoined, Number: current.Map.Version})
 	}
 	if !s.Joined && wasJoined {
 		r.stats.losses.Inc(1)
-		r.emit(Event{Kind: EventLost, Number: previous.Map.Version})
+		r.emit(Event{Kind: EventMapsLost, Number: previous.Map.Version})
 	}
 	if s.Joined && current != previous {
 		r.stats.mapsInForce.Inc(1)
--- a/internal/rank/runner_test.go
+++ b/internal/rank/runner_test.go
@@ -130,10 +130,10 @@
 		Limits: expertmap.Limits{
 			ExpertBytes: 1, StoreBandwidth: 1000, MaxStagingTime: time.Second, MapLifetime: time.Minute, MinGain: 0.01, SkewTolerance: 0.01,
 		},
-		PlanEvery: 50 * time.Millisecond, Memory: 10 * time.Millisecond,
-		Tick: 5 * time.Millisecond, Lookahead: 50,
-		Resend: 40 * time.Millisecond, Refresh: 100 * time.Millisecond, HoldTime: 2 * time.Second,
-		LeaseTime: time.Second, CallTimeout: time.Second, Drain: time.Millisecond,
+		PlanEvery: 50 * time.Millisecond, PopularityWindow: 10 * time.Millisecond,
+		EngineInterval: 5 * time.Millisecond, Lookahead: 50,
+		ResendInterval: 40 * time.Millisecond, RefreshInterval: 100 * time.Millisecond, HoldTime: 2 * time.Second,
+		LeaseTTL: time.Second, CallTimeout: time.Second, StartDelay: time.Millisecond,
 		Metrics: g.metrics[i], Log: log,
 	}
 }
--- a/internal/rank/service.go
+++ b/internal/rank/service.go
@@ -95,7 +95,7 @@
 	r.mu.Lock()
 	a := r.member.HandleJoin(naming.Join{Member: int(p.GetMember()), Incarnation: p.GetIncarnation()})
 	r.mu.Unlock()
-	reply := &rankpb.JoinReply{To: a.To, Noted: a.Noted, State: stateToProto(a.State)}
+	reply := &rankpb.JoinReply{To: a.SenderIncarnation, Noted: a.KnownIncarnation, State: stateToProto(a.State)}
 	for _, m := range a.Maps {
 		reply.Maps = append(reply.Maps, mapToProto(m, nil))
 	}
--- a/internal/rank/term.go
+++ b/internal/rank/term.go
@@ -31,7 +31,7 @@
 	r.mu.Lock()
 	r.lastOrderAt = time.Now()
 	r.mu.Unlock()
-	for pause.For(ctx, r.Resend) {
+	for pause.For(ctx, r.ResendInterval) {
 		r.mu.Lock()
 		elapsed := time.Since(r.lastOrderAt)
 		r.mu.Unlock()
@@ -59,16 +59,16 @@
 		return nil
 	}
 	l := &naming.Leader{
-		Members: len(r.Peers), Token: token, Resend: r.Resend, Refresh: r.Refresh,
-		HoldTime: r.HoldTime, Margin: r.Lookahead,
+		Members: len(r.Peers), Token: token, ResendInterval: r.ResendInterval, RefreshInterval: r.RefreshInterval,
+		HoldTime: r.HoldTime, StepMargin: r.Lookahead,
 	}
-	l.Extend(until)
+	l.ExtendLease(until)
 	r.leading.Store(true)
 	r.stats.leads.Inc(1)
 	r.emit(Event{Kind: EventLead, Number: token})
 	return &term{
 		runner: r, leader: l, leaseUntil: until, callDone: make(chan struct{}, 1),
-		renewAt: time.Now().Add(r.LeaseTime / 3),
+		renewAt: time.Now().Add(r.LeaseTTL / 3),
 		planner: planner{runner: r, nextPlanAt: time.Now().Add(r.PlanEvery)},
 	}
 }
@@ -79,7 +79,7 @@
 func (t *term) run(ctx context.Context) {
 	r := t.runner
 	ctx, cancel := context.WithCancel(ctx)
-	ticker := time.NewTicker(max(r.Resend/4, time.Millisecond))
+	ticker := time.NewTicker(max(r.ResendInterval/4, time.Millisecond))
 	defer ticker.Stop()
 	for ctx.Err() == nil && !t.ended(time.Now()) {
 		t.step(ctx, time.Now())
@@ -105,14 +105,14 @@
 	r := t.runner
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return t.leader.Deposed() || now.After(t.leaseUntil) && t.leader.Settled()
+	return t.leader.Deposed() || now.After(t.leaseUntil) && t.leader.NoActivation()
 }
 
 func (t *term) step(ctx context.Context, now time.Time) {
 	r := t.runner
 	r.mu.Lock()
-	for _, m := range r.member.Needed() {
-		t.leader.Learn(m)
+	for _, m := range r.member.RequiredMaps() {
+		t.leader.AddKnownMap(m)
 	}
 	r.mu.Unlock()
 	t.planner.step(ctx, t, now)
@@ -147,10 +147,10 @@
 	t.runner.mu.Lock()
 	defer t.runner.mu.Unlock()
 	t.renewing = false
-	t.renewAt = now.Add(t.runner.LeaseTime / 3)
+	t.renewAt = now.Add(t.runner.LeaseTTL / 3)
 	if err == nil {
 		t.leaseUntil = until
-		t.leader.Extend(until)
+		t.leader.ExtendLease(until)
 	}
 }
 
--- a/internal/ranker/ranker.go
+++ b/internal/ranker/ranker.go
@@ -260,7 +260,7 @@
 // leaseIsFree reports whether no agent holds the group's lease. It records the holder
 // if there is one.
 func (r *Ranker) leaseIsFree(ctx context.Context, lease *rank.KVLease) bool {
-	held, ok, err := lease.Held(ctx)
+	held, ok, err := lease.CurrentHolder(ctx)
 	if err != nil {
 		r.logStoreFailure(err)
 		return false
--- a/internal/standin/ranks/engine.go
+++ b/internal/standin/ranks/engine.go
@@ -15,16 +15,16 @@
 	g := e.group
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	begun := e.state.Begun
+	begun := e.state.LastStep
 	for _, o := range g.engines {
-		if o.state.Begun < begun {
-			begun = e.state.Begun - 1
+		if o.state.LastStep < begun {
+			begun = e.state.LastStep - 1
 			e.ranStep = 0
 			break
 		}
 	}
 	e.maps = nil
-	e.state = naming.EngineState{Incarnation: e.state.Incarnation + 1, Begun: begun}
+	e.state = naming.EngineState{Incarnation: e.state.Incarnation + 1, LastStep: begun}
 }
 
 // Fail makes all calls fail until it is called with false.
@@ -67,7 +67,7 @@
 }
 
 // Activate implements rank.Engine.
-func (e *Engine) Activate(_ context.Context, n naming.Entry, restart bool, _ uint64) error {
+func (e *Engine) Activate(_ context.Context, n naming.ScheduleEntry, restart bool, _ uint64) error {
 	if err := e.enter(); err != nil {
 		return err
 	}
@@ -80,9 +80,9 @@
 			return nil
 		}
 	}
-	if restart && n.From > e.state.Begun {
-		e.state.Schedule = naming.After(e.state.Schedule, n.From)
-		e.state.Begun = n.From - 1
+	if restart && n.FirstStep > e.state.LastStep {
+		e.state.Schedule = naming.EntriesAfter(e.state.Schedule, n.FirstStep)
+		e.state.LastStep = n.FirstStep - 1
 	}
 	e.state.Schedule = append(e.state.Schedule, n)
 	return nil
@@ -94,7 +94,7 @@
 		return err
 	}
 	defer e.group.mu.Unlock()
-	e.state.Allowed = max(e.state.Allowed, step)
+	e.state.StepLimit = max(e.state.StepLimit, step)
 	return nil
 }
 
@@ -106,36 +106,36 @@
 	defer e.group.mu.Unlock()
 	s := e.state
 	s.Staged = append([]naming.Ref(nil), s.Staged...)
-	s.Schedule = append([]naming.Entry(nil), s.Schedule...)
+	s.Schedule = append([]naming.ScheduleEntry(nil), s.Schedule...)
 	return s, nil
 }
 
 // Counts implements rank.Engine.
-func (e *Engine) Counts(context.Context) ([]rank.Count, error) {
+func (e *Engine) Counts(context.Context) ([]rank.ExpertLoad, error) {
 	if err := e.enter(); err != nil {
 		return nil, err
 	}
 	defer e.group.mu.Unlock()
-	ref, ok := naming.MapAt(e.state.Schedule, e.state.Begun)
+	ref, ok := naming.MapAt(e.state.Schedule, e.state.LastStep)
 	m := e.find(ref)
 	if !ok || m == nil {
 		return nil, result.New(result.MapMissing, "no map in force")
 	}
-	var counts []rank.Count
+	var counts []rank.ExpertLoad
 	for i := range min(m.Layers(), len(e.group.load)) {
 		counts = append(counts, e.layerCounts(i, m.Layer(i))...)
 	}
 	return counts, nil
 }
 
-func (e *Engine) layerCounts(i int, l *expertmap.Layer) []rank.Count {
-	var counts []rank.Count
+func (e *Engine) layerCounts(i int, l *expertmap.Layer) []rank.ExpertLoad {
+	var counts []rank.ExpertLoad
 	each := l.Shape().Ranks / e.group.Endpoints
 	for r := e.index * each; r < (e.index+1)*each; r++ {
 		for _, s := range l.Rank(r) {
 			if s.Expert >= 0 {
 				tokens := e.group.load[i][s.Expert] * float64(s.Share) / expertmap.ShareUnits
-				counts = append(counts, rank.Count{Layer: i, Expert: s.Expert, Tokens: tokens})
+				counts = append(counts, rank.ExpertLoad{Layer: i, Expert: s.Expert, Tokens: tokens})
 			}
 		}
 	}
--- a/internal/standin/ranks/group.go
+++ b/internal/standin/ranks/group.go
@@ -101,24 +101,24 @@
 	for _, e := range g.engines {
 		g.begin(e)
 	}
-	g.steps = g.engines[0].state.Begun
+	g.steps = g.engines[0].state.LastStep
 	for _, e := range g.engines {
-		g.steps = min(g.steps, e.state.Begun)
+		g.steps = min(g.steps, e.state.LastStep)
 	}
 }
 
 func (g *Group) begin(e *Engine) {
-	next := e.state.Begun + 1
+	next := e.state.LastStep + 1
 	for _, o := range g.engines {
-		if o.state.Begun < e.state.Begun {
+		if o.state.LastStep < e.state.LastStep {
 			return
 		}
 	}
 	m, ok := naming.MapAt(e.state.Schedule, next)
-	if !ok || next > e.state.Allowed {
+	if !ok || next > e.state.StepLimit {
 		return
 	}
-	e.state.Begun, e.ranStep, e.ran = next, next, m
+	e.state.LastStep, e.ranStep, e.ran = next, next, m
 	for _, o := range g.engines {
 		if o.ranStep == next && o.ran != m {
 			g.faults = append(g.faults, fmt.Sprintf("step %d: endpoint %d uses version %d, endpoint %d version %d",
--- a/internal/standin/ranks/http.go
+++ b/internal/standin/ranks/http.go
@@ -64,7 +64,7 @@
 	if !standin.ReadJSON(w, r, &o) {
 		return
 	}
-	entry := naming.Entry{From: o.Entry.From, Map: naming.Ref(o.Entry.Map)}
+	entry := naming.ScheduleEntry{FirstStep: o.Entry.From, Map: naming.Ref(o.Entry.Map)}
 	answer(w, e.Activate(r.Context(), entry, o.Restart, 0))
 }
 
@@ -82,12 +82,12 @@
 		answer(w, err)
 		return
 	}
-	out := endpoint.RanksState{Incarnation: s.Incarnation, Begun: s.Begun, Allowed: s.Allowed}
+	out := endpoint.RanksState{Incarnation: s.Incarnation, Begun: s.LastStep, Allowed: s.StepLimit}
 	for _, m := range s.Staged {
 		out.Staged = append(out.Staged, endpoint.RanksRef(m))
 	}
 	for _, n := range s.Schedule {
-		out.Schedule = append(out.Schedule, endpoint.RanksEntry{From: n.From, Map: endpoint.RanksRef(n.Map)})
+		out.Schedule = append(out.Schedule, endpoint.RanksEntry{From: n.FirstStep, Map: endpoint.RanksRef(n.Map)})
 	}
 	standin.WriteJSON(w, http.StatusOK, out)
 }
