--- a/internal/caller/admission/holder.go
+++ b/internal/caller/admission/holder.go
@@ -208,7 +208,7 @@
 	}
 	h.Sequence++
 	l.number, l.sentAt = h.Sequence, now
-	r := ShareReport{Holder: h.Entry, Number: h.Sequence, Echo: l.echo}
+	r := ShareReport{Holder: h.Entry, Sequence: h.Sequence, Echo: l.echo}
 	for name, a := range h.accounts {
 		// lenderOf computes one hash per entry, so it is called last: with
 		// 12,000 accounts, only some are in demand.
@@ -253,7 +253,7 @@
 // because only the sending time of that report is known.
 func (h *ShareHolder) Reply(lender string, r ShareReply) {
 	l := h.lenders[lender]
-	if l == nil || r.Number != l.number {
+	if l == nil || r.Sequence != l.number {
 		return
 	}
 	l.echo = r.Stamp
--- a/internal/caller/admission/lender.go
+++ b/internal/caller/admission/lender.go
@@ -79,14 +79,14 @@
 		h = &holderState{}
 		l.holders[r.Holder] = h
 	}
-	if r.Number <= h.number {
+	if r.Sequence <= h.number {
 		return ShareReply{}, false
 	}
-	h.number = r.Number
+	h.number = r.Sequence
 	h.lastReport = now
 	h.depositsUntil = l.depositExpiry(r.Echo)
 	l.recordDemand(r)
-	reply = ShareReply{Number: r.Number, Stamp: l.stamp(now)}
+	reply = ShareReply{Sequence: r.Sequence, Stamp: l.stamp(now)}
 	for _, d := range r.Accounts {
 		if g, ok := l.grant(r.Holder, d.Account, now); ok {
 			reply.Grants = append(reply.Grants, g)
--- a/internal/caller/admission/share.go
+++ b/internal/caller/admission/share.go
@@ -70,7 +70,7 @@
 	Holder string
 	// Number increases with each report of the holder, including across
 	// restarts.
-	Number uint64
+	Sequence uint64
 	// Echo is the newest stamp that the holder has received from this lender;
 	// zero if none.
 	Echo     ShareStamp
@@ -88,9 +88,9 @@
 
 // ShareReply is a lender's reply to a report.
 type ShareReply struct {
-	Number uint64
-	Stamp  ShareStamp
-	Grants []ShareGrant
+	Sequence uint64
+	Stamp    ShareStamp
+	Grants   []ShareGrant
 	// Wanted lists the accounts in demand, so that the next report can include
 	// deposits for them.
 	Wanted []string
--- a/internal/caller/admission/share_test.go
+++ b/internal/caller/admission/share_test.go
@@ -148,7 +148,7 @@
 	l := &ShareLender{Incarnation: 1}
 	report := func(holder string, number uint64, deposit, want int64, at time.Duration) int64 {
 		reply, _ := l.Report(ShareReport{
-			Holder: holder, Number: number, Echo: ShareStamp{Incarnation: 1, At: int64(at)},
+			Holder: holder, Sequence: number, Echo: ShareStamp{Incarnation: 1, At: int64(at)},
 			Accounts: []ShareDemand{{Account: "a", Deposit: deposit, Want: want, Quantum: 1}},
 		}, epoch.Add(at))
 		if len(reply.Grants) == 0 {
@@ -175,7 +175,7 @@
 		at := epoch.Add(DefaultDepositTTL + time.Duration(i)*time.Second)
 		lenderOf := func(string) string { return lender }
 		r := h.Report(lender, lenderOf, at)
-		h.Reply(lender, ShareReply{Number: r.Number, Stamp: ShareStamp{Incarnation: 1}})
+		h.Reply(lender, ShareReply{Sequence: r.Sequence, Stamp: ShareStamp{Incarnation: 1}})
 		deposited += h.Report(lender, lenderOf, at).Accounts[0].Deposit
 	}
 	entitled := entitlement(4)
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -48,7 +48,7 @@
 // Passer runs requests that are passed on as they came. Forward must finish the
 // reply before it returns; ctx ends when the caller leaves. The header and the
 // body belong to Forward.
-type Passer interface {
+type Forwarder interface {
 	Forward(ctx context.Context, r *Raw, w *Reply)
 }
 
@@ -84,7 +84,7 @@
 	// Handler runs the requests.
 	Handler Handler
 	// Passer, when set, runs all requests in place of Handler.
-	Passer Passer
+	Passer Forwarder
 	// Now is the clock of Raw.At; nil means the process's own.
 	Now func() time.Time
 
--- a/internal/entry/sharemessages.go
+++ b/internal/entry/sharemessages.go
@@ -11,7 +11,7 @@
 	m := &peerpb.ShareReport{
 		Hlc:             uint64(e.clock.Next(e.now())),
 		Holder:          r.Holder,
-		Number:          r.Number,
+		Number:          r.Sequence,
 		EchoIncarnation: r.Echo.Incarnation,
 		EchoAt:          r.Echo.At,
 	}
@@ -25,9 +25,9 @@
 
 func shareReportFrom(m *peerpb.ShareReport) admission.ShareReport {
 	r := admission.ShareReport{
-		Holder: m.GetHolder(),
-		Number: m.GetNumber(),
-		Echo:   admission.ShareStamp{Incarnation: m.GetEchoIncarnation(), At: m.GetEchoAt()},
+		Holder:   m.GetHolder(),
+		Sequence: m.GetNumber(),
+		Echo:     admission.ShareStamp{Incarnation: m.GetEchoIncarnation(), At: m.GetEchoAt()},
 	}
 	for _, a := range m.GetAccounts() {
 		r.Accounts = append(r.Accounts, admission.ShareDemand{
@@ -39,7 +39,7 @@
 
 func shareReplyTo(r admission.ShareReply) *peerpb.ShareReply {
 	m := &peerpb.ShareReply{
-		Number:           r.Number,
+		Number:           r.Sequence,
 		StampIncarnation: r.Stamp.Incarnation,
 		StampAt:          r.Stamp.At,
 		Wanted:           r.Wanted,
@@ -54,9 +54,9 @@
 
 func shareReplyFrom(m *peerpb.ShareReply) admission.ShareReply {
 	r := admission.ShareReply{
-		Number: m.GetNumber(),
-		Stamp:  admission.ShareStamp{Incarnation: m.GetStampIncarnation(), At: m.GetStampAt()},
-		Wanted: m.GetWanted(),
+		Sequence: m.GetNumber(),
+		Stamp:    admission.ShareStamp{Incarnation: m.GetStampIncarnation(), At: m.GetStampAt()},
+		Wanted:   m.GetWanted(),
 	}
 	for _, g := range m.GetGrants() {
 		r.Grants = append(r.Grants, admission.ShareGrant{
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -188,7 +188,7 @@
 	f.documentSender.Pacer = &document.Pacer{BytesPerSecond: documentBandwidthShare * s.LineRate}
 	f.mirror.Peer = f.followPeer
 	f.relay = &relay.Relay{
-		State: f.state, Client: &direct.Client{}, HeaderCodec: platform.Dialect{},
+		State: f.state, Client: &direct.Client{}, HeaderCodec: platform.HeaderCodec{},
 		Now: boottime.Now, Log: f.Log.Logger,
 		Metrics: relay.NewMetrics(f.Registry),
 	}
--- a/internal/relay/asking.go
+++ b/internal/relay/asking.go
@@ -13,7 +13,7 @@
 	return placement.Query{
 		Tokens:  j.requestInfo.PromptTokens + j.requestInfo.OutputTokens,
 		Tried:   j.tried,
-		RunOnce: !j.route.MayRepeat(),
+		RunOnce: !j.route.MayRetry(),
 	}
 }
 
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -56,7 +56,7 @@
 	if err := j.checkAnswer(a, info); err != nil {
 		return Unknown{Cause: err}
 	}
-	if j.route.Repeat == routing.Stream && a.Status == http.StatusOK {
+	if j.route.RetrySemantics == routing.Stream && a.Status == http.StatusOK {
 		return j.forwardStream(ctx, assigned, a)
 	}
 	return j.forwardBuffered(ctx, assigned, a)
@@ -88,7 +88,7 @@
 	return &direct.Request{
 		Method: j.raw.Method, Target: j.raw.Target, Host: j.raw.Host, Header: h, Body: j.raw.Body,
 		Matches:       j.isOwnAnswer,
-		AvoidExpiring: !j.route.MayRepeat(),
+		AvoidExpiring: !j.route.MayRetry(),
 	}
 }
 
--- a/internal/relay/decide_test.go
+++ b/internal/relay/decide_test.go
@@ -17,10 +17,10 @@
 func noBudget() bool   { return false }
 
 func TestNextStep(t *testing.T) {
-	runOnce := &routing.Route{Repeat: routing.RunOnce, MaxAttempts: 2}
-	idempotent := &routing.Route{Repeat: routing.Idempotent, MaxAttempts: 2}
-	stream := &routing.Route{Repeat: routing.Stream, Resumable: true, MaxAttempts: 2}
-	notResumable := &routing.Route{Repeat: routing.Stream, MaxAttempts: 2}
+	runOnce := &routing.Route{RetrySemantics: routing.RunOnce, MaxAttempts: 2}
+	idempotent := &routing.Route{RetrySemantics: routing.Idempotent, MaxAttempts: 2}
+	stream := &routing.Route{RetrySemantics: routing.Stream, Resumable: true, MaxAttempts: 2}
+	notResumable := &routing.Route{RetrySemantics: routing.Stream, MaxAttempts: 2}
 	lost := errors.New("connection reset")
 	for name, c := range map[string]struct {
 		route    *routing.Route
@@ -45,7 +45,7 @@
 		"disconnected caller ends the request":              {idempotent, AttemptCounts{Sent: 1}, Disconnected{Cause: lost}, time.Second, budgetLeft, End},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := NextStep(c.route, c.attempts, c.outcome, c.left, c.budget); got != c.want {
+			if got := NextDecision(c.route, c.attempts, c.outcome, c.left, c.budget); got != c.want {
 				t.Fatalf("step %v, want %v", got, c.want)
 			}
 		})
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -92,7 +92,7 @@
 func (j *job) log(code result.Code, status int, now time.Time, cause error) {
 	service, kind := "", ""
 	if j.service != nil {
-		service, kind = j.service.Name, j.route.Repeat.String()
+		service, kind = j.service.Name, j.route.RetrySemantics.String()
 	}
 	j.relay.Metrics.countResult(code, kind, service, sinceOrZero(j.firstPartAt, j.raw.At), now.Sub(j.raw.At))
 	f := logrus.Fields{
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -175,5 +175,5 @@
 // mayMove reports whether the request may continue at another endpoint once more.
 func (j *job) mayMove() bool {
 	r := j.route
-	return r.Repeat == routing.Stream && r.Resumable && j.attempts.Sent+1 < r.MaxAttempts
+	return r.RetrySemantics == routing.Stream && r.Resumable && j.attempts.Sent+1 < r.MaxAttempts
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -203,7 +203,7 @@
 			continue
 		}
 		budget := func() bool { return j.allowRetry(o, now) }
-		if NextStep(j.route, j.attempts, o, left, budget) == End {
+		if NextDecision(j.route, j.attempts, o, left, budget) == End {
 			j.finish(o, nil, now)
 			return
 		}
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -87,7 +87,7 @@
 // exceeded, and retries must not exceed what the remaining endpoints can handle, which is what
 // budget is for. budget is called last, and only for requests that were sent: an endpoint that
 // received no byte has no load from them.
-func NextStep(r *routing.Route, counts AttemptCounts, o Outcome, left time.Duration, budget func() bool) Decision {
+func NextDecision(r *routing.Route, counts AttemptCounts, o Outcome, left time.Duration, budget func() bool) Decision {
 	if left < minAttemptTime {
 		return End
 	}
@@ -98,11 +98,11 @@
 		}
 		return retryIf(counts.Sent < r.MaxAttempts && budget())
 	case Failed:
-		return retryIf(r.MayRepeat() && counts.Sent < r.MaxAttempts && budget())
+		return retryIf(r.MayRetry() && counts.Sent < r.MaxAttempts && budget())
 	case Unknown:
-		return retryIf(r.MayRepeat() && counts.Sent < r.MaxAttempts && budget())
+		return retryIf(r.MayRetry() && counts.Sent < r.MaxAttempts && budget())
 	case Interrupted:
-		return retryIf(r.Repeat == routing.Stream && r.Resumable && counts.Sent < r.MaxAttempts && budget())
+		return retryIf(r.RetrySemantics == routing.Stream && r.Resumable && counts.Sent < r.MaxAttempts && budget())
 	default:
 		return End
 	}
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -34,10 +34,10 @@
 
 // Route defines how requests with one host and path prefix are handled.
 type Route struct {
-	Name   string
-	Host   string
-	Prefix string
-	Repeat RetrySemantics
+	Name           string
+	Host           string
+	Prefix         string
+	RetrySemantics RetrySemantics
 	// Timeout bounds the handling of a request; zero means no bound.
 	Timeout time.Duration
 	// TargetLatency is the time to the first part of the answer (for a plain answer, the whole of
@@ -59,8 +59,8 @@
 }
 
 // MayRepeat reports whether a request may be sent again after it may already have run.
-func (r *Route) MayRepeat() bool {
-	return r.Repeat == Idempotent || r.Repeat == Stream && r.Resumable
+func (r *Route) MayRetry() bool {
+	return r.RetrySemantics == Idempotent || r.RetrySemantics == Stream && r.Resumable
 }
 
 // Pick returns the service for a random number draw in [0, 1), in proportion to the weights of the
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -58,13 +58,13 @@
 
 func TestMayRepeat(t *testing.T) {
 	for r, want := range map[*Route]bool{
-		{Repeat: RunOnce}:                  false,
-		{Repeat: RunOnce, Resumable: true}: false,
-		{Repeat: Idempotent}:               true,
-		{Repeat: Stream}:                   false,
-		{Repeat: Stream, Resumable: true}:  true,
+		{RetrySemantics: RunOnce}:                  false,
+		{RetrySemantics: RunOnce, Resumable: true}: false,
+		{RetrySemantics: Idempotent}:               true,
+		{RetrySemantics: Stream}:                   false,
+		{RetrySemantics: Stream, Resumable: true}:  true,
 	} {
-		if r.MayRepeat() != want {
+		if r.MayRetry() != want {
 			t.Errorf("%+v", r)
 		}
 	}
