--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -84,7 +84,7 @@
 	// Handler runs the requests.
 	Handler Handler
 	// Passer, when set, runs all requests in place of Handler.
-	Passer Forwarder
+	Forwarder Forwarder
 	// Now is the clock of Raw.At; nil means the process's own.
 	Now func() time.Time
 
@@ -254,7 +254,7 @@
 	}
 	_ = nc.SetReadDeadline(time.Time{})
 	c := v.(*conn)
-	if s.Passer != nil {
+	if s.Forwarder != nil {
 		s.takeRaw(hr, nc, c)
 		return
 	}
@@ -284,7 +284,7 @@
 			w.Fail(result.Of(err))
 			return
 		}
-		s.Passer.Forward(ctx, raw, w)
+		s.Forwarder.Forward(ctx, raw, w)
 	})
 }
 
--- a/internal/capacity/memory.go
+++ b/internal/capacity/memory.go
@@ -55,10 +55,10 @@
 	update := series{what: "taking in a report of each", unit: "us"}
 	for _, n := range sizes {
 		before := heap()
-		p := &placement.Balancer{DataCentre: "a", Seed: 1}
+		b := &placement.Balancer{DataCentre: "a", Seed: 1}
 		take := func() {
 			for i := range int(n) {
-				p.Update(placement.Report{
+				b.Update(placement.Report{
 					Endpoint: fmt.Sprintf("endpoint-%05d", i), DataCentre: "a", Incarnation: 1,
 					Routes: []string{"small", "large"}, Allowance: 16, Capacity: 16, Running: i % 16, ValidAt: time.UnixMicro(1),
 				}, time.UnixMicro(1))
--- a/internal/endpoint/allowance/allowance.go
+++ b/internal/endpoint/allowance/allowance.go
@@ -74,7 +74,7 @@
 
 // State is a snapshot of an Allowance.
 type State struct {
-	bound   int
+	limit   int
 	full    int
 	running int
 	cause   ColdStartCause
@@ -82,7 +82,7 @@
 }
 
 // Bound returns the current concurrency limit.
-func (s State) Limit() int { return s.bound }
+func (s State) Limit() int { return s.limit }
 
 // Full returns the concurrency limit of the warm endpoint.
 func (s State) Full() int { return s.full }
@@ -91,7 +91,7 @@
 func (s State) Running() int { return s.running }
 
 // Cold reports whether the limit is still below the full one.
-func (s State) Cold() bool { return s.bound < s.full }
+func (s State) Cold() bool { return s.limit < s.full }
 
 // Cause returns the cause of the latest cold start.
 func (s State) Cause() ColdStartCause { return s.cause }
@@ -139,7 +139,7 @@
 // requests show that caches and kernels have warmed up, whereas elapsed time also
 // passes on an idle endpoint. The limit grows by one at a time, so that a step
 // exceeds the endpoint's capacity by at most one request.
-func (a *Allowance) bound() int {
+func (a *Allowance) limit() int {
 	if a.limits.Full == 0 {
 		return 0
 	}
@@ -158,8 +158,8 @@
 func (a *Allowance) Admit(now time.Time) (Ticket, *result.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	bound := a.bound()
-	if a.running+a.inherited.count(now) < bound {
+	limit := a.limit()
+	if a.running+a.inherited.count(now) < limit {
 		if a.running == 0 {
 			a.retries.becameBusy(now)
 		}
@@ -167,11 +167,11 @@
 		return Ticket{epoch: a.epoch, admittedAt: now}, nil
 	}
 	code := result.EndpointBusy
-	if bound < a.limits.Full || bound == 0 {
+	if limit < a.limits.Full || limit == 0 {
 		code = result.EndpointCold
 	}
-	delay := a.retries.retryAfter(bound, now)
-	return Ticket{}, result.Newf(code, "%d of %d running", a.running, bound).WithRetryAfter(delay)
+	delay := a.retries.retryAfter(limit, now)
+	return Ticket{}, result.Newf(code, "%d of %d running", a.running, limit).WithRetryAfter(delay)
 }
 
 // Renew checks a ticket again immediately before its request is sent.
@@ -184,11 +184,11 @@
 func (a *Allowance) Revalidate(t Ticket, now time.Time) (Ticket, *result.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	bound := a.bound()
-	if t.epoch == a.epoch || a.running+a.inherited.count(now) <= bound {
+	limit := a.limit()
+	if t.epoch == a.epoch || a.running+a.inherited.count(now) <= limit {
 		return Ticket{epoch: a.epoch, admittedAt: t.admittedAt}, nil
 	}
-	delay := a.retries.retryAfter(bound, now)
+	delay := a.retries.retryAfter(limit, now)
 	return Ticket{}, result.New(result.EndpointCold, "it turned cold before the request was sent").WithRetryAfter(delay)
 }
 
@@ -198,7 +198,7 @@
 func (a *Allowance) ObserveTTFT(t Ticket, d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if t.epoch != a.epoch || a.bound() < a.limits.Full {
+	if t.epoch != a.epoch || a.limit() < a.limits.Full {
 		return
 	}
 	if a.ttft.slow(d) {
@@ -215,9 +215,9 @@
 	defer a.mu.Unlock()
 	a.releaseLocked()
 	a.retries.completed(t.admittedAt, now)
-	if t.epoch == a.epoch && a.bound() < a.limits.Full {
+	if t.epoch == a.epoch && a.limit() < a.limits.Full {
 		a.completions++
-		if a.bound() == a.limits.Full {
+		if a.limit() == a.limits.Full {
 			a.warmSince = now
 		}
 	}
@@ -283,7 +283,7 @@
 func (a *Allowance) ReportCold(cold bool, made time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if cold && a.bound() == a.limits.Full && made.After(a.warmSince) {
+	if cold && a.limit() == a.limits.Full && made.After(a.warmSince) {
 		a.resetToColdLocked(Announced)
 	}
 }
@@ -293,7 +293,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return State{
-		bound:   a.bound(),
+		limit:   a.limit(),
 		full:    a.limits.Full,
 		running: a.running,
 		cause:   a.cause,
--- a/internal/endpoint/allowance/allowance_test.go
+++ b/internal/endpoint/allowance/allowance_test.go
@@ -44,20 +44,20 @@
 }
 
 // complete runs one request with the given time to first token.
-func complete(t *testing.T, a *Allowance, firstToken time.Duration) {
+func complete(t *testing.T, a *Allowance, ttft time.Duration) {
 	t.Helper()
 	ticket, err := a.Admit(start)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.ObserveTTFT(ticket, firstToken)
+	a.ObserveTTFT(ticket, ttft)
 	a.Complete(ticket, start)
 }
 
-func requireBound(t *testing.T, a *Allowance, bound int, cause ColdStartCause) {
+func requireLimit(t *testing.T, a *Allowance, limit int, cause ColdStartCause) {
 	t.Helper()
-	if s := a.State(); s.Limit() != bound || s.Cause() != cause {
-		t.Fatalf("limit %d with cause %v, want %d with cause %v", s.Limit(), s.Cause(), bound, cause)
+	if s := a.State(); s.Limit() != limit || s.Cause() != cause {
+		t.Fatalf("limit %d with cause %v, want %d with cause %v", s.Limit(), s.Cause(), limit, cause)
 	}
 }
 
@@ -102,9 +102,9 @@
 		t.Run(tc.cause.String(), func(t *testing.T) {
 			a := newAllowance(t, limits)
 			warmUp(t, a)
-			requireBound(t, a, 8, Unknown)
+			requireLimit(t, a, 8, Unknown)
 			tc.trigger(a)
-			requireBound(t, a, 2, tc.cause)
+			requireLimit(t, a, 2, tc.cause)
 		})
 	}
 }
@@ -122,7 +122,7 @@
 		complete(t, a, time.Second)
 		complete(t, a, 10*time.Millisecond)
 	}
-	requireBound(t, a, 8, Unknown)
+	requireLimit(t, a, 8, Unknown)
 }
 
 // A lasting change to longer prompts may cause one cold start, not a series of
@@ -150,11 +150,11 @@
 	warmUp(t, a)
 	a.ReportCold(true, start.Add(-time.Second))
 	a.ReportCold(false, start.Add(time.Second))
-	requireBound(t, a, 4, Unknown)
+	requireLimit(t, a, 4, Unknown)
 	a.ReportCold(true, start.Add(time.Second))
-	requireBound(t, a, 2, Announced)
+	requireLimit(t, a, 2, Announced)
 	a.ReportCold(false, start.Add(2*time.Second))
-	requireBound(t, a, 2, Announced)
+	requireLimit(t, a, 2, Announced)
 }
 
 // Requests that were admitted while the endpoint was warm complete after it turned
@@ -178,14 +178,14 @@
 			t.Fatalf("with %d old requests running: refused %v", 8-i, refused)
 		}
 		a.Complete(ticket, start)
-		requireBound(t, a, 2, ConnectionLost)
+		requireLimit(t, a, 2, ConnectionLost)
 	}
 }
 
 // Admitted requests wait for their claims when the endpoint turns cold. Sent all at
 // once they would crash it: only as many as fit under the cold limit may be sent,
 // and their completions raise it.
-func TestOldTicketsAreRenewed(t *testing.T) {
+func TestOldTicketsAreRevalidated(t *testing.T) {
 	a := newAllowance(t, Limits{Cold: 2, Full: 8, RampCompletions: 1})
 	warmUp(t, a)
 	var tickets []Ticket
@@ -201,13 +201,13 @@
 		a.Fail(ticket, start)
 	}
 	for _, ticket := range tickets[2:] {
-		renewed, err := a.Revalidate(ticket, start)
+		revalidated, err := a.Revalidate(ticket, start)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.Complete(renewed, start)
+		a.Complete(revalidated, start)
 	}
-	requireBound(t, a, 4, ConnectionLost)
+	requireLimit(t, a, 4, ConnectionLost)
 }
 
 // Many entries with outdated load reports send requests to a cold endpoint at the
@@ -265,7 +265,7 @@
 	admittedAt, at int
 }
 
-func (ref *reference) bound() int {
+func (ref *reference) limit() int {
 	completed := 0
 	for _, e := range ref.completions {
 		if e.admittedAt >= ref.coldSince && e.at >= ref.coldSince {
@@ -283,8 +283,8 @@
 	ref.samples, ref.slowRun = nil, 0
 }
 
-func (ref *reference) firstToken(admittedAt int, d time.Duration) {
-	if admittedAt < ref.coldSince || ref.bound() < ref.limits.Full {
+func (ref *reference) observeTTFT(admittedAt int, d time.Duration) {
+	if admittedAt < ref.coldSince || ref.limit() < ref.limits.Full {
 		return
 	}
 	recent := ref.samples[max(0, len(ref.samples)-ttftWindow):]
@@ -320,8 +320,8 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond)
 			running = applyEvent(t, a, ref, running, now)
 			s := a.State()
-			if s.Limit() != ref.bound() || s.Running() != ref.running {
-				t.Fatalf("limit %d with %d running, reference %d with %d", s.Limit(), s.Running(), ref.bound(), ref.running)
+			if s.Limit() != ref.limit() || s.Running() != ref.running {
+				t.Fatalf("limit %d with %d running, reference %d with %d", s.Limit(), s.Running(), ref.limit(), ref.running)
 			}
 		}
 	})
@@ -359,7 +359,7 @@
 	if kind == "token" {
 		d := time.Duration(rapid.SampledFrom([]int{5, 6, 7, 8, 500}).Draw(t, "token")) * time.Millisecond
 		a.ObserveTTFT(req.ticket, d)
-		ref.firstToken(req.admittedAt, d)
+		ref.observeTTFT(req.admittedAt, d)
 		return running
 	}
 	ref.running--
@@ -376,8 +376,8 @@
 func admitBoth(t *rapid.T, a *Allowance, ref *reference, running []admittedRequest, now time.Time) []admittedRequest {
 	want := result.OK
 	switch {
-	case ref.running < ref.bound():
-	case ref.bound() < ref.limits.Full:
+	case ref.running < ref.limit():
+	case ref.limit() < ref.limits.Full:
 		want = result.EndpointCold
 	default:
 		want = result.EndpointBusy
--- a/internal/endpoint/allowance/pace.go
+++ b/internal/endpoint/allowance/pace.go
@@ -62,14 +62,14 @@
 // completed for longer than the mean service time, that period is used in its
 // place. Delays beyond the upper bound wrap around into its second half, so that
 // they stay spread.
-func (s *retryScheduler) retryAfter(bound int, now time.Time) time.Duration {
+func (s *retryScheduler) retryAfter(limit int, now time.Time) time.Duration {
 	serviceTime, maxDelay := s.serviceTime, maxRetryAfter
 	if serviceTime == 0 {
 		serviceTime, maxDelay = defaultServiceTime, defaultServiceTime
 	} else {
 		serviceTime = max(serviceTime, now.Sub(s.lastProgress))
 	}
-	interval := serviceTime / time.Duration(max(bound, 1)*retriesPerSlot)
+	interval := serviceTime / time.Duration(max(limit, 1)*retriesPerSlot)
 	if s.nextRetry.Before(now) {
 		s.nextRetry = now
 	}
--- a/internal/endpoint/batch/batch.go
+++ b/internal/endpoint/batch/batch.go
@@ -59,12 +59,12 @@
 // MostAtPace returns the largest batch of which a pass takes at most gap less
 // deliveryMargin at an imbalance of CalmSkew, on an engine that is slower than usual
 // by the factor pace. It may be 0; a gap of zero means no bound.
-func MaxBatchAtSlowdown(e *routing.Engine, gap time.Duration, pace float64) int {
+func MaxBatchAtSlowdown(e *routing.Engine, gap time.Duration, slowdown float64) int {
 	if gap <= 0 {
 		return e.Slots
 	}
 	n := 0
-	for n < e.Slots && float64(PassDuration(e, n+1, PlannedSkew))*pace <= float64(gap-deliveryMargin) {
+	for n < e.Slots && float64(PassDuration(e, n+1, PlannedSkew))*slowdown <= float64(gap-deliveryMargin) {
 		n++
 	}
 	return n
--- a/internal/endpoint/batch/batch_test.go
+++ b/internal/endpoint/batch/batch_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-func TestPassGrowsWithWritersAndSkew(t *testing.T) {
+func TestPassDurationGrowsWithBatchAndSkew(t *testing.T) {
 	e := engine()
 	if a, b := PassDuration(e, 4, 1.3), PassDuration(e, 8, 1.3); a >= b {
 		t.Fatalf("a pass takes %v with 4 requests, %v with 8", a, b)
@@ -27,7 +27,7 @@
 
 // When expert popularity changes while batches are full, passes exceed the
 // longest pause that clients tolerate and every stream is late.
-func TestMostWritersKeepThePause(t *testing.T) {
+func TestMaxBatchKeepsThePause(t *testing.T) {
 	e := engine()
 	for _, gap := range []time.Duration{80 * time.Millisecond, 120 * time.Millisecond, 150 * time.Millisecond} {
 		n := MaxBatch(e, gap)
--- a/internal/endpoint/direct/answer.go
+++ b/internal/endpoint/direct/answer.go
@@ -34,18 +34,18 @@
 
 // exchange writes r and reads the header of the response to it, skipping up to
 // maxStaleResponses responses to earlier requests.
-func (a *Response) exchange(r *Request) error {
-	a.writer = startWriter(a.conn, r)
-	if a.writer.sent == 0 && a.writer.err != nil {
-		return &NotSentError{cause: a.writer.err}
+func (r *Response) exchange(req *Request) error {
+	r.writer = startWriter(r.conn, req)
+	if r.writer.sent == 0 && r.writer.err != nil {
+		return &NotSentError{cause: r.writer.err}
 	}
 	for range maxStaleResponses + 1 {
-		resp, err := readResponse(a.conn.br, r.Method)
+		resp, err := readResponse(r.conn.br, req.Method)
 		if err != nil {
 			return err
 		}
-		a.resp, a.Status, a.Header, a.Length = resp, resp.StatusCode, resp.Header, resp.ContentLength
-		if r.Matches == nil || r.Matches(resp.Header) {
+		r.resp, r.Status, r.Header, r.Length = resp, resp.StatusCode, resp.Header, resp.ContentLength
+		if req.Matches == nil || req.Matches(resp.Header) {
 			return nil
 		}
 		// An endpoint may respond to a request twice, and the duplicate is read
@@ -79,34 +79,34 @@
 }
 
 // Read reads the body. It returns io.EOF only if the body is complete.
-func (a *Response) Read(p []byte) (int, error) {
-	n, err := a.resp.Body.Read(p)
+func (r *Response) Read(p []byte) (int, error) {
+	n, err := r.resp.Body.Read(p)
 	if err == io.EOF {
-		a.complete = true
+		r.complete = true
 	}
 	return n, err
 }
 
 // Whole reports whether the body has been read to its end.
-func (a *Response) Complete() bool { return a.complete }
+func (r *Response) Complete() bool { return r.complete }
 
 // Close returns the connection to the pool if the body was read to its end and
 // the connection can be reused, and closes it otherwise.
-func (a *Response) Close() {
-	active := a.stopAbort()
-	if !active || !a.reusable() {
-		a.closeAfterWrite(active)
+func (r *Response) Close() {
+	active := r.stopAbort()
+	if !active || !r.reusable() {
+		r.closeAfterWrite(active)
 		return
 	}
-	a.conn.used = true
-	a.client.release(a.conn, idleTimeout(a.resp.Header))
+	r.conn.used = true
+	r.client.release(r.conn, idleTimeout(r.resp.Header))
 }
 
 // reusable reports whether the connection can carry another request: request
 // and response are complete, no data follows, and the endpoint doesn't close
 // the connection.
-func (a *Response) reusable() bool {
-	return a.complete && a.resp != nil && !a.resp.Close && a.conn.br.Buffered() == 0 && a.writer.finished() == nil && hasFraming(a.resp)
+func (r *Response) reusable() bool {
+	return r.complete && r.resp != nil && !r.resp.Close && r.conn.br.Buffered() == 0 && r.writer.finished() == nil && hasFraming(r.resp)
 }
 
 // hasFraming reports whether the end of the body is marked by its length or by
@@ -121,21 +121,21 @@
 // later. It must receive all of the body, so after a complete response the
 // connection is closed only when the body has been written or bodyWriteTimeout
 // has passed. Otherwise the connection is reset at once.
-func (a *Response) closeAfterWrite(active bool) {
-	if !active || !a.complete {
-		a.conn.abort()
+func (r *Response) closeAfterWrite(active bool) {
+	if !active || !r.complete {
+		r.conn.abort()
 		return
 	}
-	if a.writer.isDone() {
-		_ = a.conn.Conn.Close()
+	if r.writer.isDone() {
+		_ = r.conn.Conn.Close()
 		return
 	}
 	go func() {
 		select {
-		case <-a.writer.done:
+		case <-r.writer.done:
 		case <-time.After(bodyWriteTimeout):
 		}
-		_ = a.conn.Conn.Close()
+		_ = r.conn.Conn.Close()
 	}()
 }
 
--- a/internal/endpoint/direct/client.go
+++ b/internal/endpoint/direct/client.go
@@ -55,19 +55,19 @@
 // Do sends r to addr and returns the response when its header has arrived. The
 // returned Answer must be closed. When ctx is done, the connection is reset, also
 // while the body is being read.
-func (c *Client) Do(ctx context.Context, addr string, r *Request) (*Response, error) {
-	cn, err := c.acquire(ctx, addr, r.AvoidExpiring)
+func (c *Client) Do(ctx context.Context, addr string, req *Request) (*Response, error) {
+	cn, err := c.acquire(ctx, addr, req.AvoidExpiring)
 	if err != nil {
 		return nil, &NotSentError{cause: err}
 	}
-	a := &Response{client: c, conn: cn}
-	a.stopAbort = context.AfterFunc(ctx, cn.abort)
-	if err := a.exchange(r); err != nil {
-		a.Close()
+	r := &Response{client: c, conn: cn}
+	r.stopAbort = context.AfterFunc(ctx, cn.abort)
+	if err := r.exchange(req); err != nil {
+		r.Close()
 		if ctx.Err() != nil && !IsNotSent(err) {
 			err = fmt.Errorf("%w: %w", context.Cause(ctx), err)
 		}
 		return nil, err
 	}
-	return a, nil
+	return r, nil
 }
--- a/internal/endpoint/direct/client_test.go
+++ b/internal/endpoint/direct/client_test.go
@@ -66,12 +66,12 @@
 func get(c *Client, addr, id string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	a, err := c.Do(ctx, addr, request(id))
+	r, err := c.Do(ctx, addr, request(id))
 	if err != nil {
 		return "", err
 	}
-	defer a.Close()
-	b, err := io.ReadAll(a)
+	defer r.Close()
+	b, err := io.ReadAll(r)
 	return string(b), err
 }
 
@@ -84,7 +84,7 @@
 
 // An endpoint responds to a request twice, and the duplicate is taken for the
 // response to the next request on the connection.
-func TestSecondAnswerBelongsToNobody(t *testing.T) {
+func TestSecondResponseBelongsToNobody(t *testing.T) {
 	t.Run("duplicate arrives before the next request", func(t *testing.T) {
 		addr := serve(t,
 			func(t *testing.T, c net.Conn, br *bufio.Reader) {
@@ -117,7 +117,7 @@
 
 // A truncated response without a length is taken for a complete one. Only the way
 // in which the connection ends tells them apart: a reset means truncation.
-func TestAnswerWithoutLength(t *testing.T) {
+func TestResponseWithoutLength(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\n"
 	t.Run("closed, response is complete", func(t *testing.T) {
 		addr := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
@@ -141,7 +141,7 @@
 	})
 }
 
-func TestBrokenAnswers(t *testing.T) {
+func TestBrokenResponses(t *testing.T) {
 	for name, text := range map[string]string{
 		"cut short":           "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 100\r\n\r\nshort",
 		"not in the protocol": "\x00\x01 what is this\r\n\r\n",
@@ -220,7 +220,7 @@
 
 // An endpoint rejects a long request before it has read the body, and reads the
 // body later. It must still receive all of the body and nothing else.
-func TestEarlyAnswerGetsTheRestOfTheBody(t *testing.T) {
+func TestEarlyResponseGetsTheRestOfTheBody(t *testing.T) {
 	body := strings.Repeat("b", 4<<20)
 	got := make(chan int, 1)
 	addr := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
@@ -237,16 +237,16 @@
 		}
 		got <- len(b)
 	})
-	r := request("1")
-	r.Method, r.Body = http.MethodPost, []byte(body)
-	a, err := (&Client{}).Do(context.Background(), addr, r)
+	req := request("1")
+	req.Method, req.Body = http.MethodPost, []byte(body)
+	r, err := (&Client{}).Do(context.Background(), addr, req)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadAll(a); err != nil || a.Status != http.StatusRequestEntityTooLarge {
-		t.Fatalf("%d, %v", a.Status, err)
+	if _, err := io.ReadAll(r); err != nil || r.Status != http.StatusRequestEntityTooLarge {
+		t.Fatalf("%d, %v", r.Status, err)
 	}
-	a.Close()
+	r.Close()
 	if n := <-got; n != len(body) {
 		t.Fatalf("%d bytes of %d arrived", n, len(body))
 	}
--- a/internal/endpoint/direct/pool.go
+++ b/internal/endpoint/direct/pool.go
@@ -59,9 +59,9 @@
 }
 
 // acquire returns a pooled connection that is still open, or dials a new one.
-func (c *Client) acquire(ctx context.Context, addr string, fresh bool) (*conn, error) {
+func (c *Client) acquire(ctx context.Context, addr string, avoidExpiring bool) (*conn, error) {
 	for cn := c.takeIdle(addr); cn != nil; cn = c.takeIdle(addr) {
-		if cn.br.Buffered() == 0 && isIdle(cn.Conn) && (!fresh || time.Until(cn.expires) > idleTimeoutMargin) {
+		if cn.br.Buffered() == 0 && isIdle(cn.Conn) && (!avoidExpiring || time.Until(cn.expires) > idleTimeoutMargin) {
 			return cn, nil
 		}
 		_ = cn.Conn.Close()
--- a/internal/endpoint/direct/writer.go
+++ b/internal/endpoint/direct/writer.go
@@ -42,11 +42,11 @@
 
 // startWriter writes r to cn. It writes a body of more than maxInlineBody bytes in
 // a goroutine, because the endpoint may respond before it has read the body.
-func startWriter(cn *conn, r *Request) *writer {
+func startWriter(cn *conn, req *Request) *writer {
 	w := &writer{done: make(chan struct{})}
-	header := encodeHeader(r)
-	if len(r.Body) <= maxInlineBody {
-		w.sent, w.err = cn.Write(append(header, r.Body...))
+	header := encodeHeader(req)
+	if len(req.Body) <= maxInlineBody {
+		w.sent, w.err = cn.Write(append(header, req.Body...))
 		close(w.done)
 		return w
 	}
@@ -57,17 +57,17 @@
 	}
 	go func() {
 		defer close(w.done)
-		_, w.err = cn.Write(r.Body)
+		_, w.err = cn.Write(req.Body)
 	}()
 	return w
 }
 
 // encodeHeader returns the request line and the header of r. It doesn't escape
 // header values: they come from a parsed request and contain no line breaks.
-func encodeHeader(r *Request) []byte {
+func encodeHeader(req *Request) []byte {
 	var b bytes.Buffer
-	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	for name, values := range r.Header {
+	b.WriteString(req.Method + " " + req.Target + " HTTP/1.1\r\nHost: " + req.Host + "\r\n")
+	for name, values := range req.Header {
 		if name == "Host" || name == "Content-Length" {
 			continue
 		}
@@ -75,8 +75,8 @@
 			b.WriteString(name + ": " + v + "\r\n")
 		}
 	}
-	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
-		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
+	if len(req.Body) > 0 || req.Method == http.MethodPost || req.Method == http.MethodPut || req.Method == http.MethodPatch {
+		b.WriteString("Content-Length: " + strconv.Itoa(len(req.Body)) + "\r\n")
 	}
 	b.WriteString("\r\n")
 	return b.Bytes()
--- a/internal/endpoint/placement/affinity.go
+++ b/internal/endpoint/placement/affinity.go
@@ -73,7 +73,7 @@
 // An endpoint that hasn't cached the prefix must compute it again, whereas a
 // popular prefix can overload the one endpoint that has; AffineBound is the
 // compromise between both.
-func (p *Balancer) affinityEndpoint(s *route, q *Query, now time.Time) *endpoint {
+func (b *Balancer) affinityEndpoint(s *route, q *Query, now time.Time) *endpoint {
 	if q.Prefix == 0 {
 		return nil
 	}
@@ -84,7 +84,7 @@
 	if len(points) == 0 {
 		return nil
 	}
-	maxScore := p.AffinityBound * p.meanLoadScore(s, q, now)
+	maxScore := b.AffinityBound * b.meanLoadScore(s, q, now)
 	pos := s.ring.successor(mix64(q.Prefix))
 	var previous *endpoint
 	for candidates := 0; candidates < maxRingCandidates; pos++ {
@@ -95,10 +95,10 @@
 		}
 		previous = e
 		candidates++
-		if p.state(e, s, now) != eligible || alreadyTried(q, e) || e.slowdown(s, now) >= slowThreshold {
+		if b.state(e, s, now) != eligible || alreadyTried(q, e) || e.slowdown(s, now) >= slowThreshold {
 			continue
 		}
-		if p.loadScore(e, s, q, now) <= maxScore {
+		if b.loadScore(e, s, q, now) <= maxScore {
 			return e
 		}
 	}
@@ -107,14 +107,14 @@
 
 // meanLoadScore estimates the mean load score of the available endpoints from a
 // random sample. It returns 1 if the sample contains none.
-func (p *Balancer) meanLoadScore(s *route, q *Query, now time.Time) float64 {
+func (b *Balancer) meanLoadScore(s *route, q *Query, now time.Time) float64 {
 	var sum, n float64
 	for range meanSampleSize {
-		e := s.endpoints[p.nextRandom()%uint64(len(s.endpoints))]
+		e := s.endpoints[b.nextRandom()%uint64(len(s.endpoints))]
 		if e.unavailable() {
 			continue
 		}
-		sum += p.loadScore(e, s, q, now)
+		sum += b.loadScore(e, s, q, now)
 		n++
 	}
 	if n == 0 {
--- a/internal/endpoint/placement/attempt.go
+++ b/internal/endpoint/placement/attempt.go
@@ -52,16 +52,16 @@
 // Started records that an attempt was placed on the selected endpoint. Its load
 // counts from now until it ends, independent of reports. Started returns nil if
 // the endpoint was removed after it was selected.
-func (p *Balancer) Start(c Choice, q Query, now time.Time) *Attempt {
-	e := p.endpoints[c.Endpoint]
+func (b *Balancer) Start(c Choice, q Query, now time.Time) *Attempt {
+	e := b.endpoints[c.Endpoint]
 	if e == nil {
 		return nil
 	}
 	a := &Attempt{
 		endpoint: e, incarnation: e.incarnation, tokens: max(0, q.Tokens),
-		started: now, lastProgress: now, route: p.routes[q.Route],
+		started: now, lastProgress: now, route: b.routes[q.Route],
 	}
-	p.observeTokens(a.tokens)
+	b.observeTokens(a.tokens)
 	e.attempts.add(a)
 	e.addOwnLoad(1, a.tokens, now)
 	return a
@@ -77,12 +77,12 @@
 
 // Piece records that a part of the response has arrived. It does nothing if a
 // is nil or has ended.
-func (p *Balancer) Progress(a *Attempt, now time.Time) {
+func (b *Balancer) Progress(a *Attempt, now time.Time) {
 	if a == nil || a.ended {
 		return
 	}
 	e := a.endpoint
-	p.Accept(a)
+	b.Accept(a)
 	if !a.responded {
 		a.responded = true
 		e.consecutiveFailures = 0
@@ -95,7 +95,7 @@
 
 // Ended removes the load of the attempt from its endpoint. It does nothing if a
 // is nil or has ended.
-func (p *Balancer) End(a *Attempt, now time.Time) {
+func (b *Balancer) End(a *Attempt, now time.Time) {
 	if a == nil || a.ended {
 		return
 	}
@@ -114,11 +114,11 @@
 // At saturation each entry has queued requests and tries each free slot that an
 // outdated report shows. Without the backoff agents would spend most of their
 // work on refusals.
-func (p *Balancer) Refuse(a *Attempt, retryAfter time.Duration, now time.Time) {
+func (b *Balancer) Refuse(a *Attempt, retryAfter time.Duration, now time.Time) {
 	if a == nil || a.ended {
 		return
 	}
-	p.End(a, now)
+	b.End(a, now)
 	e := a.endpoint
 	backoff := min(max(retryAfter, minBackoff<<min(e.consecutiveRefusals, 10)), maxBackoff)
 	if !a.started.Before(e.lastRefusal) {
@@ -141,11 +141,11 @@
 // Attempts that started before the last failure are ignored, because an engine
 // that restarts breaks all its streams at once. Without this rule, six
 // broken streams ejected an engine for 8 s that was back immediately.
-func (p *Balancer) Fail(a *Attempt, now time.Time) {
+func (b *Balancer) Fail(a *Attempt, now time.Time) {
 	if a == nil || a.ended {
 		return
 	}
-	p.End(a, now)
+	b.End(a, now)
 	e := a.endpoint
 	if a.incarnation != e.incarnation || a.started.Before(e.lastFailure) {
 		return
@@ -165,7 +165,7 @@
 
 // Accepted records that the agent accepted the attempt. It does nothing if a is
 // nil.
-func (p *Balancer) Accept(a *Attempt) {
+func (b *Balancer) Accept(a *Attempt) {
 	if a != nil && a.incarnation == a.endpoint.incarnation {
 		a.endpoint.consecutiveRefusals = 0
 	}
--- a/internal/endpoint/placement/choose.go
+++ b/internal/endpoint/placement/choose.go
@@ -43,20 +43,20 @@
 // loadScore returns the load of e with the query added, relative to its
 // capacity; lower is better. Slow endpoints, endpoints in slow start and
 // endpoints of other data centres get higher scores.
-func (p *Balancer) loadScore(e *endpoint, s *route, q *Query, now time.Time) float64 {
+func (b *Balancer) loadScore(e *endpoint, s *route, q *Query, now time.Time) float64 {
 	streams := e.streams() + 1
 	tokens := e.otherTokens + float64(e.ownTokens+q.Tokens)
 	capacity := float64(e.capacity)
 	if e.cold {
 		capacity = float64(max(1, e.allowance))
 	}
-	if !e.hasRecentReport(now, p.StaleAfter) {
+	if !e.hasRecentReport(now, b.StaleAfter) {
 		streams = math.Max(streams, unknownLoad*capacity)
 	}
-	score := (streams + tokenWeight*tokens/p.meanTokens) / (capacity * p.slowStartFraction(e, now))
+	score := (streams + tokenWeight*tokens/b.meanTokens) / (capacity * b.slowStartFraction(e, now))
 	score *= e.slowdown(s, now)
 	if !e.local {
-		score += p.RemotePenalty
+		score += b.RemotePenalty
 	}
 	return score
 }
@@ -70,64 +70,64 @@
 // load, all its endpoints look idle at once; without the slow start, all
 // entries would immediately send them all requests, while their caches are
 // empty.
-func (p *Balancer) slowStartFraction(e *endpoint, now time.Time) float64 {
+func (b *Balancer) slowStartFraction(e *endpoint, now time.Time) float64 {
 	elapsed := now.Sub(e.availableSince)
-	if elapsed >= p.SlowStart {
+	if elapsed >= b.SlowStart {
 		return 1
 	}
-	return math.Max(minSlowStartFraction, elapsed.Seconds()/p.SlowStart.Seconds())
+	return math.Max(minSlowStartFraction, elapsed.Seconds()/b.SlowStart.Seconds())
 }
 
 // Choose returns the endpoint for one attempt. If ok is false, why is the
 // reason that none could be selected: EndpointBusy and EndpointCold are
 // temporary, the other codes last until an endpoint comes into service. Choose
 // doesn't allocate.
-func (p *Balancer) Choose(q Query, now time.Time) (c Choice, ok bool, why result.Code) {
-	s := p.routes[q.Route]
+func (b *Balancer) Choose(q Query, now time.Time) (c Choice, ok bool, why result.Code) {
+	s := b.routes[q.Route]
 	if s == nil || len(s.endpoints) == 0 {
 		return Choice{}, false, result.NoEndpoint
 	}
-	if e := p.affinityEndpoint(s, &q, now); e != nil {
-		return p.recordChoice(e, true, false, now), true, result.OK
+	if e := b.affinityEndpoint(s, &q, now); e != nil {
+		return b.recordChoice(e, true, false, now), true, result.OK
 	}
-	e, probe := p.sample(s, &q, now)
+	e, probe := b.sample(s, &q, now)
 	if e != nil {
-		return p.recordChoice(e, false, probe, now), true, result.OK
+		return b.recordChoice(e, false, probe, now), true, result.OK
 	}
-	e, reason := p.scan(s, &q, now)
+	e, reason := b.scan(s, &q, now)
 	if e != nil {
-		return p.recordChoice(e, false, false, now), true, result.OK
+		return b.recordChoice(e, false, false, now), true, result.OK
 	}
 	return Choice{}, false, rejectionCodes[reason]
 }
 
 // recordChoice records that e was selected and returns the Choice.
-func (p *Balancer) recordChoice(e *endpoint, affine, probe bool, now time.Time) Choice {
+func (b *Balancer) recordChoice(e *endpoint, byAffinity, probe bool, now time.Time) Choice {
 	e.lastChosen = now
 	if probe {
 		e.probes++
 	}
 	return Choice{
 		Endpoint: e.name, Incarnation: e.incarnation, DataCentre: e.dataCentre,
-		ByAffinity: affine, Probe: probe,
+		ByAffinity: byAffinity, Probe: probe,
 	}
 }
 
 // sample returns the endpoint with the lowest load score among p.Draws random
 // ones, or nil if none of them can be selected. It returns a slow endpoint,
 // with probe set, as soon as it finds one that is due to be probed.
-func (p *Balancer) sample(s *route, q *Query, now time.Time) (lowest *endpoint, probe bool) {
+func (b *Balancer) sample(s *route, q *Query, now time.Time) (lowest *endpoint, probe bool) {
 	lowestScore := math.Inf(1)
 	n := uint64(len(s.endpoints))
-	for range p.Samples {
-		e := s.endpoints[p.nextRandom()%n]
-		if p.state(e, s, now) != eligible || alreadyTried(q, e) {
+	for range b.Samples {
+		e := s.endpoints[b.nextRandom()%n]
+		if b.state(e, s, now) != eligible || alreadyTried(q, e) {
 			continue
 		}
-		if p.probeDue(e, s, q, now) {
+		if b.probeDue(e, s, q, now) {
 			return e, true
 		}
-		if score := p.loadScore(e, s, q, now); score < lowestScore {
+		if score := b.loadScore(e, s, q, now); score < lowestScore {
 			lowest, lowestScore = e, score
 		}
 	}
@@ -139,8 +139,8 @@
 // for ever, because it gets no requests that could show its recovery. Probes
 // become less frequent as long as the endpoint stays slow, because each of them
 // delays a client.
-func (p *Balancer) probeDue(e *endpoint, s *route, q *Query, now time.Time) bool {
-	interval := p.ProbeInterval << min(e.probes, maxProbeDoublings)
+func (b *Balancer) probeDue(e *endpoint, s *route, q *Query, now time.Time) bool {
+	interval := b.ProbeInterval << min(e.probes, maxProbeDoublings)
 	if q.RunOnce || e.ownStreams > 0 || now.Sub(e.lastChosen) < interval {
 		return false
 	}
@@ -150,18 +150,18 @@
 // scan returns the endpoint with the lowest load score among all endpoints, for
 // when sample finds none. If no endpoint can be selected, it returns the index
 // in rejectionCodes of the reason that is most likely to pass.
-func (p *Balancer) scan(s *route, q *Query, now time.Time) (lowest *endpoint, why int) {
+func (b *Balancer) scan(s *route, q *Query, now time.Time) (lowest *endpoint, why int) {
 	lowestScore := math.Inf(1)
 	for _, e := range s.endpoints {
 		if alreadyTried(q, e) {
 			continue
 		}
-		st := p.state(e, s, now)
+		st := b.state(e, s, now)
 		if st != eligible {
 			why = max(why, st)
 			continue
 		}
-		if score := p.loadScore(e, s, q, now); score < lowestScore {
+		if score := b.loadScore(e, s, q, now); score < lowestScore {
 			lowest, lowestScore = e, score
 		}
 	}
--- a/internal/endpoint/placement/endpoint.go
+++ b/internal/endpoint/placement/endpoint.go
@@ -18,13 +18,13 @@
 	allowance  int
 	capacity   int
 	cold       bool
-	leaving    bool
+	draining   bool
 	// reportedOut is whether the agent reports the endpoint as out of service,
 	// and configuredOut whether the entry's configuration says so. Either may
 	// lag behind the other; the endpoint is out of service if one of them is
 	// set.
-	reportedOut   bool
-	configuredOut bool
+	reportedOutOfService bool
+	configuredOut        bool
 	// otherStreams and otherTokens are the reported load from other entries.
 	otherStreams float64
 	otherTokens  float64
@@ -71,7 +71,7 @@
 }
 
 // unavailable reports whether the endpoint is leaving or out of service.
-func (e *endpoint) unavailable() bool { return e.leaving || e.reportedOut || e.configuredOut }
+func (e *endpoint) unavailable() bool { return e.draining || e.reportedOutOfService || e.configuredOut }
 
 // applyReport copies the report and subtracts the load that this entry had on
 // the endpoint at the time of the report. Attempts that this entry starts later
@@ -83,7 +83,7 @@
 	e.local = r.DataCentre == dataCentre
 	e.allowance = max(0, r.Allowance)
 	e.capacity = max(1, r.Capacity, r.Allowance)
-	e.cold, e.leaving, e.reportedOut = r.Cold, r.Draining, r.OutOfService
+	e.cold, e.draining, e.reportedOutOfService = r.Cold, r.Draining, r.OutOfService
 	e.reportedAt = r.ValidAt
 	own, tokens := e.history.loadAt(r.ValidAt)
 	others := math.Max(0, float64(r.Running-own))
@@ -105,18 +105,18 @@
 
 // state returns eligible, or the index in rejectionCodes of the reason that the
 // endpoint can't be selected.
-func (p *Balancer) state(e *endpoint, s *route, now time.Time) int {
+func (b *Balancer) state(e *endpoint, s *route, now time.Time) int {
 	switch {
-	case e.reportedOut || e.configuredOut:
+	case e.reportedOutOfService || e.configuredOut:
 		return outOfService
-	case e.leaving:
-		return leaving
+	case e.draining:
+		return draining
 	case now.Before(e.ejectedUntil):
 		return busy
-	case !e.hasRecentReport(now, p.StaleAfter):
-		return p.stateUnknown(e, now)
+	case !e.hasRecentReport(now, b.StaleAfter):
+		return b.stateUnknown(e, now)
 	case e.cold:
-		return p.stateCold(e, now)
+		return b.stateCold(e, now)
 	case e.streams() >= e.streamLimit(s, now) && !e.mayRetry(now):
 		return busy
 	}
@@ -134,7 +134,7 @@
 // one attempt of this entry at a time, so that an endpoint that looks idle only
 // because its reports have stopped isn't flooded. One attempt is enough to get
 // new information, because the agent still refuses what the endpoint can't run.
-func (p *Balancer) stateUnknown(e *endpoint, now time.Time) int {
+func (b *Balancer) stateUnknown(e *endpoint, now time.Time) int {
 	if e.ownStreams > 0 || now.Before(e.backoffUntil) {
 		return busy
 	}
@@ -146,9 +146,9 @@
 // back, all entries see the same free allowance in the same outdated report.
 // The agent would refuse the excess, but each refusal costs the client a round
 // trip.
-func (p *Balancer) stateCold(e *endpoint, now time.Time) int {
+func (b *Balancer) stateCold(e *endpoint, now time.Time) int {
 	free := float64(e.allowance) - e.otherStreams
-	quota := math.Ceil(free / float64(p.Entries))
+	quota := math.Ceil(free / float64(b.Entries))
 	if now.Before(e.backoffUntil) || float64(e.ownStreams) >= quota || free <= 0 {
 		return cold
 	}
--- a/internal/endpoint/placement/picture.go
+++ b/internal/endpoint/placement/picture.go
@@ -58,36 +58,36 @@
 	meanTokens     float64
 }
 
-func (p *Balancer) init() {
-	if p.endpoints != nil {
+func (b *Balancer) init() {
+	if b.endpoints != nil {
 		return
 	}
-	p.endpoints = make(map[string]*endpoint)
-	p.routes = make(map[string]*route)
-	p.outEndpoints = make(map[string]bool)
-	p.outDataCentres = make(map[string]bool)
-	p.rngState = mix64(p.Seed + 1)
-	p.meanTokens = initialMeanTokens
-	if p.Entries <= 0 {
-		p.Entries = 1
+	b.endpoints = make(map[string]*endpoint)
+	b.routes = make(map[string]*route)
+	b.outEndpoints = make(map[string]bool)
+	b.outDataCentres = make(map[string]bool)
+	b.rngState = mix64(b.Seed + 1)
+	b.meanTokens = initialMeanTokens
+	if b.Entries <= 0 {
+		b.Entries = 1
 	}
-	if p.StaleAfter <= 0 {
-		p.StaleAfter = DefaultStaleAfter
+	if b.StaleAfter <= 0 {
+		b.StaleAfter = DefaultStaleAfter
 	}
-	if p.SlowStart <= 0 {
-		p.SlowStart = DefaultSlowStart
+	if b.SlowStart <= 0 {
+		b.SlowStart = DefaultSlowStart
 	}
-	if p.ProbeInterval <= 0 {
-		p.ProbeInterval = DefaultProbeInterval
+	if b.ProbeInterval <= 0 {
+		b.ProbeInterval = DefaultProbeInterval
 	}
-	if p.Samples <= 0 {
-		p.Samples = DefaultSamples
+	if b.Samples <= 0 {
+		b.Samples = DefaultSamples
 	}
-	if p.RemotePenalty <= 0 {
-		p.RemotePenalty = DefaultRemotePenalty
+	if b.RemotePenalty <= 0 {
+		b.RemotePenalty = DefaultRemotePenalty
 	}
-	if p.AffinityBound <= 0 {
-		p.AffinityBound = DefaultAffinityBound
+	if b.AffinityBound <= 0 {
+		b.AffinityBound = DefaultAffinityBound
 	}
 }
 
@@ -97,15 +97,15 @@
 
 // Update applies a report. It returns false if it ignored the report because it
 // names no endpoint or is older than a previous one.
-func (p *Balancer) Update(r Report, now time.Time) bool {
-	p.init()
+func (b *Balancer) Update(r Report, now time.Time) bool {
+	b.init()
 	if r.Endpoint == "" {
 		return false
 	}
-	e := p.endpoints[r.Endpoint]
+	e := b.endpoints[r.Endpoint]
 	if e == nil {
 		e = &endpoint{name: r.Endpoint, hash: xxhash.Sum64String(r.Endpoint), availableSince: now}
-		p.endpoints[r.Endpoint] = e
+		b.endpoints[r.Endpoint] = e
 	}
 	if r.Incarnation < e.incarnation {
 		return false
@@ -116,36 +116,36 @@
 		return false
 	}
 	wasUnavailable := e.unavailable()
-	e.applyReport(r, p.DataCentre)
-	e.configuredOut = p.outEndpoints[r.Endpoint] || p.outDataCentres[r.DataCentre]
+	e.applyReport(r, b.DataCentre)
+	e.configuredOut = b.outEndpoints[r.Endpoint] || b.outDataCentres[r.DataCentre]
 	if wasUnavailable && !e.unavailable() {
 		e.availableSince = now
 	}
-	p.setRoutes(e, r.Routes)
+	b.setRoutes(e, r.Routes)
 	return true
 }
 
 // Remove removes an endpoint whose VM has gone. Open attempts on it may still
 // be ended afterwards.
-func (p *Balancer) Remove(name string) {
-	p.init()
-	e := p.endpoints[name]
+func (b *Balancer) Remove(name string) {
+	b.init()
+	e := b.endpoints[name]
 	if e == nil {
 		return
 	}
-	delete(p.endpoints, name)
-	p.setRoutes(e, nil)
+	delete(b.endpoints, name)
+	b.setRoutes(e, nil)
 }
 
 // SetOut sets the endpoints and the data centres that operators have taken out
 // of service. The lists replace those of earlier calls.
-func (p *Balancer) SetOutOfService(endpoints, dataCentres []string, now time.Time) {
-	p.init()
-	p.outEndpoints = toSet(endpoints)
-	p.outDataCentres = toSet(dataCentres)
-	for _, e := range p.endpoints {
+func (b *Balancer) SetOutOfService(endpoints, dataCentres []string, now time.Time) {
+	b.init()
+	b.outEndpoints = toSet(endpoints)
+	b.outDataCentres = toSet(dataCentres)
+	for _, e := range b.endpoints {
 		wasUnavailable := e.unavailable()
-		e.configuredOut = p.outEndpoints[e.name] || p.outDataCentres[e.dataCentre]
+		e.configuredOut = b.outEndpoints[e.name] || b.outDataCentres[e.dataCentre]
 		if wasUnavailable && !e.unavailable() {
 			e.availableSince = now
 		}
@@ -161,19 +161,19 @@
 }
 
 // setRoutes makes e serve exactly the given routes.
-func (p *Balancer) setRoutes(e *endpoint, routes []string) {
+func (b *Balancer) setRoutes(e *endpoint, routes []string) {
 	if equal(e.routes, routes) {
 		return
 	}
 	for _, name := range e.routes {
-		p.routes[name].remove(e)
+		b.routes[name].remove(e)
 	}
 	e.routes = append([]string(nil), routes...)
 	for _, name := range e.routes {
-		s := p.routes[name]
+		s := b.routes[name]
 		if s == nil {
 			s = &route{}
-			p.routes[name] = s
+			b.routes[name] = s
 		}
 		s.add(e)
 	}
@@ -192,22 +192,22 @@
 }
 
 // Len returns the number of known endpoints.
-func (p *Balancer) Len() int { return len(p.endpoints) }
+func (b *Balancer) Len() int { return len(b.endpoints) }
 
 // Load returns the estimated number of streams on the endpoint, and whether the
 // endpoint is known and its report is recent.
-func (p *Balancer) Load(name string, now time.Time) (float64, bool) {
-	e := p.endpoints[name]
+func (b *Balancer) Load(name string, now time.Time) (float64, bool) {
+	e := b.endpoints[name]
 	if e == nil {
 		return 0, false
 	}
-	return e.streams(), e.hasRecentReport(now, p.StaleAfter)
+	return e.streams(), e.hasRecentReport(now, b.StaleAfter)
 }
 
 // nextRandom returns a pseudo-random number (SplitMix64).
-func (p *Balancer) nextRandom() uint64 {
-	p.rngState += 0x9e3779b97f4a7c15
-	return mix64(p.rngState)
+func (b *Balancer) nextRandom() uint64 {
+	b.rngState += 0x9e3779b97f4a7c15
+	return mix64(b.rngState)
 }
 
 // mix64 is the output function of SplitMix64. It is also used to hash integers.
@@ -218,7 +218,7 @@
 }
 
 // observeTokens updates the moving average of the number of tokens per request.
-func (p *Balancer) observeTokens(n int) {
+func (b *Balancer) observeTokens(n int) {
 	const step = 0.01
-	p.meanTokens += step * (math.Max(1, float64(n)) - p.meanTokens)
+	b.meanTokens += step * (math.Max(1, float64(n)) - b.meanTokens)
 }
--- a/internal/endpoint/placement/placement_test.go
+++ b/internal/endpoint/placement/placement_test.go
@@ -22,18 +22,18 @@
 }
 
 // newPicture returns a Picture of n idle endpoints whose slow start is over.
-func newPicture(n int, now time.Time) *Balancer {
-	p := &Balancer{DataCentre: "dc0", RemotePenalty: 0.01}
+func newBalancer(n int, now time.Time) *Balancer {
+	b := &Balancer{DataCentre: "dc0", RemotePenalty: 0.01}
 	for i := range n {
-		p.Update(idleReport(i, now.Add(-time.Hour)), now.Add(-time.Hour))
-		p.Update(idleReport(i, now), now)
+		b.Update(idleReport(i, now.Add(-time.Hour)), now.Add(-time.Hour))
+		b.Update(idleReport(i, now), now)
 	}
-	return p
+	return b
 }
 
-func mustChoose(t testing.TB, p *Balancer, q Query, now time.Time) Choice {
+func mustChoose(t testing.TB, b *Balancer, q Query, now time.Time) Choice {
 	t.Helper()
-	c, ok, why := p.Choose(q, now)
+	c, ok, why := b.Choose(q, now)
 	if !ok {
 		t.Fatalf("no endpoint was chosen: %v", why)
 	}
@@ -41,20 +41,20 @@
 }
 
 // startRequests places n requests and returns how many each endpoint got.
-func startRequests(t testing.TB, p *Balancer, q Query, n int, now time.Time) map[string]int {
+func startRequests(t testing.TB, b *Balancer, q Query, n int, now time.Time) map[string]int {
 	t.Helper()
 	got := make(map[string]int)
 	for range n {
-		c := mustChoose(t, p, q, now)
-		p.Start(c, q, now)
+		c := mustChoose(t, b, q, now)
+		b.Start(c, q, now)
 		got[c.Endpoint]++
 	}
 	return got
 }
 
-func assertNoChoice(t testing.TB, p *Balancer, q Query, now time.Time, want result.Code) {
+func assertNoChoice(t testing.TB, b *Balancer, q Query, now time.Time, want result.Code) {
 	t.Helper()
-	if c, ok, why := p.Choose(q, now); ok || why != want {
+	if c, ok, why := b.Choose(q, now); ok || why != want {
 		t.Errorf("got %v, %v, %v; want no endpoint and %v", c, ok, why, want)
 	}
 }
@@ -75,19 +75,19 @@
 		{"other route", func(r *Report) { r.Routes = []string{"other"} }, result.NoEndpoint},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := &Balancer{DataCentre: "dc0"}
+			b := &Balancer{DataCentre: "dc0"}
 			r := idleReport(0, now)
 			tc.change(&r)
-			p.Update(r, now)
-			assertNoChoice(t, p, query, now, tc.want)
+			b.Update(r, now)
+			assertNoChoice(t, b, query, now, tc.want)
 		})
 	}
-	p := newPicture(2, now)
-	assertNoChoice(t, p, Query{Route: "model", Tried: []string{name(0), name(1)}}, now, result.NoEndpoint)
-	p.SetOutOfService([]string{name(0)}, []string{"dc1"}, now)
-	assertNoChoice(t, p, query, now, result.OutOfService)
-	p.Update(idleReport(1, now.Add(time.Second)), now.Add(time.Second))
-	assertNoChoice(t, p, query, now, result.OutOfService)
+	b := newBalancer(2, now)
+	assertNoChoice(t, b, Query{Route: "model", Tried: []string{name(0), name(1)}}, now, result.NoEndpoint)
+	b.SetOutOfService([]string{name(0)}, []string{"dc1"}, now)
+	assertNoChoice(t, b, query, now, result.OutOfService)
+	b.Update(idleReport(1, now.Add(time.Second)), now.Add(time.Second))
+	assertNoChoice(t, b, query, now, result.OutOfService)
 }
 
 // loadReference is a simple model of the load history: it keeps all changes of
@@ -111,8 +111,8 @@
 // endpoint looks full or idle when it is not.
 func TestOwnWorkIsJoinedWithLaggingReports(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	p := &Balancer{DataCentre: "dc0"}
-	p.Update(idleReport(0, epoch), epoch)
+	b := &Balancer{DataCentre: "dc0"}
+	b.Update(idleReport(0, epoch), epoch)
 	ref := &loadReference{}
 	var open []*Attempt
 	now, last := epoch, epoch
@@ -120,10 +120,10 @@
 		now = now.Add(time.Duration(1+rng.IntN(50)) * time.Millisecond)
 		switch x := rng.IntN(10); {
 		case x < 5 && len(open) < 20:
-			open = append(open, p.Start(Choice{Endpoint: name(0)}, query, now))
+			open = append(open, b.Start(Choice{Endpoint: name(0)}, query, now))
 		case x < 9 && len(open) > 0:
 			i := rng.IntN(len(open))
-			p.End(open[i], now)
+			b.End(open[i], now)
 			open = append(open[:i], open[i+1:]...)
 		default:
 			at := now.Add(-time.Duration(rng.IntN(500)) * time.Millisecond)
@@ -133,9 +133,9 @@
 			last = at
 			r := idleReport(0, at)
 			r.Running = 20 + rng.IntN(10)
-			p.Update(r, now)
+			b.Update(r, now)
 			want := float64(ref.otherStreams(r) + len(open))
-			if got, _ := p.Load(name(0), now); got != want {
+			if got, _ := b.Load(name(0), now); got != want {
 				t.Fatalf("load is %v, want %v", got, want)
 			}
 			continue
@@ -149,11 +149,11 @@
 // for idle and be flooded with requests.
 func TestUnknownLoadIsNotZero(t *testing.T) {
 	for _, at := range []time.Time{{}, epoch.Add(-time.Minute)} {
-		p := newPicture(12, epoch)
+		b := newBalancer(12, epoch)
 		r := idleReport(3, at)
 		r.Incarnation = 2
-		p.Update(r, epoch.Add(-time.Minute))
-		got := startRequests(t, p, query, 60, epoch)
+		b.Update(r, epoch.Add(-time.Minute))
+		got := startRequests(t, b, query, 60, epoch)
 		if got[name(3)] > 1 {
 			t.Errorf("%d of 60 requests went to an endpoint whose load is unknown", got[name(3)])
 		}
@@ -166,17 +166,17 @@
 	for _, allowance := range []int{0, 1, 4, 30} {
 		total := 0
 		for entry := range 9 {
-			p := newPicture(3, epoch)
-			p.Entries, p.Seed = 9, uint64(entry)
+			b := newBalancer(3, epoch)
+			b.Entries, b.Seed = 9, uint64(entry)
 			r := idleReport(0, epoch)
 			r.Cold, r.Allowance = true, allowance
-			p.Update(r, epoch)
+			b.Update(r, epoch)
 			for range 40 {
-				if c, ok, _ := p.Choose(query, epoch); ok {
-					p.Start(c, query, epoch)
+				if c, ok, _ := b.Choose(query, epoch); ok {
+					b.Start(c, query, epoch)
 				}
 			}
-			n, _ := p.Load(name(0), epoch)
+			n, _ := b.Load(name(0), epoch)
 			total += int(n)
 			if int(n) > allowance {
 				t.Errorf("one entry placed %v requests on a cold endpoint with an allowance of %d", n, allowance)
@@ -193,20 +193,20 @@
 // The endpoints of a data centre that comes back look idle, so that without
 // slow start all entries would send it all requests at once.
 func TestReturningDataCentreIsNotStormed(t *testing.T) {
-	p := newPicture(12, epoch)
-	p.SetOutOfService(nil, []string{"dc1"}, epoch)
-	startRequests(t, p, query, 30, epoch)
-	p.SetOutOfService(nil, nil, epoch)
-	assertReturnedShare(t, p, 100*time.Millisecond, 0, 4)
-	assertReturnedShare(t, p, 4*time.Second, 6, 20)
+	b := newBalancer(12, epoch)
+	b.SetOutOfService(nil, []string{"dc1"}, epoch)
+	startRequests(t, b, query, 30, epoch)
+	b.SetOutOfService(nil, nil, epoch)
+	assertReturnedShare(t, b, 100*time.Millisecond, 0, 4)
+	assertReturnedShare(t, b, 4*time.Second, 6, 20)
 }
 
 // assertReturnedShare places 24 requests and checks how many of them go to the
 // data centre that has come back.
-func assertReturnedShare(t *testing.T, p *Balancer, after time.Duration, least, most int) {
+func assertReturnedShare(t *testing.T, b *Balancer, after time.Duration, least, most int) {
 	t.Helper()
 	now := epoch.Add(after)
-	got := startRequests(t, p, query, 24, now)
+	got := startRequests(t, b, query, 24, now)
 	returned := 0
 	for i := 1; i < 12; i += 3 {
 		returned += got[name(i)]
@@ -217,27 +217,27 @@
 }
 
 func TestPrefixKeepsItsEndpointWithinBound(t *testing.T) {
-	p := newPicture(12, epoch)
+	b := newBalancer(12, epoch)
 	chosen := make(map[uint64]string)
 	for prefix := uint64(1); prefix <= 20; prefix++ {
-		c := mustChoose(t, p, Query{Route: "model", Prefix: prefix}, epoch)
+		c := mustChoose(t, b, Query{Route: "model", Prefix: prefix}, epoch)
 		chosen[prefix] = c.Endpoint
 	}
 	for prefix, want := range chosen {
-		if c := mustChoose(t, p, Query{Route: "model", Prefix: prefix}, epoch); c.Endpoint != want || !c.ByAffinity {
+		if c := mustChoose(t, b, Query{Route: "model", Prefix: prefix}, epoch); c.Endpoint != want || !c.ByAffinity {
 			t.Errorf("prefix %d went to %v, want %s", prefix, c, want)
 		}
 	}
-	counts := startRequests(t, p, Query{Route: "model", Tokens: 500, Prefix: 1}, 24, epoch)
+	counts := startRequests(t, b, Query{Route: "model", Tokens: 500, Prefix: 1}, 24, epoch)
 	if most := counts[chosen[1]]; most < 2 || most > 6 {
 		t.Errorf("the endpoint of a popular prefix got %d of 24 requests, want 2 to 6", most)
 	}
 }
 
 func TestNearDataCentreUntilPressed(t *testing.T) {
-	p := newPicture(12, epoch)
-	p.RemotePenalty = DefaultRemotePenalty
-	got := startRequests(t, p, query, 30, epoch)
+	b := newBalancer(12, epoch)
+	b.RemotePenalty = DefaultRemotePenalty
+	got := startRequests(t, b, query, 30, epoch)
 	local := got[name(0)] + got[name(3)] + got[name(6)] + got[name(9)]
 	if local < 12 || local > 24 {
 		t.Errorf("%d of 30 requests went to the local data centre, want 12 to 24", local)
@@ -245,9 +245,9 @@
 }
 
 // Sampling must not distribute requests much less evenly than a full scan.
-func TestDrawsAreNearTheFullScan(t *testing.T) {
-	p := newPicture(90, epoch)
-	got := startRequests(t, p, query, 360, epoch)
+func TestSamplesAreNearTheFullScan(t *testing.T) {
+	b := newBalancer(90, epoch)
+	got := startRequests(t, b, query, 360, epoch)
 	maxCount := 0
 	for _, n := range got {
 		maxCount = max(maxCount, n)
@@ -260,27 +260,27 @@
 // Outdated reports show a free slot on a full endpoint. An entry must not try
 // it again and again.
 func TestRefusalPausesUntilNewerReport(t *testing.T) {
-	p := newPicture(1, epoch)
-	p.Refuse(p.Start(mustChoose(t, p, query, epoch), query, epoch), 0, epoch)
-	assertNoChoice(t, p, query, epoch, result.EndpointBusy)
-	p.Update(idleReport(0, epoch), epoch.Add(5*time.Millisecond))
-	assertNoChoice(t, p, query, epoch.Add(5*time.Millisecond), result.EndpointBusy)
-	mustChoose(t, p, query, epoch.Add(minBackoff))
+	b := newBalancer(1, epoch)
+	b.Refuse(b.Start(mustChoose(t, b, query, epoch), query, epoch), 0, epoch)
+	assertNoChoice(t, b, query, epoch, result.EndpointBusy)
+	b.Update(idleReport(0, epoch), epoch.Add(5*time.Millisecond))
+	assertNoChoice(t, b, query, epoch.Add(5*time.Millisecond), result.EndpointBusy)
+	mustChoose(t, b, query, epoch.Add(minBackoff))
 	later := epoch.Add(10 * time.Millisecond)
-	p.Update(idleReport(0, later), later)
-	mustChoose(t, p, query, later)
+	b.Update(idleReport(0, later), later)
+	mustChoose(t, b, query, later)
 }
 
 func TestOlderIncarnationIsIgnored(t *testing.T) {
-	p := newPicture(1, epoch)
+	b := newBalancer(1, epoch)
 	r := idleReport(0, epoch)
 	r.Incarnation = 3
-	p.Update(r, epoch)
+	b.Update(r, epoch)
 	r.Incarnation, r.Draining, r.ValidAt = 2, true, epoch.Add(time.Hour)
-	if p.Update(r, epoch) {
+	if b.Update(r, epoch) {
 		t.Error("a report of an older incarnation was accepted")
 	}
-	mustChoose(t, p, query, epoch)
+	mustChoose(t, b, query, epoch)
 }
 
 func TestSubset(t *testing.T) {
@@ -318,18 +318,18 @@
 
 func ExampleBalancer() {
 	now := epoch
-	p := &Balancer{DataCentre: "dc0"}
-	p.Update(Report{
+	b := &Balancer{DataCentre: "dc0"}
+	b.Update(Report{
 		Endpoint: "endpoint1", Incarnation: 1, DataCentre: "dc0", Routes: []string{"model"},
 		Allowance: 1, Capacity: 8, ValidAt: now,
 	}, now)
 	q := Query{Route: "model", Tokens: 300}
-	c, ok, _ := p.Choose(q, now)
+	c, ok, _ := b.Choose(q, now)
 	fmt.Println(c.Endpoint, ok)
-	a := p.Start(c, q, now)
-	_, ok, why := p.Choose(q, now)
+	a := b.Start(c, q, now)
+	_, ok, why := b.Choose(q, now)
 	fmt.Println(ok, why)
-	p.End(a, now.Add(time.Second))
+	b.End(a, now.Add(time.Second))
 	// Output:
 	// endpoint1 true
 	// false endpointBusy
@@ -350,7 +350,7 @@
 // placed on an endpoint that is leaving, out of service or already tried.
 func TestEachChoiceIsAllowed(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 1))
-	p := &Balancer{DataCentre: "dc0"}
+	b := &Balancer{DataCentre: "dc0"}
 	last := make(map[string]Report)
 	out := make(map[string]bool)
 	var open []*Attempt
@@ -363,7 +363,7 @@
 			r.Incarnation += uint64(rng.IntN(2))
 			r.Cold, r.Draining, r.OutOfService = rng.IntN(4) == 0, rng.IntN(6) == 0, rng.IntN(6) == 0
 			r.Running, r.Allowance = rng.IntN(9), rng.IntN(9)
-			if p.Update(r, now) {
+			if b.Update(r, now) {
 				last[r.Endpoint] = r
 			}
 		case x == 6:
@@ -372,25 +372,25 @@
 			for n := range out {
 				names = append(names, n)
 			}
-			p.SetOutOfService(names, names, now)
+			b.SetOutOfService(names, names, now)
 		case x < 9 && len(open) > 0:
 			i := rng.IntN(len(open))
 			[]func(){
-				func() { p.End(open[i], now) },
-				func() { p.Fail(open[i], now) },
-				func() { p.Refuse(open[i], 0, now) },
+				func() { b.End(open[i], now) },
+				func() { b.Fail(open[i], now) },
+				func() { b.Refuse(open[i], 0, now) },
 			}[rng.IntN(3)]()
 			open = append(open[:i], open[i+1:]...)
 		default:
 			q := Query{Route: "model", Prefix: uint64(rng.IntN(3)), Tried: []string{name(rng.IntN(12))}}
-			c, ok, _ := p.Choose(q, now)
+			c, ok, _ := b.Choose(q, now)
 			if !ok {
 				continue
 			}
 			if !referenceAllows(last[c.Endpoint], out, q) {
 				t.Fatalf("chose %v, last report %+v, out %v, tried %v", c, last[c.Endpoint], out, q.Tried)
 			}
-			open = append(open, p.Start(c, q, now))
+			open = append(open, b.Start(c, q, now))
 		}
 	}
 }
--- a/internal/endpoint/placement/report.go
+++ b/internal/endpoint/placement/report.go
@@ -71,7 +71,7 @@
 const (
 	noEndpoint = iota
 	outOfService
-	leaving
+	draining
 	cold
 	busy
 	eligible
--- a/internal/endpoint/placement/slow_test.go
+++ b/internal/endpoint/placement/slow_test.go
@@ -8,7 +8,7 @@
 // runWithSlowEndpoint places a request every 20 ms for d; requests on endpoint
 // 2 take factor times as long as on the others. It returns how many requests
 // each endpoint got.
-func runWithSlowEndpoint(t testing.TB, p *Balancer, start time.Time, d time.Duration, factor int) map[string]int {
+func runWithSlowEndpoint(t testing.TB, b *Balancer, start time.Time, d time.Duration, factor int) map[string]int {
 	t.Helper()
 	type completion struct {
 		at time.Time
@@ -23,14 +23,14 @@
 				pending = append(pending, e)
 				continue
 			}
-			p.Progress(e.a, now)
-			p.End(e.a, now)
+			b.Progress(e.a, now)
+			b.End(e.a, now)
 		}
 		completions = pending
 		for i := range 6 {
-			p.Update(idleReport(i, now), now)
+			b.Update(idleReport(i, now), now)
 		}
-		c, ok, _ := p.Choose(query, now)
+		c, ok, _ := b.Choose(query, now)
 		if !ok {
 			continue
 		}
@@ -39,11 +39,11 @@
 			run *= time.Duration(factor)
 		}
 		got[c.Endpoint]++
-		completions = append(completions, completion{now.Add(run), p.Start(c, query, now)})
+		completions = append(completions, completion{now.Add(run), b.Start(c, query, now)})
 	}
 	for _, e := range completions {
-		p.Progress(e.a, e.at)
-		p.End(e.a, e.at)
+		b.Progress(e.a, e.at)
+		b.End(e.a, e.at)
 	}
 	return got
 }
@@ -51,13 +51,13 @@
 // A slow endpoint completes few requests, so its reported load is low. It must
 // get fewer requests, and its normal share again after it has recovered.
 func TestSlowEndpointGetsLessAndIsProbedBack(t *testing.T) {
-	p := newPicture(6, epoch)
-	got := runWithSlowEndpoint(t, p, epoch, 10*time.Second, 1)
+	b := newBalancer(6, epoch)
+	got := runWithSlowEndpoint(t, b, epoch, 10*time.Second, 1)
 	assertShare(t, got, name(2), 0.08, 0.3)
-	got = runWithSlowEndpoint(t, p, epoch.Add(10*time.Second), 20*time.Second, 5)
+	got = runWithSlowEndpoint(t, b, epoch.Add(10*time.Second), 20*time.Second, 5)
 	assertShare(t, got, name(2), 0.005, 0.03)
-	runWithSlowEndpoint(t, p, epoch.Add(30*time.Second), 20*time.Second, 1)
-	got = runWithSlowEndpoint(t, p, epoch.Add(50*time.Second), 10*time.Second, 1)
+	runWithSlowEndpoint(t, b, epoch.Add(30*time.Second), 20*time.Second, 1)
+	got = runWithSlowEndpoint(t, b, epoch.Add(50*time.Second), 10*time.Second, 1)
 	assertShare(t, got, name(2), 0.08, 0.3)
 }
 
@@ -75,19 +75,19 @@
 // An endpoint accepts requests, but its streams have stalled. It must not get
 // more of them.
 func TestSilentEndpointGetsLess(t *testing.T) {
-	p := newPicture(6, epoch)
-	runWithSlowEndpoint(t, p, epoch.Add(-time.Minute), 10*time.Second, 1)
+	b := newBalancer(6, epoch)
+	runWithSlowEndpoint(t, b, epoch.Add(-time.Minute), 10*time.Second, 1)
 	for i := range 6 {
-		p.Update(idleReport(i, epoch), epoch)
+		b.Update(idleReport(i, epoch), epoch)
 		for range 4 {
-			a := p.Start(Choice{Endpoint: name(i)}, query, epoch)
-			p.Progress(a, epoch.Add(100*time.Millisecond))
+			a := b.Start(Choice{Endpoint: name(i)}, query, epoch)
+			b.Progress(a, epoch.Add(100*time.Millisecond))
 			if i != 2 {
-				p.Progress(a, epoch.Add(3*time.Second))
+				b.Progress(a, epoch.Add(3*time.Second))
 			}
 		}
 	}
-	got := startRequests(t, p, query, 12, epoch.Add(3*time.Second))
+	got := startRequests(t, b, query, 12, epoch.Add(3*time.Second))
 	if got[name(2)] != 0 {
 		t.Errorf("%d of 12 requests went to an endpoint that has been silent for 2.9 s", got[name(2)])
 	}
@@ -98,14 +98,14 @@
 // a single stream would make it full, and the next request would be refused
 // although the endpoint has free capacity.
 func TestPauseBetweenEventsIsNotSlow(t *testing.T) {
-	p := newPicture(1, epoch)
-	a := p.Start(mustChoose(t, p, query, epoch), query, epoch)
+	b := newBalancer(1, epoch)
+	a := b.Start(mustChoose(t, b, query, epoch), query, epoch)
 	now := epoch.Add(time.Millisecond)
 	for range 40 {
-		p.Progress(a, now)
+		b.Progress(a, now)
 		now = now.Add(50 * time.Millisecond)
-		p.Update(idleReport(0, now), now)
-		mustChoose(t, p, query, now)
+		b.Update(idleReport(0, now), now)
+		mustChoose(t, b, query, now)
 	}
 }
 
@@ -113,19 +113,19 @@
 // is busy. Clients don't notice the difference, so it must not affect the
 // distribution much.
 func TestFewMillisecondsAreNotSlow(t *testing.T) {
-	p := newPicture(2, epoch)
+	b := newBalancer(2, epoch)
 	for i, took := range []time.Duration{time.Millisecond, 20 * time.Millisecond} {
 		for range 10 {
-			a := p.Start(Choice{Endpoint: name(i)}, query, epoch)
-			p.Progress(a, epoch.Add(took))
-			p.End(a, epoch.Add(took))
+			a := b.Start(Choice{Endpoint: name(i)}, query, epoch)
+			b.Progress(a, epoch.Add(took))
+			b.End(a, epoch.Add(took))
 		}
 	}
 	now := epoch.Add(time.Second)
 	for i := range 2 {
-		p.Update(idleReport(i, now), now)
+		b.Update(idleReport(i, now), now)
 	}
-	got := startRequests(t, p, query, 8, now)
+	got := startRequests(t, b, query, 8, now)
 	if got[name(1)] < 3 {
 		t.Errorf("%d of 8 requests went to an endpoint that was slower by 19 ms, want at least 3", got[name(1)])
 	}
@@ -134,26 +134,26 @@
 // An endpoint that fails each request immediately has no load, so that by load
 // alone it would receive a large part of all requests.
 func TestFailingEndpointIsLeftAlone(t *testing.T) {
-	p := newPicture(6, epoch)
+	b := newBalancer(6, epoch)
 	got := make(map[string]int)
 	now := epoch
 	for i := range 2500 {
 		now = now.Add(20 * time.Millisecond)
 		for k := range 6 {
-			p.Update(idleReport(k, now), now)
+			b.Update(idleReport(k, now), now)
 		}
-		c := mustChoose(t, p, query, now)
-		a := p.Start(c, query, now)
+		c := mustChoose(t, b, query, now)
+		a := b.Start(c, query, now)
 		if c.Endpoint == name(2) && i < 1000 {
 			got["failed"]++
-			p.Fail(a, now)
+			b.Fail(a, now)
 			continue
 		}
 		if i >= 2000 {
 			got[c.Endpoint]++
 		}
-		p.Progress(a, now.Add(100*time.Millisecond))
-		p.End(a, now.Add(100*time.Millisecond))
+		b.Progress(a, now.Add(100*time.Millisecond))
+		b.End(a, now.Add(100*time.Millisecond))
 	}
 	if got["failed"] == 0 || got["failed"] > 10 {
 		t.Errorf("%d of 1000 requests failed, want 1 to 10", got["failed"])
@@ -166,33 +166,33 @@
 // is back immediately, and where it is the only one, requests would miss their
 // deadlines.
 func TestStreamsThatBreakTogetherAreOneFailure(t *testing.T) {
-	p := newPicture(1, epoch)
-	p.Update(idleReport(0, epoch), epoch)
+	b := newBalancer(1, epoch)
+	b.Update(idleReport(0, epoch), epoch)
 	var broken []*Attempt
 	for range 8 {
-		broken = append(broken, p.Start(mustChoose(t, p, query, epoch), query, epoch))
+		broken = append(broken, b.Start(mustChoose(t, b, query, epoch), query, epoch))
 	}
 	now := epoch.Add(time.Second)
 	for _, a := range broken {
-		p.Fail(a, now)
+		b.Fail(a, now)
 		now = now.Add(time.Millisecond)
 	}
 	now = now.Add(minEjection)
-	p.Update(idleReport(0, now), now)
-	mustChoose(t, p, query, now)
+	b.Update(idleReport(0, now), now)
+	mustChoose(t, b, query, now)
 }
 
 // A request that must not run twice must not be used to probe a slow endpoint.
 func TestRunOnceIsNoProbe(t *testing.T) {
-	p := newPicture(6, epoch)
-	runWithSlowEndpoint(t, p, epoch, 10*time.Second, 20)
-	assertProbes(t, p, true, 0)
-	assertProbes(t, p, false, 1)
+	b := newBalancer(6, epoch)
+	runWithSlowEndpoint(t, b, epoch, 10*time.Second, 20)
+	assertProbes(t, b, true, 0)
+	assertProbes(t, b, false, 1)
 }
 
 // assertProbes makes 100 choices and checks that at least want of them are
 // probes or, if want is 0, that none is.
-func assertProbes(t *testing.T, p *Balancer, runOnce bool, want int) {
+func assertProbes(t *testing.T, b *Balancer, runOnce bool, want int) {
 	t.Helper()
 	q := query
 	q.RunOnce = runOnce
@@ -200,9 +200,9 @@
 	for i := range 100 {
 		now := epoch.Add(time.Minute + time.Duration(i)*100*time.Millisecond)
 		for k := range 6 {
-			p.Update(idleReport(k, now), now)
+			b.Update(idleReport(k, now), now)
 		}
-		if c := mustChoose(t, p, q, now); c.Probe {
+		if c := mustChoose(t, b, q, now); c.Probe {
 			probes++
 		}
 	}
--- a/internal/endpoint/placement/speed_test.go
+++ b/internal/endpoint/placement/speed_test.go
@@ -7,10 +7,10 @@
 )
 
 func TestChooseDoesNotAllocate(t *testing.T) {
-	p := newPicture(630, epoch)
+	balancer := newBalancer(630, epoch)
 	q := Query{Route: "model", Tokens: 500, Tried: []string{name(5)}}
 	for _, q.Prefix = range []uint64{0, 7} {
-		if n := testing.AllocsPerRun(100, func() { p.Choose(q, epoch) }); n != 0 {
+		if n := testing.AllocsPerRun(100, func() { balancer.Choose(q, epoch) }); n != 0 {
 			t.Errorf("Choose made %v allocations, want 0", n)
 		}
 	}
@@ -18,12 +18,12 @@
 
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{15, 90, 630, 12000} {
-		p := newPicture(n, epoch)
+		balancer := newBalancer(n, epoch)
 		rng := rand.New(rand.NewPCG(1, 1))
 		for i := range n {
 			r := idleReport(i, epoch)
 			r.Running = rng.IntN(8)
-			p.Update(r, epoch)
+			balancer.Update(r, epoch)
 		}
 		for _, prefix := range []uint64{0, 7} {
 			b.Run(fmt.Sprintf("endpoints=%d/prefix=%d", n, prefix), func(b *testing.B) {
@@ -31,7 +31,7 @@
 				b.ReportAllocs()
 				for i := range b.N {
 					q.Prefix = prefix * uint64(i)
-					p.Choose(q, epoch)
+					balancer.Choose(q, epoch)
 				}
 			})
 		}
@@ -39,10 +39,10 @@
 }
 
 func BenchmarkUpdate(b *testing.B) {
-	p := newPicture(630, epoch)
+	balancer := newBalancer(630, epoch)
 	r := idleReport(5, epoch)
 	b.ReportAllocs()
 	for b.Loop() {
-		p.Update(r, epoch)
+		balancer.Update(r, epoch)
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -89,8 +89,8 @@
 	e.conns.TLS = e.TLS.Client
 	e.conns.Dial = e.Dial
 	e.scheduler.init()
-	e.scheduler.picture.DataCentre = e.Settings.DataCentre
-	e.scheduler.picture.Seed = seedOf(e.Settings.Name)
+	e.scheduler.balancer.DataCentre = e.Settings.DataCentre
+	e.scheduler.balancer.Seed = seedOf(e.Settings.Name)
 	e.scheduler.admission.MaxWaiting = e.Settings.Limits.QueueLength
 	e.members = members{
 		conns: &e.conns, store: &e.store, clock: &e.clock, ring: e.ring,
@@ -209,7 +209,7 @@
 func (e *Entry) lost(endpoint string) {
 	e.scheduler.mu.Lock()
 	defer e.scheduler.mu.Unlock()
-	e.scheduler.picture.Remove(endpoint)
+	e.scheduler.balancer.Remove(endpoint)
 }
 
 // apply puts the newest configuration into force in this entry.
@@ -245,7 +245,7 @@
 	s.budget.Percent = v.preset.RetryBudget() * 100
 	// The preset's check has found these limits good.
 	_ = s.admission.Configure(v.limits(), now)
-	s.picture.SetOutOfService(v.endpoints, v.dataCentres, now)
+	s.balancer.SetOutOfService(v.endpoints, v.dataCentres, now)
 	s.pump(now)
 }
 
--- a/internal/entry/retry_test.go
+++ b/internal/entry/retry_test.go
@@ -66,7 +66,7 @@
 	t.Helper()
 	s := &scheduler{}
 	s.init()
-	s.picture.DataCentre = "a"
+	s.balancer.DataCentre = "a"
 	s.admission.MaxWaiting = 100
 	s.budget.Percent = percent
 	if err := s.admission.Configure([]admission.Limits{{Account: "clinic"}}, epoch); err != nil {
--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -40,7 +40,7 @@
 type scheduler struct {
 	mu        sync.Mutex
 	admission admission.Controller
-	picture   placement.Balancer
+	balancer  placement.Balancer
 	budget    admission.RetryBudget
 	jobs      map[string]*job
 	arrivals  map[string]int
@@ -124,7 +124,7 @@
 func (s *scheduler) retry(j *job, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.picture.Fail(j.attempt, now)
+	s.balancer.Fail(j.attempt, now)
 	s.release(j, false, 0, now)
 	if !s.budget.TrySpend(now) {
 		s.drop(j, result.New(result.RetryBudget, "").WithRetryAfter(absentRetry), now)
@@ -145,9 +145,9 @@
 	}
 	j.query.Tried = append(j.query.Tried, j.choice.Endpoint)
 	if refused {
-		s.picture.Refuse(j.attempt, retryAfter, now)
+		s.balancer.Refuse(j.attempt, retryAfter, now)
 	} else {
-		s.picture.End(j.attempt, now)
+		s.balancer.End(j.attempt, now)
 	}
 	j.attempt = nil
 }
@@ -210,7 +210,7 @@
 			return false
 		}
 		j.choice = c
-		j.attempt = s.picture.Start(c, j.query, now)
+		j.attempt = s.balancer.Start(c, j.query, now)
 		return j.attempt != nil
 	}
 }
@@ -218,11 +218,11 @@
 // choose prefers endpoints that the job has not tried. When there is none, one
 // that it has tried is better than no answer.
 func (s *scheduler) choose(j *job, now time.Time) (placement.Choice, bool) {
-	c, ok, why := s.picture.Choose(j.query, now)
+	c, ok, why := s.balancer.Choose(j.query, now)
 	if !ok && len(j.query.Tried) > 0 {
 		q := j.query
 		q.Tried = nil
-		c, ok, why = s.picture.Choose(q, now)
+		c, ok, why = s.balancer.Choose(q, now)
 	}
 	j.why = why
 	return c, ok
@@ -233,7 +233,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if j.attempt != nil {
-		s.picture.Accept(j.attempt)
+		s.balancer.Accept(j.attempt)
 	}
 }
 
@@ -242,7 +242,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if j.attempt != nil {
-		s.picture.Progress(j.attempt, now)
+		s.balancer.Progress(j.attempt, now)
 	}
 }
 
@@ -262,7 +262,7 @@
 func (s *scheduler) report(r placement.Report, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.picture.Update(r, now)
+	s.balancer.Update(r, now)
 	s.pump(now)
 }
 
--- a/internal/entry/shares.go
+++ b/internal/entry/shares.go
@@ -150,7 +150,7 @@
 	s.lender.Forget(now)
 	s.entry.scheduler.mu.Lock()
 	defer s.entry.scheduler.mu.Unlock()
-	s.entry.scheduler.picture.Entries = s.most
+	s.entry.scheduler.balancer.Entries = s.most
 	for _, a := range v.preset.Accounts() {
 		share := 1.0
 		switch {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -129,11 +129,11 @@
 	f.build()
 	f.callerServer = &caller.Server{
 		Addr: s.CallerAddress.String(), BodyLimit: maxBodyBytes, MaxConns: maxConns,
-		ReadTimeout: readTimeout, IdleTimeout: idleTimeout, Passer: f.relay, Now: boottime.Now,
+		ReadTimeout: readTimeout, IdleTimeout: idleTimeout, Forwarder: f.relay, Now: boottime.Now,
 	}
 	f.readyServer = &caller.Server{
 		Addr: s.ReadyAddress.String(), BodyLimit: maxBodyBytes, MaxConns: maxConns,
-		ReadTimeout: readTimeout, IdleTimeout: idleTimeout, Passer: readiness{f},
+		ReadTimeout: readTimeout, IdleTimeout: idleTimeout, Forwarder: readiness{f},
 	}
 	f.peerConns = &peer.Conns{}
 	f.peerServer = &peer.Server{Addr: s.PeerAddress.String(), Register: func(g grpc.ServiceRegistrar) {
--- a/internal/measure/affinity.go
+++ b/internal/measure/affinity.go
@@ -57,7 +57,7 @@
 func playAffinity(bound float64, seed uint64) (hits, fullest float64) {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	zipf := rand.NewZipf(rng, 1.1, 1, prefixCount-1)
-	p := &placement.Balancer{DataCentre: dcName(0), AffinityBound: bound, RemotePenalty: math.SmallestNonzeroFloat64, Seed: seed}
+	b := &placement.Balancer{DataCentre: dcName(0), AffinityBound: bound, RemotePenalty: math.SmallestNonzeroFloat64, Seed: seed}
 	caches := make(map[string]*cache)
 	streams := make(map[string]int)
 	for i := range dataCentres * endpointsPerDC {
@@ -65,7 +65,7 @@
 		s.dc = 0
 		r := s.report(0)
 		r.Allowance, r.Capacity = openStreams, endpointCapacity
-		p.Update(r, clock(-time.Hour))
+		b.Update(r, clock(-time.Hour))
 		caches[r.Endpoint] = &cache{used: make(map[uint64]int)}
 	}
 	var open []*placement.Attempt
@@ -76,8 +76,8 @@
 		if bound == 0 {
 			q.Prefix = 0
 		}
-		c, _, _ := p.Choose(q, clock(0))
-		open = append(open, p.Start(c, q, clock(0)))
+		c, _, _ := b.Choose(q, clock(0))
+		open = append(open, b.Start(c, q, clock(0)))
 		streams[c.Endpoint]++
 		if caches[c.Endpoint].touch(prefix, i) {
 			hits++
@@ -87,7 +87,7 @@
 		}
 		k := rng.IntN(len(open))
 		streams[open[k].Endpoint()]--
-		p.End(open[k], clock(0))
+		b.End(open[k], clock(0))
 		open[k] = open[len(open)-1]
 		open = open[:len(open)-1]
 		full = append(full, fullestToMean(streams))
--- a/internal/measure/ours.go
+++ b/internal/measure/ours.go
@@ -19,13 +19,13 @@
 
 // ours is an entry that runs the deciding packages.
 type ours struct {
-	w       *world
-	place   placing
-	ctl     admission.Controller
-	pic     placement.Balancer
-	budget  admission.RetryBudget
-	open    map[string]*job
-	attempt map[*job]*placement.Attempt
+	w        *world
+	place    placing
+	ctl      admission.Controller
+	balancer placement.Balancer
+	budget   admission.RetryBudget
+	open     map[string]*job
+	attempt  map[*job]*placement.Attempt
 }
 
 func newOurs(place placing) func(w *world, i int) entry {
@@ -36,7 +36,7 @@
 	o := &ours{
 		budget: admission.RetryBudget{Percent: admission.DefaultRetryPercent},
 		w:      w, place: place, open: make(map[string]*job), attempt: make(map[*job]*placement.Attempt),
-		pic: placement.Balancer{
+		balancer: placement.Balancer{
 			DataCentre: dcName(i / entriesPerDC), Seed: uint64(i),
 			Entries: dataCentres * entriesPerDC, StaleAfter: max(5*time.Second, 3*w.lag.delay),
 		},
@@ -92,18 +92,18 @@
 	now := clock(o.w.now)
 	q := placement.Query{Route: r.Route, Tokens: r.Tokens}
 	for range 3 {
-		c, ok, _ := o.pic.Choose(q, now)
+		c, ok, _ := o.balancer.Choose(q, now)
 		if !ok {
 			return false
 		}
-		a := o.pic.Start(c, q, now)
+		a := o.balancer.Start(c, q, now)
 		if o.w.offer(o.w.servers[serverIndex(c.Endpoint)], j) {
-			o.pic.Accept(a)
+			o.balancer.Accept(a)
 			o.attempt[j] = a
 			o.forget(a, now)
 			return true
 		}
-		o.pic.Refuse(a, 0, now)
+		o.balancer.Refuse(a, 0, now)
 		q.Tried = append(q.Tried, c.Endpoint)
 	}
 	return false
@@ -112,7 +112,7 @@
 // forget takes the own commitment away again for the report-only variant.
 func (o *ours) forget(a *placement.Attempt, now time.Time) {
 	if o.place == reportOnly {
-		o.pic.End(a, now)
+		o.balancer.End(a, now)
 	}
 }
 
@@ -128,17 +128,17 @@
 	if o.place == committedOnly {
 		r.Running, r.CommittedTokens = 0, 0
 	}
-	o.pic.Update(r, clock(now))
+	o.balancer.Update(r, clock(now))
 }
 
-func (o *ours) piece(j *job, now time.Duration) { o.pic.Progress(o.attempt[j], clock(now)) }
+func (o *ours) piece(j *job, now time.Duration) { o.balancer.Progress(o.attempt[j], clock(now)) }
 
 func (o *ours) ended(j *job, whole bool, now time.Duration) {
 	id := strconv.Itoa(j.id)
 	if whole {
-		o.pic.End(o.attempt[j], clock(now))
+		o.balancer.End(o.attempt[j], clock(now))
 	} else {
-		o.pic.Fail(o.attempt[j], clock(now))
+		o.balancer.Fail(o.attempt[j], clock(now))
 	}
 	delete(o.attempt, j)
 	if whole || j.outcome != pending || !o.budget.TrySpend(clock(now)) {
@@ -166,7 +166,7 @@
 		return
 	}
 	o.w.cancel(j)
-	o.pic.End(o.attempt[j], clock(now))
+	o.balancer.End(o.attempt[j], clock(now))
 	delete(o.attempt, j)
 	delete(o.open, id)
 	o.ctl.Cancel(id)
--- a/internal/rank/codec.go
+++ b/internal/rank/codec.go
@@ -16,11 +16,11 @@
 	return naming.Ref{Version: p.GetVersion(), Digest: p.GetDigest()}
 }
 
-func nameToProto(n naming.Activation) *rankpb.Name {
-	return &rankpb.Name{Token: n.Token, Step: n.Step, Map: refToProto(n.Map)}
+func activationToProto(a naming.Activation) *rankpb.Name {
+	return &rankpb.Name{Token: a.Token, Step: a.Step, Map: refToProto(a.Map)}
 }
 
-func nameFromProto(p *rankpb.Name) naming.Activation {
+func activationFromProto(p *rankpb.Name) naming.Activation {
 	return naming.Activation{Token: p.GetToken(), Step: p.GetStep(), Map: refFromProto(p.GetMap())}
 }
 
@@ -28,7 +28,7 @@
 	p := &rankpb.State{
 		Member: uint32(s.Member), Incarnation: s.Incarnation, Number: s.Sequence, Fence: s.MaxToken,
 		Joined: s.Joined, Orphan: s.NoPeerJoined, Begun: s.LastStep, Granted: s.StepLimit,
-		Pending: nameToProto(s.Pending),
+		Pending: activationToProto(s.Pending),
 	}
 	for _, e := range s.Schedule {
 		p.Schedule = append(p.Schedule, &rankpb.Entry{From: e.FirstStep, Map: refToProto(e.Map)})
@@ -43,7 +43,7 @@
 	s := naming.State{
 		Member: int(p.GetMember()), Incarnation: p.GetIncarnation(), Sequence: p.GetNumber(), MaxToken: p.GetFence(),
 		Joined: p.GetJoined(), NoPeerJoined: p.GetOrphan(), LastStep: p.GetBegun(), StepLimit: p.GetGranted(),
-		Pending: nameFromProto(p.GetPending()),
+		Pending: activationFromProto(p.GetPending()),
 	}
 	for _, e := range p.GetSchedule() {
 		s.Schedule = append(s.Schedule, naming.ScheduleEntry{FirstStep: e.GetFrom(), Map: refFromProto(e.GetMap())})
@@ -56,7 +56,7 @@
 
 // EncodeRecord returns the encoding of a record in the key-value service.
 func EncodeRecord(r naming.Record) ([]byte, error) {
-	return proto.Marshal(&rankpb.Record{Token: r.Token, Name: nameToProto(r.Activation)})
+	return proto.Marshal(&rankpb.Record{Token: r.Token, Name: activationToProto(r.Activation)})
 }
 
 // DecodeRecord decodes the output of EncodeRecord. It returns a MalformedMsg
@@ -66,5 +66,5 @@
 	if err := proto.Unmarshal(b, &p); err != nil {
 		return naming.Record{}, result.Newf(result.MalformedMsg, "group record: %v", err)
 	}
-	return naming.Record{Token: p.GetToken(), Activation: nameFromProto(p.GetName())}, nil
+	return naming.Record{Token: p.GetToken(), Activation: activationFromProto(p.GetName())}, nil
 }
--- a/internal/rank/codec_order.go
+++ b/internal/rank/codec_order.go
@@ -21,31 +21,31 @@
 		p.Order = &rankpb.GiveRequest_Stage{Stage: &rankpb.Stage{Map: refToProto(naming.RefOf(o.Map)), From: from}}
 	case naming.Hold:
 		p.Token, p.Incarnation = o.Token, o.Incarnation
-		p.Order = &rankpb.GiveRequest_Hold{Hold: &rankpb.Hold{Name: nameToProto(o.Activation), View: o.View}}
+		p.Order = &rankpb.GiveRequest_Hold{Hold: &rankpb.Hold{Name: activationToProto(o.Activation), View: o.View}}
 	case naming.Release:
 		p.Token, p.Incarnation = o.Token, o.Incarnation
-		p.Order = &rankpb.GiveRequest_Release{Release: &rankpb.Release{Name: nameToProto(o.Activation), View: o.View}}
+		p.Order = &rankpb.GiveRequest_Release{Release: &rankpb.Release{Name: activationToProto(o.Activation), View: o.View}}
 	case naming.Abandon:
 		p.Token, p.Incarnation = o.Token, o.Incarnation
-		p.Order = &rankpb.GiveRequest_Abandon{Abandon: &rankpb.Abandon{Name: nameToProto(o.Activation)}}
+		p.Order = &rankpb.GiveRequest_Abandon{Abandon: &rankpb.Abandon{Name: activationToProto(o.Activation)}}
 	}
 	return p
 }
 
 // orderFromProto decodes an order. staged is the map of a Stage order.
 func orderFromProto(p *rankpb.GiveRequest, staged *expertmap.Map) (naming.Order, error) {
-	head := naming.OrderHeader{Token: p.GetToken(), Incarnation: p.GetIncarnation()}
+	header := naming.OrderHeader{Token: p.GetToken(), Incarnation: p.GetIncarnation()}
 	switch o := p.GetOrder().(type) {
 	case *rankpb.GiveRequest_Query:
-		return naming.Query{OrderHeader: head}, nil
+		return naming.Query{OrderHeader: header}, nil
 	case *rankpb.GiveRequest_Stage:
-		return naming.Stage{OrderHeader: head, Map: staged}, nil
+		return naming.Stage{OrderHeader: header, Map: staged}, nil
 	case *rankpb.GiveRequest_Hold:
-		return naming.Hold{OrderHeader: head, Activation: nameFromProto(o.Hold.GetName()), View: o.Hold.GetView()}, nil
+		return naming.Hold{OrderHeader: header, Activation: activationFromProto(o.Hold.GetName()), View: o.Hold.GetView()}, nil
 	case *rankpb.GiveRequest_Release:
-		return naming.Release{OrderHeader: head, Activation: nameFromProto(o.Release.GetName()), View: o.Release.GetView()}, nil
+		return naming.Release{OrderHeader: header, Activation: activationFromProto(o.Release.GetName()), View: o.Release.GetView()}, nil
 	case *rankpb.GiveRequest_Abandon:
-		return naming.Abandon{OrderHeader: head, Activation: nameFromProto(o.Abandon.GetName())}, nil
+		return naming.Abandon{OrderHeader: header, Activation: activationFromProto(o.Abandon.GetName())}, nil
 	default:
 		return nil, result.Newf(result.MalformedMsg, "order %T", o)
 	}
--- a/internal/rank/counts.go
+++ b/internal/rank/counts.go
@@ -23,7 +23,7 @@
 	skewPlanned, skewBefore metrics.GaugeFloat64
 	// grantedStep is the last step that the ranks may begin, and begunStep the
 	// last that they have begun.
-	grantedStep, begunStep metrics.Gauge
+	stepLimit, lastStep metrics.Gauge
 }
 
 func newRunnerMetrics(r metrics.Registry) runnerMetrics {
@@ -42,7 +42,7 @@
 		mapVersion:     metrics.GetOrRegisterGauge("rank.version", r),
 		skewPlanned:    metrics.GetOrRegisterGaugeFloat64("rank.skewPlanned", r),
 		skewBefore:     metrics.GetOrRegisterGaugeFloat64("rank.skewBefore", r),
-		grantedStep:    metrics.GetOrRegisterGauge("rank.granted", r),
-		begunStep:      metrics.GetOrRegisterGauge("rank.begun", r),
+		stepLimit:      metrics.GetOrRegisterGauge("rank.granted", r),
+		lastStep:       metrics.GetOrRegisterGauge("rank.begun", r),
 	}
 }
--- a/internal/rank/evenmap/plan.go
+++ b/internal/rank/evenmap/plan.go
@@ -43,9 +43,9 @@
 
 // Plan is a planned change of the placements of all layer sets.
 type Plan struct {
-	next          []*Placement
-	copies        int
-	before, after float64
+	next                  []*Placement
+	copies                int
+	skewBefore, skewAfter float64
 }
 
 // Next returns the planned placements by set.
@@ -55,10 +55,10 @@
 func (p *Plan) Copies() int { return p.copies }
 
 // Before returns the mean skew of the sets without the plan.
-func (p *Plan) SkewBefore() float64 { return p.before }
+func (p *Plan) SkewBefore() float64 { return p.skewBefore }
 
 // After returns the mean skew of the sets with the plan.
-func (p *Plan) SkewAfter() float64 { return p.after }
+func (p *Plan) SkewAfter() float64 { return p.skewAfter }
 
 // change is one step of the search. If to is not negative, expert is copied to
 // this rank, in place of the expert evict unless that is negative. If from is
@@ -92,7 +92,7 @@
 	for i, p := range current {
 		st := newSetState(p.clone(), loads[i], limits.Slowdown)
 		s.sets = append(s.sets, st)
-		plan.before += st.skew() / float64(len(current))
+		plan.skewBefore += st.skew() / float64(len(current))
 	}
 	bestChanges := make([]change, len(s.sets))
 	for i := range s.sets {
@@ -115,7 +115,7 @@
 	}
 	for i := range s.sets {
 		plan.next = append(plan.next, s.sets[i].p)
-		plan.after += s.sets[i].skew() / float64(len(s.sets))
+		plan.skewAfter += s.sets[i].skew() / float64(len(s.sets))
 		for _, n := range s.sets[i].p.Copies(current[i]) {
 			plan.copies += n
 		}
--- a/internal/rank/expertmap/balance.go
+++ b/internal/rank/expertmap/balance.go
@@ -28,7 +28,7 @@
 	// rankLoad is the load of each rank, rankVariance the variance of that
 	// load, and riskMargin the amount added to the load for the variance; see
 	// Risk.
-	rankLoad, rankVariance, riskMargin []float64
+	rankLoad, rankVariance, varianceMargin []float64
 	// expertLoad is the load of each expert.
 	expertLoad []float64
 	// relVariance is the variance of each expert's load divided by the square
@@ -40,22 +40,22 @@
 }
 
 // newPlacement returns a placement with empty slots.
-func newPlacement(shape Shape, load []float64, risk LoadVariance) *placement {
+func newPlacement(shape Shape, load []float64, variance LoadVariance) *placement {
 	p := &placement{
-		shape:        shape,
-		expertAt:     make([]int, shape.Ranks*shape.Slots),
-		slotLoad:     make([]float64, shape.Ranks*shape.Slots),
-		replicas:     make([][]int, shape.Experts),
-		rankLoad:     make([]float64, shape.Ranks),
-		rankVariance: make([]float64, shape.Ranks),
-		riskMargin:   make([]float64, shape.Ranks),
-		expertLoad:   load,
-		relVariance:  make([]float64, shape.Experts),
+		shape:          shape,
+		expertAt:       make([]int, shape.Ranks*shape.Slots),
+		slotLoad:       make([]float64, shape.Ranks*shape.Slots),
+		replicas:       make([][]int, shape.Experts),
+		rankLoad:       make([]float64, shape.Ranks),
+		rankVariance:   make([]float64, shape.Ranks),
+		varianceMargin: make([]float64, shape.Ranks),
+		expertLoad:     load,
+		relVariance:    make([]float64, shape.Experts),
 
 		maxZScore: maxZScore(shape.Ranks),
 	}
 	for e, v := range load {
-		p.relVariance[e] = risk.relativeVariance(v)
+		p.relVariance[e] = variance.relativeVariance(v)
 	}
 	for i := range p.expertAt {
 		p.expertAt[i] = none
@@ -68,8 +68,8 @@
 
 // placementOf returns the placement of l with the given expert loads, split by
 // the shares of l.
-func placementOf(l *Layer, load []float64, risk LoadVariance) *placement {
-	p := newPlacement(l.shape, load, risk)
+func placementOf(l *Layer, load []float64, variance LoadVariance) *placement {
+	p := newPlacement(l.shape, load, variance)
 	for i, s := range l.slots {
 		if s.Expert != none {
 			p.addReplica(i, s.Expert)
@@ -86,7 +86,7 @@
 	copy(p.slotLoad, q.slotLoad)
 	copy(p.rankLoad, q.rankLoad)
 	copy(p.rankVariance, q.rankVariance)
-	copy(p.riskMargin, q.riskMargin)
+	copy(p.varianceMargin, q.varianceMargin)
 	for e := range q.replicas {
 		p.replicas[e] = append(p.replicas[e][:0], q.replicas[e]...)
 	}
@@ -135,11 +135,11 @@
 	p.rankLoad[r] += v - old
 	p.slotLoad[slot] = v
 	p.rankVariance[r] += (v*v - old*old) * p.relVariance[p.expertAt[slot]]
-	p.riskMargin[r] = p.maxZScore * math.Sqrt(max(0, p.rankVariance[r]))
+	p.varianceMargin[r] = p.maxZScore * math.Sqrt(max(0, p.rankVariance[r]))
 }
 
 // adjustedLoad returns the load of a rank plus its risk margin.
-func (p *placement) adjustedLoad(r int) float64 { return p.rankLoad[r] + p.riskMargin[r] }
+func (p *placement) adjustedLoad(r int) float64 { return p.rankLoad[r] + p.varianceMargin[r] }
 
 func (p *placement) holds(r, e int) bool {
 	for _, s := range p.replicas[e] {
--- a/internal/rank/expertmap/expertmap_test.go
+++ b/internal/rank/expertmap/expertmap_test.go
@@ -67,7 +67,7 @@
 func benchmarkPlan(b *testing.B, n int) {
 	rng := rand.New(rand.NewSource(1))
 	shape := Shape{128, 2, 128}
-	pop := NewPopularity(n, shape.Experts, 0)
+	pop := NewPopularityEstimator(n, shape.Experts, 0)
 	layers := make([]*Layer, n)
 	for i := range layers {
 		load := randomLoad(rng, shape.Experts)
--- a/internal/rank/expertmap/improve.go
+++ b/internal/rank/expertmap/improve.go
@@ -32,10 +32,10 @@
 
 // Improvement is the result of Improve.
 type Improvement struct {
-	layer        *Layer
-	moves        int
-	before, kept float64
-	after        float64
+	layer                        *Layer
+	moves                        int
+	skewBefore, skewWithoutMoves float64
+	skewAfter                    float64
 }
 
 // Layer returns the improved layer.
@@ -45,13 +45,13 @@
 func (i *Improvement) Moves() int { return i.moves }
 
 // Before returns the expected skew of the original layer.
-func (i *Improvement) SkewBefore() float64 { return i.before }
+func (i *Improvement) SkewBefore() float64 { return i.skewBefore }
 
 // Kept returns the expected skew with the original placement and new shares.
-func (i *Improvement) SkewWithoutMoves() float64 { return i.kept }
+func (i *Improvement) SkewWithoutMoves() float64 { return i.skewWithoutMoves }
 
 // After returns the expected skew of the improved layer.
-func (i *Improvement) SkewAfter() float64 { return i.after }
+func (i *Improvement) SkewAfter() float64 { return i.skewAfter }
 
 // checkLoads returns ErrObservation if load does not have one finite,
 // non-negative value for each expert.
@@ -70,15 +70,15 @@
 // later ones is not missed. The search ends early when the expected skew is at
 // most goal above the lower bound. Improve returns ErrObservation if load does
 // not match the layer or has a value that is negative or not finite.
-func Improve(l *Layer, load []float64, risk LoadVariance, maxMoves int, cost, goal float64) (*Improvement, error) {
+func Improve(l *Layer, load []float64, variance LoadVariance, maxMoves int, cost, skewTolerance float64) (*Improvement, error) {
 	if err := checkLoads(l.shape, load); err != nil {
 		return nil, err
 	}
-	p := placementOf(l, load, risk)
-	imp := &Improvement{before: p.expectedSkew()}
+	p := placementOf(l, load, variance)
+	imp := &Improvement{skewBefore: p.expectedSkew()}
 	p.balance(maxSweeps, balanceTolerance)
-	imp.layer, imp.kept, imp.after = p.buildLayer(), p.expectedSkew(), p.expectedSkew()
-	target := LowerBound(load, l.shape) + goal
+	imp.layer, imp.skewWithoutMoves, imp.skewAfter = p.buildLayer(), p.expectedSkew(), p.expectedSkew()
+	target := LowerBound(load, l.shape) + skewTolerance
 	best, nonImproving := p.expectedSkew(), 0
 	for n := 1; n <= maxMoves && nonImproving < patience && p.expectedSkew() > target; n++ {
 		if !p.applyBestMove() {
@@ -87,7 +87,7 @@
 		nonImproving++
 		if objective := p.expectedSkew() + cost*float64(n); objective < best {
 			best, nonImproving = objective, 0
-			imp.layer, imp.after = p.buildLayer(), p.expectedSkew()
+			imp.layer, imp.skewAfter = p.buildLayer(), p.expectedSkew()
 		}
 	}
 	imp.moves = imp.layer.Moves(l)
--- a/internal/rank/expertmap/input_test.go
+++ b/internal/rank/expertmap/input_test.go
@@ -44,7 +44,7 @@
 	for _, load := range [][]float64{{1}, {1, -1}, {1, math.NaN()}, {1, math.Inf(1)}} {
 		_, err := Solve(shape, load, LoadVariance{})
 		assertError(t, err, ErrInvalidLoad)
-		err = NewPopularity(1, 2, 0).Observe(0, load, time.Unix(1, 0))
+		err = NewPopularityEstimator(1, 2, 0).Observe(0, load, time.Unix(1, 0))
 		assertError(t, err, ErrInvalidLoad)
 	}
 }
@@ -62,7 +62,7 @@
 }
 
 func TestPopularityDecay(t *testing.T) {
-	p := NewPopularity(1, 1, time.Minute)
+	p := NewPopularityEstimator(1, 1, time.Minute)
 	at := time.Unix(100, 0)
 	for _, c := range []struct {
 		after time.Duration
@@ -91,8 +91,8 @@
 	cheap := Limits{ExpertBytes: 1, StoreBandwidth: 100, MaxStagingTime: time.Second, MapLifetime: time.Hour, LoadingSlowdown: 0.1}
 	costly := cheap
 	costly.ExpertBytes, costly.MaxStagingTime, costly.MapLifetime = 100, 100*time.Second, 10*time.Millisecond
-	noStageTime := cheap
-	noStageTime.MaxStagingTime = 0
+	noStagingTime := cheap
+	noStagingTime.MaxStagingTime = 0
 	highMinGain := cheap
 	highMinGain.MinGain = 10
 	for _, c := range []struct {
@@ -103,7 +103,7 @@
 	}{
 		{"moves are worth their cost", cheap, true, true},
 		{"moves cost too much", costly, false, true},
-		{"no time to load weights", noStageTime, false, true},
+		{"no time to load weights", noStagingTime, false, true},
 		{"gain below minimum", highMinGain, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	load[shape.Experts-1] = 20
-	pop := NewPopularity(1, shape.Experts, 0)
+	pop := NewPopularityEstimator(1, shape.Experts, 0)
 	if err := pop.Observe(0, load, time.Unix(1, 0)); err != nil {
 		t.Fatal(err)
 	}
@@ -148,8 +148,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = NewPlan(current, NewPopularity(1, 2, 0), Limits{}, time.Unix(1, 0))
+	_, err = NewPlan(current, NewPopularityEstimator(1, 2, 0), Limits{}, time.Unix(1, 0))
 	assertError(t, err, ErrNotObserved)
-	_, err = NewPlan(current, NewPopularity(2, 2, 0), Limits{}, time.Unix(1, 0))
+	_, err = NewPlan(current, NewPopularityEstimator(2, 2, 0), Limits{}, time.Unix(1, 0))
 	assertError(t, err, ErrInvalidShape)
 }
--- a/internal/rank/expertmap/plan.go
+++ b/internal/rank/expertmap/plan.go
@@ -57,11 +57,11 @@
 
 // Plan is a proposed change of a map.
 type Plan struct {
-	next      *Map
-	moves     []Move
-	before    float64
-	after     float64
-	plannedAt time.Time
+	next       *Map
+	moves      []Move
+	skewBefore float64
+	skewAfter  float64
+	plannedAt  time.Time
 }
 
 // Next returns the planned map. It is the current map if no change is worth its
@@ -73,11 +73,11 @@
 
 // Before returns the expected skew of the current map, averaged over all layers
 // by load.
-func (p *Plan) SkewBefore() float64 { return p.before }
+func (p *Plan) SkewBefore() float64 { return p.skewBefore }
 
 // After returns the expected skew of the planned map, averaged over all layers
 // by load.
-func (p *Plan) SkewAfter() float64 { return p.after }
+func (p *Plan) SkewAfter() float64 { return p.skewAfter }
 
 // At returns the time for which the plan was made.
 func (p *Plan) PlannedAt() time.Time { return p.plannedAt }
@@ -107,8 +107,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if plan.before-plan.after < limits.MinGain {
-		plan.after, plan.moves = plan.before, nil
+	if plan.skewBefore-plan.skewAfter < limits.MinGain {
+		plan.skewAfter, plan.moves = plan.skewBefore, nil
 		return plan, nil
 	}
 	plan.next, err = NewMap(current.version+1, layers)
@@ -123,8 +123,8 @@
 	totalWeight := 0.0
 	for _, i := range layersBySkew(current, pop) {
 		load := pop.Load(i)
-		risk := LoadVariance{Drift: pop.Drift(i), Poisson: limits.PoissonLoads}
-		imp, err := Improve(current.layers[i], load, risk, budget, limits.moveCost(), limits.SkewTolerance)
+		variance := LoadVariance{Drift: pop.Drift(i), Poisson: limits.PoissonLoads}
+		imp, err := Improve(current.layers[i], load, variance, budget, limits.moveCost(), limits.SkewTolerance)
 		if err != nil {
 			return nil, err
 		}
@@ -133,15 +133,15 @@
 		p.moves = append(p.moves, movesBetween(i, current.layers[i], imp.layer)...)
 		w := totalLoad(load)
 		totalWeight += w
-		p.before += w * imp.before
-		p.after += w * imp.after
+		p.skewBefore += w * imp.skewBefore
+		p.skewAfter += w * imp.skewAfter
 	}
 	if totalWeight == 0 {
-		p.before, p.after = 1, 1
+		p.skewBefore, p.skewAfter = 1, 1
 		return layers, nil
 	}
-	p.before /= totalWeight
-	p.after /= totalWeight
+	p.skewBefore /= totalWeight
+	p.skewAfter /= totalWeight
 	return layers, nil
 }
 
--- a/internal/rank/expertmap/popularity.go
+++ b/internal/rank/expertmap/popularity.go
@@ -36,7 +36,7 @@
 // experts per layer. The weight of an observation decays to 1/e after the time
 // constant tau. If tau is zero or negative, the estimate is the latest
 // observation.
-func NewPopularity(layers, experts int, tau time.Duration) *PopularityEstimator {
+func NewPopularityEstimator(layers, experts int, tau time.Duration) *PopularityEstimator {
 	p := &PopularityEstimator{tau: tau, layers: make([]estimate, layers)}
 	for i := range p.layers {
 		p.layers[i].load = make([]float64, experts)
--- a/internal/rank/expertmap/risk.go
+++ b/internal/rank/expertmap/risk.go
@@ -31,9 +31,9 @@
 
 // relativeVariance returns the variance of an expert's load divided by the
 // square of the load.
-func (r LoadVariance) relativeVariance(load float64) float64 {
-	v := r.Drift * r.Drift
-	if r.Poisson && load > 0 {
+func (lv LoadVariance) relativeVariance(load float64) float64 {
+	v := lv.Drift * lv.Drift
+	if lv.Poisson && load > 0 {
 		v += 1 / load
 	}
 	return v
@@ -62,7 +62,7 @@
 	low, high := 0.0, 0.0
 	for r := range p.rankLoad {
 		low = max(low, p.rankLoad[r])
-		high = max(high, p.adjustedLoad(r)+p.riskMargin[r])
+		high = max(high, p.adjustedLoad(r)+p.varianceMargin[r])
 	}
 	if p.expectedExceedances(low) < exceedancesAtMeanMax {
 		return low / p.meanRankLoad
@@ -83,7 +83,7 @@
 func (p *placement) expectedExceedances(load float64) float64 {
 	sum := 0.0
 	for r, v := range p.rankLoad {
-		switch sd := p.riskMargin[r] / p.maxZScore; {
+		switch sd := p.varianceMargin[r] / p.maxZScore; {
 		case sd > 0:
 			sum += math.Erfc((load-v)/(sd*math.Sqrt2)) / 2
 		case v > load:
--- a/internal/rank/expertmap/skewtable/drift.go
+++ b/internal/rank/expertmap/skewtable/drift.go
@@ -13,16 +13,16 @@
 
 // drift simulates the popularity of the experts of one layer over time.
 type drift struct {
-	rng           *rand.Rand
-	logPopularity []float64
-	correlation   time.Duration
+	rng             *rand.Rand
+	logPopularity   []float64
+	correlationTime time.Duration
 }
 
-func newDrift(experts int, correlation time.Duration, seed int64) *drift {
+func newDrift(experts int, correlationTime time.Duration, seed int64) *drift {
 	d := &drift{
-		rng:           rand.New(rand.NewSource(seed)),
-		logPopularity: make([]float64, experts),
-		correlation:   correlation,
+		rng:             rand.New(rand.NewSource(seed)),
+		logPopularity:   make([]float64, experts),
+		correlationTime: correlationTime,
 	}
 	for e := range d.logPopularity {
 		d.logPopularity[e] = logStdDev * d.rng.NormFloat64()
@@ -32,7 +32,7 @@
 
 // advance moves the simulation forward by dt.
 func (d *drift) advance(dt time.Duration) {
-	decay := math.Exp(-dt.Seconds() / d.correlation.Seconds())
+	decay := math.Exp(-dt.Seconds() / d.correlationTime.Seconds())
 	noise := logStdDev * math.Sqrt(1-decay*decay)
 	for e := range d.logPopularity {
 		d.logPopularity[e] = decay*d.logPopularity[e] + noise*d.rng.NormFloat64()
--- a/internal/rank/expertmap/skewtable/run.go
+++ b/internal/rank/expertmap/skewtable/run.go
@@ -80,7 +80,7 @@
 	if err := sim.initMaps(); err != nil {
 		return Row{}, err
 	}
-	pop := expertmap.NewPopularity(1, c.Shape.Experts, c.Interval/tauDivisor)
+	pop := expertmap.NewPopularityEstimator(1, c.Shape.Experts, c.Interval/tauDivisor)
 	now := time.Unix(0, 0)
 	for i := range c.Intervals {
 		if i%knownPeriod == 0 {
@@ -151,12 +151,12 @@
 func (sim *simulation) measureKnown() error {
 	const maxMoves, samples = 32, 16
 	expected := sim.drift.expected(sim.tokens)
-	risk := expertmap.LoadVariance{Poisson: true}
-	first, err := expertmap.Solve(sim.params.Shape, expected, risk)
+	variance := expertmap.LoadVariance{Poisson: true}
+	first, err := expertmap.Solve(sim.params.Shape, expected, variance)
 	if err != nil {
 		return err
 	}
-	known, err := expertmap.Improve(first, expected, risk, maxMoves, 0, 0)
+	known, err := expertmap.Improve(first, expected, variance, maxMoves, 0, 0)
 	if err != nil {
 		return err
 	}
--- a/internal/rank/expertmap/skewtable/table.go
+++ b/internal/rank/expertmap/skewtable/table.go
@@ -74,10 +74,10 @@
 		{Ranks: 32, Slots: 3, Experts: 64},
 		{Ranks: 128, Slots: 2, Experts: 128},
 	}
-	correlations := []time.Duration{4 * time.Hour, time.Hour, 10 * time.Minute}
+	correlationTimes := []time.Duration{4 * time.Hour, time.Hour, 10 * time.Minute}
 	var cases []Case
 	for _, s := range shapes {
-		for _, v := range correlations {
+		for _, v := range correlationTimes {
 			cases = append(cases, Case{Shape: s, CorrelationTime: v, Interval: longInterval})
 		}
 	}
--- a/internal/rank/expertmap/solve.go
+++ b/internal/rank/expertmap/solve.go
@@ -12,14 +12,14 @@
 // rank with the lowest load that has a free slot and does not hold the expert
 // (longest processing time first, Graham 1969). Finally the shares are
 // balanced.
-func Solve(shape Shape, load []float64, risk LoadVariance) (*Layer, error) {
+func Solve(shape Shape, load []float64, variance LoadVariance) (*Layer, error) {
 	if err := shape.check(); err != nil {
 		return nil, err
 	}
 	if err := checkLoads(shape, load); err != nil {
 		return nil, err
 	}
-	p := newPlacement(shape, load, risk)
+	p := newPlacement(shape, load, variance)
 	p.placeReplicas(replicaCounts(shape, load))
 	p.balance(maxSweeps, balanceTolerance)
 	return p.buildLayer(), nil
--- a/internal/rank/lockstep/giveup.go
+++ b/internal/rank/lockstep/giveup.go
@@ -44,7 +44,7 @@
 
 // releaseStep returns the order that releases the held step.
 func releaseStep(ranks []State, h heldStep) []AddressedOrder {
-	return []AddressedOrder{newDirective(ranks, h.rank, Release{Step: h.step})}
+	return []AddressedOrder{newAddressedOrder(ranks, h.rank, Release{Step: h.step})}
 }
 
 // abortStep aborts the held step: it disarms all ranks, prepares the no-op
@@ -76,11 +76,11 @@
 	r := &ranks[i]
 	switch {
 	case r.Armed != nil:
-		return []AddressedOrder{newDirective(ranks, i, Disarm{Version: r.Armed.Version})}
+		return []AddressedOrder{newAddressedOrder(ranks, i, Disarm{Version: r.Armed.Version})}
 	case r.Busy, r.HasPrepared && r.Prepared == l.noopVersion:
 		return nil
 	default:
-		return []AddressedOrder{newDirective(ranks, i, Prepare{Version: l.noopVersion, Sets: l.inForce.Sets})}
+		return []AddressedOrder{newAddressedOrder(ranks, i, Prepare{Version: l.noopVersion, Sets: l.inForce.Sets})}
 	}
 }
 
--- a/internal/rank/lockstep/lead_test.go
+++ b/internal/rank/lockstep/lead_test.go
@@ -67,9 +67,9 @@
 }
 
 // execute executes an order at once; a prepare takes no time.
-func (g *pacedGroup) execute(d AddressedOrder) Outcome {
-	r := &g.ranks[d.Rank]
-	switch o := d.Order.(type) {
+func (g *pacedGroup) execute(ao AddressedOrder) Outcome {
+	r := &g.ranks[ao.Rank]
+	switch o := ao.Order.(type) {
 	case Prepare:
 		r.Prepared, r.HasPrepared = o.Version, true
 	case Hold:
@@ -92,10 +92,10 @@
 	for len(orders) > 0 {
 		g.wait(3*time.Millisecond + time.Duration(len(orders))*g.orderDuration)
 		applied := true
-		for _, d := range orders {
-			o := g.execute(d)
-			l.RecordOutcome(d, o, g.now)
-			applied = Apply(&ranks[d.Rank], d.Order) && o == NoChange && applied
+		for _, ao := range orders {
+			o := g.execute(ao)
+			l.RecordOutcome(ao, o, g.now)
+			applied = Apply(&ranks[ao.Rank], ao.Order) && o == NoChange && applied
 		}
 		if !applied {
 			return
@@ -164,7 +164,7 @@
 
 // Guards against a hold that arrives too late after an idle period, during
 // which steps seem to last a second.
-func TestStepTimeFallsAtOnce(t *testing.T) {
+func TestStepDurationFallsAtOnce(t *testing.T) {
 	l := &Leader{}
 	now := time.Unix(1000, 0)
 	l.updateStepDuration(1, now)
--- a/internal/rank/lockstep/leader.go
+++ b/internal/rank/lockstep/leader.go
@@ -138,21 +138,21 @@
 
 // Answered records the outcome of an order. The outcome Fenced deposes the
 // leader.
-func (l *Leader) RecordOutcome(d AddressedOrder, o Outcome, now time.Time) {
+func (l *Leader) RecordOutcome(ao AddressedOrder, o Outcome, now time.Time) {
 	if o == Fenced {
 		l.deposed = true
 	}
-	if p, ok := d.Order.(Prepare); ok && o == Rejected && p.Version == l.newestVersion {
+	if p, ok := ao.Order.(Prepare); ok && o == Rejected && p.Version == l.newestVersion {
 		l.prepareRefused = true
 	}
-	switch d.Order.(type) {
+	switch ao.Order.(type) {
 	case Hold:
 		l.recordHold(o)
 	case Release:
-		l.recordGo(o, now)
+		l.recordRelease(o, now)
 	}
-	if o != Unknown && d.Epoch == l.epoch && d.Rank < len(l.fencedAt) && l.fencedAt[d.Rank].IsZero() {
-		l.fencedAt[d.Rank] = now
+	if o != Unknown && ao.Epoch == l.epoch && ao.Rank < len(l.fencedAt) && l.fencedAt[ao.Rank].IsZero() {
+		l.fencedAt[ao.Rank] = now
 	}
 }
 
@@ -173,7 +173,7 @@
 }
 
 // recordGo records how long a change took, measured from its hold.
-func (l *Leader) recordGo(o Outcome, now time.Time) {
+func (l *Leader) recordRelease(o Outcome, now time.Time) {
 	if o == Accepted || o == NoChange {
 		l.leadTime.end(now)
 	}
@@ -200,7 +200,7 @@
 // what is held or armed, because a leader that is about to stop must not leave
 // the group held.
 func (l *Leader) NextOrders(ranks []State, begin bool, now time.Time) []AddressedOrder {
-	if l.deposed || !l.sameOpenGroup(ranks) {
+	if l.deposed || !l.sameAcceptingGroup(ranks) {
 		return nil
 	}
 	l.observe(ranks, now)
@@ -243,7 +243,7 @@
 	var out []AddressedOrder
 	for i := range ranks {
 		if l.fencedAt[i].IsZero() && (seen == nil || seen[i]) {
-			out = append(out, newDirective(ranks, i, Fence{}))
+			out = append(out, newAddressedOrder(ranks, i, Fence{}))
 		}
 	}
 	return out
@@ -251,7 +251,7 @@
 
 // newDirective returns an order for rank i, valid for the state in which the
 // rank was observed.
-func newDirective(ranks []State, i int, o Order) AddressedOrder {
+func newAddressedOrder(ranks []State, i int, o Order) AddressedOrder {
 	return AddressedOrder{Rank: i, Epoch: ranks[i].Epoch, Sequence: ranks[i].Sequence, Order: o}
 }
 
@@ -278,7 +278,7 @@
 			return nil
 		}
 		if !r.Busy {
-			out = append(out, newDirective(ranks, i, Prepare{Version: l.goal.Version, Sets: l.goal.Sets}))
+			out = append(out, newAddressedOrder(ranks, i, Prepare{Version: l.goal.Version, Sets: l.goal.Sets}))
 		}
 	}
 	if !ready {
@@ -289,7 +289,7 @@
 	step := l.latestStep(ranks) + ahead
 	l.holdStep = step
 	l.leadTime.begin(Change{Step: step, StepsAhead: ahead, ExpectedDuration: expected, StepDuration: l.stepDuration}, now)
-	return []AddressedOrder{newDirective(ranks, l.HoldRank, Hold{Step: step})}
+	return []AddressedOrder{newAddressedOrder(ranks, l.HoldRank, Hold{Step: step})}
 }
 
 // targetVersion returns the version for which the step is held: that of the
@@ -318,7 +318,7 @@
 func (l *Leader) armNext(ranks []State, h heldStep) []AddressedOrder {
 	armed, _ := countArmed(ranks)
 	version, _ := l.targetVersion(ranks, armed)
-	arm := func(i int) AddressedOrder { return newDirective(ranks, i, Arm{Version: version, Step: h.step}) }
+	arm := func(i int) AddressedOrder { return newAddressedOrder(ranks, i, Arm{Version: version, Step: h.step}) }
 	var out []AddressedOrder
 	for i, r := range ranks {
 		if r.Armed == nil && i != l.OwnRank && i != l.HoldRank {
--- a/internal/rank/lockstep/leader_test.go
+++ b/internal/rank/lockstep/leader_test.go
@@ -16,12 +16,12 @@
 		if !d.l.Busy() {
 			d.l.Propose(content(d.w.nextContent()))
 		}
-		for _, o := range d.l.NextOrders(ranks, true, w.now) {
-			if _, arm := o.Order.(Arm); arm && o.Rank == 2 && w.tick < 100 {
-				d.l.RecordOutcome(o, Unknown, w.now)
+		for _, ao := range d.l.NextOrders(ranks, true, w.now) {
+			if _, arm := ao.Order.(Arm); arm && ao.Rank == 2 && w.tick < 100 {
+				d.l.RecordOutcome(ao, Unknown, w.now)
 				continue
 			}
-			d.l.RecordOutcome(o, w.deliver(d.token, o), w.now)
+			d.l.RecordOutcome(ao, w.deliver(d.token, ao), w.now)
 		}
 	}
 	if w.ranks[0].state.Map == 0 || w.passes < 150 {
@@ -43,8 +43,8 @@
 		}
 		for range armed {
 			// Only the first of the pending arm orders is delivered.
-			o := first.l.NextOrders(w.observe().ranks, true, w.now)[0]
-			first.l.RecordOutcome(o, w.deliver(first.token, o), w.now)
+			ao := first.l.NextOrders(w.observe().ranks, true, w.now)[0]
+			first.l.RecordOutcome(ao, w.deliver(first.token, ao), w.now)
 		}
 		w.unreachableRank, w.unreachableUntil = first.l.OwnRank, w.tick+1000
 		next := first.successor()
@@ -77,24 +77,24 @@
 			d.l.SetInForce(0, content(0))
 			d.l.Propose(content(1))
 		}
-		for _, o := range d.l.NextOrders(seen.ranks, true, w.now) {
-			if _, arm := o.Order.(Arm); arm && o.Rank == d.l.OwnRank {
-				delayedArm = o
-				d.l.RecordOutcome(o, Unknown, w.now)
+		for _, ao := range d.l.NextOrders(seen.ranks, true, w.now) {
+			if _, arm := ao.Order.(Arm); arm && ao.Rank == d.l.OwnRank {
+				delayedArm = ao
+				d.l.RecordOutcome(ao, Unknown, w.now)
 				continue
 			}
-			d.l.RecordOutcome(o, w.deliver(d.token, o), w.now)
+			d.l.RecordOutcome(ao, w.deliver(d.token, ao), w.now)
 		}
 	}
 	w.now = w.now.Add(2 * armTimeout)
 	for range 20 {
-		for _, o := range d.l.NextOrders(w.observe().ranks, true, w.now) {
-			if _, disarm := o.Order.(Disarm); disarm {
+		for _, ao := range d.l.NextOrders(w.observe().ranks, true, w.now) {
+			if _, disarm := ao.Order.(Disarm); disarm {
 				if w.execute(d.token, delayedArm) != Rejected {
-					t.Fatalf("rank %d is disarmed while the leader's own may still be armed", o.Rank)
+					t.Fatalf("rank %d is disarmed while the leader's own may still be armed", ao.Rank)
 				}
 			}
-			d.l.RecordOutcome(o, w.deliver(d.token, o), w.now)
+			d.l.RecordOutcome(ao, w.deliver(d.token, ao), w.now)
 		}
 		w.advance(true)
 	}
@@ -119,16 +119,16 @@
 		if !d.l.Busy() {
 			d.l.Propose(content(w.nextContent()))
 		}
-		for _, o := range d.l.NextOrders(ranks, true, w.now) {
-			if _, prepare := o.Order.(Prepare); prepare && o.Rank == 2 && !accepted {
-				accepted = w.acceptVersion(d.token, o)
+		for _, ao := range d.l.NextOrders(ranks, true, w.now) {
+			if _, prepare := ao.Order.(Prepare); prepare && ao.Rank == 2 && !accepted {
+				accepted = w.acceptVersion(d.token, ao)
 				w.delayed = append(w.delayed, delayedOrder{
-					at: w.tick + 1200, token: d.token, directive: o, versionAccepted: true,
+					at: w.tick + 1200, token: d.token, order: ao, versionAccepted: true,
 				})
-				d.l.RecordOutcome(o, Unknown, w.now)
+				d.l.RecordOutcome(ao, Unknown, w.now)
 				continue
 			}
-			d.l.RecordOutcome(o, w.deliver(d.token, o), w.now)
+			d.l.RecordOutcome(ao, w.deliver(d.token, ao), w.now)
 		}
 	}
 	if !accepted || w.ranks[0].state.Map == 0 {
--- a/internal/rank/lockstep/observe.go
+++ b/internal/rank/lockstep/observe.go
@@ -22,7 +22,7 @@
 
 // sameOpenGroup reports whether all ranks belong to one group, in one epoch,
 // that accepts requests.
-func (l *Leader) sameOpenGroup(ranks []State) bool {
+func (l *Leader) sameAcceptingGroup(ranks []State) bool {
 	for i, r := range ranks {
 		if !r.Accepting || r.Epoch != ranks[0].Epoch || r.Rank != i || r.Size != len(ranks) {
 			return false
--- a/internal/rank/lockstep/rescue.go
+++ b/internal/rank/lockstep/rescue.go
@@ -24,7 +24,7 @@
 // they begin with its token. A step for which all other ranks are armed stays
 // held until the last rank is observed.
 func (l *Leader) RecoverHeldStep(ranks []State, seen []bool) []AddressedOrder {
-	if l.deposed || !l.canRescue(ranks, seen) {
+	if l.deposed || !l.canRecover(ranks, seen) {
 		return nil
 	}
 	l.enterEpoch(ranks[l.OwnRank].Epoch, len(ranks))
@@ -42,7 +42,7 @@
 	var out []AddressedOrder
 	for i, r := range ranks {
 		if r.Armed != nil {
-			out = append(out, newDirective(ranks, i, Disarm{Version: r.Armed.Version}))
+			out = append(out, newAddressedOrder(ranks, i, Disarm{Version: r.Armed.Version}))
 		}
 	}
 	return out
@@ -50,7 +50,7 @@
 
 // canRescue reports whether only the predecessor's rank is missing and all
 // others take part in a change of the predecessor.
-func (l *Leader) canRescue(ranks []State, seen []bool) bool {
+func (l *Leader) canRecover(ranks []State, seen []bool) bool {
 	if l.Predecessor == nil || l.Predecessor.Rank == l.OwnRank {
 		return false
 	}
--- a/internal/rank/loops.go
+++ b/internal/rank/loops.go
@@ -34,8 +34,8 @@
 	report := r.recordChanges()
 	r.mu.Unlock()
 	report()
-	r.stats.begunStep.Update(int64(s.LastStep))
-	r.stats.grantedStep.Update(int64(s.StepLimit))
+	r.stats.lastStep.Update(int64(s.LastStep))
+	r.stats.stepLimit.Update(int64(s.StepLimit))
 	for _, o := range orders {
 		if err := r.sendEngineOrder(callCtx, o, s.MaxToken); err != nil {
 			r.stats.engineFailures.Inc(1)
@@ -97,12 +97,12 @@
 }
 
 func (r *Runner) joinPeer(ctx context.Context, peer int, j naming.Join) error {
-	a, err := r.requestJoin(ctx, peer, j)
+	jr, err := r.requestJoin(ctx, peer, j)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.member.HandleJoinReply(a)
+	r.member.HandleJoinReply(jr)
 	r.mu.Unlock()
 	return nil
 }
--- a/internal/rank/naming/decide.go
+++ b/internal/rank/naming/decide.go
@@ -91,7 +91,7 @@
 	var actions []Action
 	for i := range l.Members {
 		if l.states[i].Pending == a {
-			actions = append(actions, l.send(i, Release{OrderHeader: l.head(i), Activation: a, View: l.view()}, now)...)
+			actions = append(actions, l.send(i, Release{OrderHeader: l.header(i), Activation: a, View: l.view()}, now)...)
 		}
 	}
 	return actions
@@ -106,7 +106,7 @@
 		case !s.hasStaged(a.Map):
 			actions = append(actions, l.stage(i, a.Map, now)...)
 		default:
-			actions = append(actions, l.send(i, Hold{OrderHeader: l.head(i), Activation: a, View: l.view()}, now)...)
+			actions = append(actions, l.send(i, Hold{OrderHeader: l.header(i), Activation: a, View: l.view()}, now)...)
 		}
 	}
 	return actions
@@ -115,7 +115,7 @@
 func (l *Leader) stage(to int, r Ref, now time.Time) []Action {
 	for _, m := range l.knownMaps {
 		if RefOf(m) == r {
-			return l.send(to, Stage{OrderHeader: l.head(to), Map: m}, now)
+			return l.send(to, Stage{OrderHeader: l.header(to), Map: m}, now)
 		}
 	}
 	return nil
@@ -128,7 +128,7 @@
 	var actions []Action
 	for i := range l.Members {
 		if l.states[i].Pending == a {
-			actions = append(actions, l.send(i, Abandon{OrderHeader: l.head(i), Activation: a}, now)...)
+			actions = append(actions, l.send(i, Abandon{OrderHeader: l.header(i), Activation: a}, now)...)
 		}
 	}
 	return actions
--- a/internal/rank/naming/fakes_test.go
+++ b/internal/rank/naming/fakes_test.go
@@ -108,15 +108,15 @@
 // repeat a step that some ranks have not begun yet.
 func (s *simulation) restartRanks(i int) {
 	e := s.engines[i]
-	begun := e.LastStep
+	lastStep := e.LastStep
 	for _, o := range s.engines {
-		if o.LastStep < begun {
-			begun = e.LastStep - 1
+		if o.LastStep < lastStep {
+			lastStep = e.LastStep - 1
 			delete(e.mapOfStep, e.LastStep)
 			break
 		}
 	}
-	e.EngineState = EngineState{Incarnation: e.Incarnation + 1, LastStep: begun}
+	e.EngineState = EngineState{Incarnation: e.Incarnation + 1, LastStep: lastStep}
 }
 
 func (s *simulation) restartAgent(i int) {
--- a/internal/rank/naming/join.go
+++ b/internal/rank/naming/join.go
@@ -40,22 +40,22 @@
 
 // HandleJoining processes a peer's reply. The member joins once all peers have
 // replied and one of them knows the group's schedule.
-func (m *Member) HandleJoinReply(j JoinReply) {
+func (m *Member) HandleJoinReply(reply JoinReply) {
 	m.init()
-	from := j.State.Member
-	if m.joined || j.SenderIncarnation != m.Incarnation || from < 0 || from >= m.Members || from == m.Index {
+	from := reply.State.Member
+	if m.joined || reply.SenderIncarnation != m.Incarnation || from < 0 || from >= m.Members || from == m.Index {
 		return
 	}
-	if j.KnownIncarnation > m.Incarnation {
-		m.reset(j.KnownIncarnation + 1)
+	if reply.KnownIncarnation > m.Incarnation {
+		m.reset(reply.KnownIncarnation + 1)
 		return
 	}
-	if old, ok := m.joinReplies[from]; ok && !j.State.newer(old.State) {
+	if old, ok := m.joinReplies[from]; ok && !reply.State.newer(old.State) {
 		return
 	}
-	m.incarnations[from] = max(m.incarnations[from], j.State.Incarnation)
-	m.joinReplies[from] = j
-	for _, em := range j.Maps {
+	m.incarnations[from] = max(m.incarnations[from], reply.State.Incarnation)
+	m.joinReplies[from] = reply
+	for _, em := range reply.Maps {
 		m.storeMap(em)
 	}
 	m.join()
--- a/internal/rank/naming/leader.go
+++ b/internal/rank/naming/leader.go
@@ -266,7 +266,7 @@
 	return true
 }
 
-func (l *Leader) head(to int) OrderHeader {
+func (l *Leader) header(to int) OrderHeader {
 	return OrderHeader{Token: l.Token, Incarnation: l.states[to].Incarnation}
 }
 
--- a/internal/rank/naming/member.go
+++ b/internal/rank/naming/member.go
@@ -63,7 +63,7 @@
 // its token. In the same way the incarnation rejects orders sent before a
 // restart.
 func (m *Member) apply(o Order) error {
-	h := o.head()
+	h := o.header()
 	if h.Token < m.maxToken {
 		return result.Newf(result.StaleFencing, "token %d, seen %d", h.Token, m.maxToken)
 	}
--- a/internal/rank/naming/message.go
+++ b/internal/rank/naming/message.go
@@ -13,7 +13,7 @@
 // Order is a message from the leader to a member. Orders are idempotent. The
 // member answers each with its State, which shows the leader whether the order
 // was obeyed.
-type Order interface{ head() OrderHeader }
+type Order interface{ header() OrderHeader }
 
 // Query asks for the member's state and makes it refuse older tokens from now
 // on. It applies to any incarnation.
@@ -47,11 +47,11 @@
 	Activation Activation
 }
 
-func (q Query) head() OrderHeader   { return q.OrderHeader }
-func (s Stage) head() OrderHeader   { return s.OrderHeader }
-func (h Hold) head() OrderHeader    { return h.OrderHeader }
-func (r Release) head() OrderHeader { return r.OrderHeader }
-func (a Abandon) head() OrderHeader { return a.OrderHeader }
+func (q Query) header() OrderHeader   { return q.OrderHeader }
+func (s Stage) header() OrderHeader   { return s.OrderHeader }
+func (h Hold) header() OrderHeader    { return h.OrderHeader }
+func (r Release) header() OrderHeader { return r.OrderHeader }
+func (a Abandon) header() OrderHeader { return a.OrderHeader }
 
 // State is a member's report about itself.
 type State struct {
--- a/internal/rank/naming/tick.go
+++ b/internal/rank/naming/tick.go
@@ -16,7 +16,7 @@
 	if orders := m.activateOrders(); len(orders) > 0 {
 		return orders
 	}
-	return m.allowOrders()
+	return m.stepLimitOrders()
 }
 
 // observe records the engine's state. The first state shows the step limit that
@@ -102,7 +102,7 @@
 // stops between two ticks; if it is too far, a new map is delayed by as many
 // steps. The limit is raised once half of it is used, so that an order is sent
 // every Lookahead/2 steps and not on each tick.
-func (m *Member) allowOrders() []EngineOrder {
+func (m *Member) stepLimitOrders() []EngineOrder {
 	limit := m.engine.LastStep + m.Lookahead
 	if m.pending != (Activation{}) {
 		limit = min(limit, m.pending.Step-1)
--- a/internal/rank/naming/world_test.go
+++ b/internal/rank/naming/world_test.go
@@ -161,14 +161,14 @@
 	}
 }
 
-const leaseTime = 40 * tick
+const leaseTTL = 40 * tick
 
 func (s *simulation) acquireLease(i int) {
 	if s.kv.down || s.now.Before(s.kv.leaseUntil) {
 		return
 	}
 	s.kv.token++
-	s.kv.holder, s.kv.leaseUntil = i, s.now.Add(leaseTime)
+	s.kv.holder, s.kv.leaseUntil = i, s.now.Add(leaseTTL)
 	l := &Leader{
 		Members: s.n, Token: s.kv.token, ResendInterval: 4 * tick, RefreshInterval: 4 * tick, HoldTime: 60 * tick, StepMargin: 8,
 	}
@@ -184,7 +184,7 @@
 		}
 		return
 	}
-	s.kv.leaseUntil = s.now.Add(leaseTime)
+	s.kv.leaseUntil = s.now.Add(leaseTTL)
 	l.ExtendLease(s.kv.leaseUntil)
 }
 
--- a/internal/rank/peers.go
+++ b/internal/rank/peers.go
@@ -145,15 +145,15 @@
 	if reply.GetCode() != 0 {
 		return naming.JoinReply{}, result.New(result.Code(reply.GetCode()), reply.GetDetail())
 	}
-	a := naming.JoinReply{SenderIncarnation: reply.GetTo(), KnownIncarnation: reply.GetNoted(), State: stateFromProto(reply.GetState())}
+	jr := naming.JoinReply{SenderIncarnation: reply.GetTo(), KnownIncarnation: reply.GetNoted(), State: stateFromProto(reply.GetState())}
 	for _, p := range reply.GetMaps() {
 		m, err := mapFromProto(p, nil)
 		if err != nil {
 			return naming.JoinReply{}, err
 		}
-		a.Maps = append(a.Maps, m)
+		jr.Maps = append(jr.Maps, m)
 	}
-	return a, nil
+	return jr, nil
 }
 
 func (r *Runner) fetchCounts(ctx context.Context, from int) ([]ExpertLoad, error) {
--- a/internal/rank/planner.go
+++ b/internal/rank/planner.go
@@ -74,7 +74,7 @@
 	}
 	now := time.Now()
 	if p.popularity == nil || p.popularity.Layers() != current.Layers() {
-		p.popularity = expertmap.NewPopularity(current.Layers(), current.Layer(0).Shape().Experts, r.PopularityWindow)
+		p.popularity = expertmap.NewPopularityEstimator(current.Layers(), current.Layer(0).Shape().Experts, r.PopularityWindow)
 	}
 	for i, c := range counts {
 		if err := p.popularity.Observe(i, c, now); err != nil {
--- a/internal/rank/service.go
+++ b/internal/rank/service.go
@@ -93,10 +93,10 @@
 		return &rankpb.JoinReply{Code: resultCode(err), Detail: err.Error()}, nil
 	}
 	r.mu.Lock()
-	a := r.member.HandleJoin(naming.Join{Member: int(p.GetMember()), Incarnation: p.GetIncarnation()})
+	jr := r.member.HandleJoin(naming.Join{Member: int(p.GetMember()), Incarnation: p.GetIncarnation()})
 	r.mu.Unlock()
-	reply := &rankpb.JoinReply{To: a.SenderIncarnation, Noted: a.KnownIncarnation, State: stateToProto(a.State)}
-	for _, m := range a.Maps {
+	reply := &rankpb.JoinReply{To: jr.SenderIncarnation, Noted: jr.KnownIncarnation, State: stateToProto(jr.State)}
+	for _, m := range jr.Maps {
 		reply.Maps = append(reply.Maps, mapToProto(m, nil))
 	}
 	return reply, nil
--- a/internal/ranker/delegate.go
+++ b/internal/ranker/delegate.go
@@ -95,11 +95,11 @@
 
 // giveToEngine delivers an order to an engine whose agent does not answer.
 func (s *service) giveToEngine(ctx context.Context, endpoint string, req *fleetpb.GiveRequest) *fleetpb.GiveReply {
-	d, known, err := s.decodeOrder(req)
+	ao, known, err := s.decodeOrder(req)
 	if err != nil || !known {
 		return &fleetpb.GiveReply{UnknownBase: !known}
 	}
-	o, err := giveWithRetries(ctx, s.ranker.delegate.poller.engineAt(endpoint), req.GetToken(), d, remoteRetries)
+	o, err := giveWithRetries(ctx, s.ranker.delegate.poller.engineAt(endpoint), req.GetToken(), ao, remoteRetries)
 	if err != nil {
 		s.ranker.Log.WithFields(logrus.Fields{"endpoint": endpoint, "cause": err.Error()}).Warn("cannot deliver order to engine")
 	}
--- a/internal/ranker/orders.go
+++ b/internal/ranker/orders.go
@@ -24,18 +24,18 @@
 // long as every order is answered as already carried out. The ranks' states are then
 // known without another poll, and a held step is released some milliseconds sooner.
 func (t *term) giveAndContinue(
-	ctx context.Context, directives []lockstep.AddressedOrder, ranks []lockstep.State, byRank []rankReport,
+	ctx context.Context, orders []lockstep.AddressedOrder, ranks []lockstep.State, byRank []rankReport,
 	next func(now time.Time) []lockstep.AddressedOrder,
 ) {
 	for range maxFollowUps {
-		outcomes := t.giveAll(ctx, directives, byRank)
-		for i, d := range directives {
-			if outcomes[i] != lockstep.NoChange || !lockstep.Apply(&ranks[d.Rank], d.Order) {
+		outcomes := t.giveAll(ctx, orders, byRank)
+		for i, ao := range orders {
+			if outcomes[i] != lockstep.NoChange || !lockstep.Apply(&ranks[ao.Rank], ao.Order) {
 				return
 			}
 		}
-		directives = next(boottime.Now())
-		if len(directives) == 0 {
+		orders = next(boottime.Now())
+		if len(orders) == 0 {
 			return
 		}
 	}
@@ -43,26 +43,26 @@
 
 // giveAll delivers orders to their ranks: through the delegate by which the rank was
 // polled, or else one by one. It returns the outcome of each order.
-func (t *term) giveAll(ctx context.Context, directives []lockstep.AddressedOrder, byRank []rankReport) []lockstep.Outcome {
-	t.setPrepare(directives)
-	outcomes := make([]lockstep.Outcome, len(directives))
+func (t *term) giveAll(ctx context.Context, orders []lockstep.AddressedOrder, byRank []rankReport) []lockstep.Outcome {
+	t.setPrepare(orders)
+	outcomes := make([]lockstep.Outcome, len(orders))
 	byDelegate := map[string][]int{}
 	var calls []func()
-	for i, d := range directives {
-		target := byRank[d.Rank]
-		if target.delegate != nil && !isStepOrder(d.Order) {
+	for i, ao := range orders {
+		target := byRank[ao.Rank]
+		if target.delegate != nil && !isStepOrder(ao.Order) {
 			byDelegate[target.delegate.Name] = append(byDelegate[target.delegate.Name], i)
 			continue
 		}
-		calls = append(calls, func() { outcomes[i] = t.giveOrder(ctx, d, target) })
+		calls = append(calls, func() { outcomes[i] = t.giveOrder(ctx, ao, target) })
 	}
 	for _, indices := range byDelegate {
-		calls = append(calls, func() { t.giveToSubgroup(ctx, indices, directives, byRank, outcomes) })
+		calls = append(calls, func() { t.giveToSubgroup(ctx, indices, orders, byRank, outcomes) })
 	}
 	parallel(len(calls), func(i int) { calls[i]() })
 	now := boottime.Now()
-	for i, d := range directives {
-		t.leader.RecordOutcome(d, outcomes[i], now)
+	for i, ao := range orders {
+		t.leader.RecordOutcome(ao, outcomes[i], now)
 	}
 	return outcomes
 }
@@ -70,19 +70,19 @@
 // giveToSubgroup delivers the directives with the given indices through the delegate
 // by which their ranks were polled, and stores the outcomes under the same indices.
 func (t *term) giveToSubgroup(
-	ctx context.Context, indices []int, directives []lockstep.AddressedOrder, byRank []rankReport, outcomes []lockstep.Outcome,
+	ctx context.Context, indices []int, orders []lockstep.AddressedOrder, byRank []rankReport, outcomes []lockstep.Outcome,
 ) {
 	if !t.mayGive(boottime.Now()) {
 		return
 	}
-	delegate := byRank[directives[indices[0]].Rank].delegate
+	delegate := byRank[orders[indices[0]].Rank].delegate
 	req := &fleetpb.SpreadRequest{Token: t.token}
 	for _, i := range indices {
-		d := directives[i]
-		if _, ok := d.Order.(lockstep.Prepare); ok {
+		ao := orders[i]
+		if _, ok := ao.Order.(lockstep.Prepare); ok {
 			req.Prepare = t.prepareMsg
 		}
-		req.Orders = append(req.Orders, addressedProto(d, byRank[d.Rank]))
+		req.Orders = append(req.Orders, addressedProto(ao, byRank[ao.Rank]))
 	}
 	replies, err := t.callSpread(ctx, delegate, req)
 	if err != nil {
@@ -91,19 +91,19 @@
 		return
 	}
 	for k, i := range indices {
-		d, target := directives[i], byRank[directives[i].Rank]
+		ao, target := orders[i], byRank[orders[i].Rank]
 		if replies[k].GetUnknownBase() {
-			outcomes[i] = t.giveOrder(ctx, d, target)
+			outcomes[i] = t.giveOrder(ctx, ao, target)
 			continue
 		}
 		outcomes[i] = lockstep.Outcome(replies[k].GetStatus())
-		t.logOrder(d, outcomes[i], nil)
+		t.logOrder(ao, outcomes[i], nil)
 	}
 }
 
 // addressedProto encodes an order for a rank that was polled through a delegate.
-func addressedProto(d lockstep.AddressedOrder, target rankReport) *fleetpb.Addressed {
-	order := &fleetpb.Addressed{Order: giveRequestProto(0, d, &fleetpb.Prepare{}), Direct: target.agent == nil}
+func addressedProto(ao lockstep.AddressedOrder, target rankReport) *fleetpb.Addressed {
+	order := &fleetpb.Addressed{Order: giveRequestProto(0, ao, &fleetpb.Prepare{}), Direct: target.agent == nil}
 	if order.Direct {
 		order.Target = &fleetpb.Target{Endpoint: target.address}
 	} else {
@@ -141,23 +141,23 @@
 
 // setPrepare encodes the map that ranks are to prepare, which is the same for all
 // ranks.
-func (t *term) setPrepare(directives []lockstep.AddressedOrder) {
-	for _, d := range directives {
-		if p, ok := d.Order.(lockstep.Prepare); ok {
+func (t *term) setPrepare(orders []lockstep.AddressedOrder) {
+	for _, ao := range orders {
+		if p, ok := ao.Order.(lockstep.Prepare); ok {
 			t.prepareMsg, t.preparedSets = prepareProto(p, t.leader.InForce()), p.Sets
 			return
 		}
 	}
 }
 
-func (t *term) giveOrder(ctx context.Context, d lockstep.AddressedOrder, target rankReport) lockstep.Outcome {
+func (t *term) giveOrder(ctx context.Context, ao lockstep.AddressedOrder, target rankReport) lockstep.Outcome {
 	if !t.mayGive(boottime.Now()) {
 		return lockstep.Unknown
 	}
 	ctx, cancel := context.WithTimeout(ctx, agentCallTimeout)
 	defer cancel()
-	o, err := t.send(ctx, d, target)
-	t.logOrder(d, o, err)
+	o, err := t.send(ctx, ao, target)
+	t.logOrder(ao, o, err)
 	return o
 }
 
@@ -170,35 +170,35 @@
 
 // logOrder logs the outcome of an order. A Prepare that an engine has begun is left
 // out, because the proposal of a map is logged once for all ranks.
-func (t *term) logOrder(d lockstep.AddressedOrder, o lockstep.Outcome, err error) {
-	if _, ok := d.Order.(lockstep.Prepare); ok && o == lockstep.Accepted {
+func (t *term) logOrder(ao lockstep.AddressedOrder, o lockstep.Outcome, err error) {
+	if _, ok := ao.Order.(lockstep.Prepare); ok && o == lockstep.Accepted {
 		return
 	}
-	fields := logrus.Fields{"group": t.group, "rank": d.Rank, "epoch": d.Epoch, "sequence": d.Sequence, "outcome": o.String()}
-	addOrderFields(fields, d.Order)
+	fields := logrus.Fields{"group": t.group, "rank": ao.Rank, "epoch": ao.Epoch, "sequence": ao.Sequence, "outcome": o.String()}
+	addOrderFields(fields, ao.Order)
 	if err != nil {
 		fields["cause"] = err.Error()
 	}
 	t.ranker.Log.WithFields(fields).Info("order given")
 }
 
-func (t *term) send(ctx context.Context, d lockstep.AddressedOrder, target rankReport) (lockstep.Outcome, error) {
+func (t *term) send(ctx context.Context, ao lockstep.AddressedOrder, target rankReport) (lockstep.Outcome, error) {
 	r := t.ranker
 	switch {
-	case target.agent == nil || isStepOrder(d.Order):
-		return giveWithRetries(ctx, t.poller.engineAt(target.address), t.token, d, t.retries)
+	case target.agent == nil || isStepOrder(ao.Order):
+		return giveWithRetries(ctx, t.poller.engineAt(target.address), t.token, ao, t.retries)
 	case target.agent.Name == r.Settings.Name:
-		return r.giveLocal(ctx, t.token, d)
+		return r.giveLocal(ctx, t.token, ao)
 	}
 	conn, err := r.conns.Get(target.agent.Address)
 	if err != nil {
 		return lockstep.Unknown, err
 	}
 	agent := fleetpb.NewAgentClient(conn)
-	resp, err := agent.Give(ctx, giveRequestProto(t.token, d, t.prepareMsg))
+	resp, err := agent.Give(ctx, giveRequestProto(t.token, ao, t.prepareMsg))
 	if err == nil && resp.GetUnknownBase() {
 		full := &fleetpb.Prepare{Version: t.prepareMsg.GetVersion(), Sets: setsProto(t.preparedSets)}
-		resp, err = agent.Give(ctx, giveRequestProto(t.token, d, full))
+		resp, err = agent.Give(ctx, giveRequestProto(t.token, ao, full))
 	}
 	if err != nil {
 		return lockstep.Unknown, err
--- a/internal/ranker/ranker.go
+++ b/internal/ranker/ranker.go
@@ -99,7 +99,7 @@
 
 // counters holds the agent's metrics.
 type counters struct {
-	orders, unanswered, unfit, changes, copies, terms metrics.Counter
+	orders, unanswered, rejected, changes, copies, terms metrics.Counter
 }
 
 // Listen opens the process's listening addresses.
@@ -113,7 +113,7 @@
 	}
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("rank."+name, r.Registry) }
 	r.counters = counters{
-		orders: counter("orders"), unanswered: counter("ordersUnanswered"), unfit: counter("ordersUnfit"),
+		orders: counter("orders"), unanswered: counter("ordersUnanswered"), rejected: counter("ordersUnfit"),
 		changes: counter("mapChanges"), copies: counter("expertCopies"), terms: counter("terms"),
 	}
 	r.agents, r.entries = map[string]fleet.Member{}, map[string]fleet.Member{}
--- a/internal/ranker/round.go
+++ b/internal/ranker/round.go
@@ -23,7 +23,7 @@
 	ranks, byRank, seen := t.indexByRank(reports)
 	t.reportLoads(ctx, entries, reports, !slices.Contains(seen, false), now)
 	if slices.Contains(seen, false) {
-		return t.rescue(ctx, ranks, byRank, seen)
+		return t.recoverHeldStep(ctx, ranks, byRank, seen)
 	}
 	if t.engine == nil {
 		return pollInterval
@@ -34,13 +34,13 @@
 		t.plan(byRank, now)
 	}
 	wasBusy := t.leader.Busy()
-	directives := t.leader.NextOrders(ranks, t.mayBegin(now), now)
+	orders := t.leader.NextOrders(ranks, t.mayBegin(now), now)
 	t.logHeld(ranks, now)
 	if wasBusy && !t.leader.Busy() {
 		return 0 // counts gathered meanwhile may call for the next change
 	}
-	if len(directives) > 0 {
-		t.giveAndContinue(ctx, directives, ranks, byRank, func(now time.Time) []lockstep.AddressedOrder {
+	if len(orders) > 0 {
+		t.giveAndContinue(ctx, orders, ranks, byRank, func(now time.Time) []lockstep.AddressedOrder {
 			return t.leader.NextOrders(ranks, t.mayBegin(now), now)
 		})
 		t.logChange()
@@ -82,12 +82,12 @@
 
 // rescue releases a step that the previous leader left held, provided that leader's
 // rank is the only one not polled. It returns how long to wait before the next round.
-func (t *term) rescue(ctx context.Context, ranks []lockstep.State, byRank []rankReport, seen []bool) time.Duration {
-	directives := t.leader.RecoverHeldStep(ranks, seen)
-	if len(directives) == 0 {
+func (t *term) recoverHeldStep(ctx context.Context, ranks []lockstep.State, byRank []rankReport, seen []bool) time.Duration {
+	orders := t.leader.RecoverHeldStep(ranks, seen)
+	if len(orders) == 0 {
 		return pollInterval
 	}
-	t.giveAndContinue(ctx, directives, ranks, byRank, func(time.Time) []lockstep.AddressedOrder { return t.leader.RecoverHeldStep(ranks, seen) })
+	t.giveAndContinue(ctx, orders, ranks, byRank, func(time.Time) []lockstep.AddressedOrder { return t.leader.RecoverHeldStep(ranks, seen) })
 	return 0
 }
 
--- a/internal/ranker/service.go
+++ b/internal/ranker/service.go
@@ -75,14 +75,14 @@
 
 // Give implements fleetpb.AgentServer.
 func (s *service) Give(ctx context.Context, req *fleetpb.GiveRequest) (*fleetpb.GiveReply, error) {
-	d, known, err := s.decodeOrder(req)
+	ao, known, err := s.decodeOrder(req)
 	if err != nil {
 		return nil, err
 	}
 	if !known {
 		return &fleetpb.GiveReply{UnknownBase: true}, nil
 	}
-	o, err := s.ranker.giveLocal(ctx, req.GetToken(), d)
+	o, err := s.ranker.giveLocal(ctx, req.GetToken(), ao)
 	if err != nil && o != lockstep.Unknown {
 		return nil, err
 	}
@@ -91,31 +91,31 @@
 
 // decodeOrder decodes an order. known is false when the order's map is encoded as
 // changes to a map that this agent does not have.
-func (s *service) decodeOrder(req *fleetpb.GiveRequest) (d lockstep.AddressedOrder, known bool, err error) {
-	if d, err = directiveFromProto(req); err != nil {
-		return d, false, err
+func (s *service) decodeOrder(req *fleetpb.GiveRequest) (ao lockstep.AddressedOrder, known bool, err error) {
+	if ao, err = addressedOrderFromProto(req); err != nil {
+		return ao, false, err
 	}
 	prepare := req.GetPrepare()
 	if prepare == nil {
-		return d, true, nil
+		return ao, true, nil
 	}
 	sets, ok := s.ranker.mapCache.decode(prepare)
-	d.Order = lockstep.Prepare{Version: prepare.GetVersion(), Sets: sets}
-	return d, ok, nil
+	ao.Order = lockstep.Prepare{Version: prepare.GetVersion(), Sets: sets}
+	return ao, ok, nil
 }
 
 // giveLocal delivers an order to the agent's own engine.
-func (r *Ranker) giveLocal(ctx context.Context, token uint64, d lockstep.AddressedOrder) (lockstep.Outcome, error) {
-	if p, ok := d.Order.(lockstep.Prepare); ok {
+func (r *Ranker) giveLocal(ctx context.Context, token uint64, ao lockstep.AddressedOrder) (lockstep.Outcome, error) {
+	if p, ok := ao.Order.(lockstep.Prepare); ok {
 		r.mapCache.add(p.Version, p.Sets)
 	}
-	o, err := giveWithRetries(ctx, r.engine, token, d, localRetries)
+	o, err := giveWithRetries(ctx, r.engine, token, ao, localRetries)
 	r.counters.orders.Inc(1)
 	switch o {
 	case lockstep.Unknown:
 		r.counters.unanswered.Inc(1)
 	case lockstep.Rejected, lockstep.Fenced:
-		r.counters.unfit.Inc(1)
+		r.counters.rejected.Inc(1)
 	}
 	return o, err
 }
@@ -162,9 +162,9 @@
 
 // giveRequestProto encodes an order. prepare is the encoded map of a Prepare order,
 // see prepareProto.
-func giveRequestProto(token uint64, d lockstep.AddressedOrder, prepare *fleetpb.Prepare) *fleetpb.GiveRequest {
-	req := &fleetpb.GiveRequest{Token: token, Epoch: d.Epoch, Sequence: d.Sequence}
-	switch o := d.Order.(type) {
+func giveRequestProto(token uint64, ao lockstep.AddressedOrder, prepare *fleetpb.Prepare) *fleetpb.GiveRequest {
+	req := &fleetpb.GiveRequest{Token: token, Epoch: ao.Epoch, Sequence: ao.Sequence}
+	switch o := ao.Order.(type) {
 	case lockstep.Fence:
 		req.Order = &fleetpb.GiveRequest_Fence{Fence: &fleetpb.Fence{}}
 	case lockstep.Prepare:
@@ -183,23 +183,23 @@
 
 // directiveFromProto decodes an order except for the map of a Prepare. It returns an
 // error for an order of unknown kind.
-func directiveFromProto(req *fleetpb.GiveRequest) (lockstep.AddressedOrder, error) {
-	d := lockstep.AddressedOrder{Epoch: req.GetEpoch(), Sequence: req.GetSequence()}
+func addressedOrderFromProto(req *fleetpb.GiveRequest) (lockstep.AddressedOrder, error) {
+	ao := lockstep.AddressedOrder{Epoch: req.GetEpoch(), Sequence: req.GetSequence()}
 	switch o := req.GetOrder().(type) {
 	case *fleetpb.GiveRequest_Fence:
-		d.Order = lockstep.Fence{}
+		ao.Order = lockstep.Fence{}
 	case *fleetpb.GiveRequest_Prepare:
 		// The caller decodes the map, which may be encoded as changes.
 	case *fleetpb.GiveRequest_Arm:
-		d.Order = lockstep.Arm{Version: o.Arm.GetVersion(), Step: o.Arm.GetStep()}
+		ao.Order = lockstep.Arm{Version: o.Arm.GetVersion(), Step: o.Arm.GetStep()}
 	case *fleetpb.GiveRequest_Disarm:
-		d.Order = lockstep.Disarm{Version: o.Disarm.GetVersion()}
+		ao.Order = lockstep.Disarm{Version: o.Disarm.GetVersion()}
 	case *fleetpb.GiveRequest_Hold:
-		d.Order = lockstep.Hold{Step: o.Hold.GetStep()}
+		ao.Order = lockstep.Hold{Step: o.Hold.GetStep()}
 	case *fleetpb.GiveRequest_Go:
-		d.Order = lockstep.Release{Step: o.Go.GetStep()}
+		ao.Order = lockstep.Release{Step: o.Go.GetStep()}
 	default:
-		return d, result.New(result.MalformedMsg, "order is of an unknown kind")
+		return ao, result.New(result.MalformedMsg, "order is of an unknown kind")
 	}
-	return d, nil
+	return ao, nil
 }
--- a/internal/ranker/sums.go
+++ b/internal/ranker/sums.go
@@ -33,8 +33,8 @@
 
 // engineCounts holds the counts of an engine at a poll, and the engine's start.
 type engineCounts struct {
-	counts []uint64
-	born   uint64
+	counts      []uint64
+	startMillis uint64
 }
 
 // add adds a rank's increments since its previous report to sum. It adds nothing
@@ -47,8 +47,8 @@
 		t.ranks = map[int]engineCounts{}
 	}
 	previous, ok := t.ranks[report.state.Rank]
-	t.ranks[report.state.Rank] = engineCounts{counts: report.counts, born: report.state.StartMillis}
-	if !ok || previous.born != report.state.StartMillis || len(previous.counts) != len(report.counts) {
+	t.ranks[report.state.Rank] = engineCounts{counts: report.counts, startMillis: report.state.StartMillis}
+	if !ok || previous.startMillis != report.state.StartMillis || len(previous.counts) != len(report.counts) {
 		return
 	}
 	for i, n := range report.counts {
--- a/internal/ranker/sums_test.go
+++ b/internal/ranker/sums_test.go
@@ -18,8 +18,8 @@
 )
 
 // reportWithCounts is the report of a rank with the given counts.
-func reportWithCounts(rank int, born uint64, counts ...uint64) engineReport {
-	return engineReport{state: lockstep.State{Rank: rank, StartMillis: born}, counts: counts}
+func reportWithCounts(rank int, startMillis uint64, counts ...uint64) engineReport {
+	return engineReport{state: lockstep.State{Rank: rank, StartMillis: startMillis}, counts: counts}
 }
 
 func checkCounts(t *testing.T, step string, got []float64, want ...float64) {
--- a/internal/ranker/tries.go
+++ b/internal/ranker/tries.go
@@ -36,17 +36,17 @@
 // giveWithRetries gives an order until it is answered, or the attempts are used up.
 // Orders state the wanted result, so carrying one out twice has the same effect as
 // once.
-func giveWithRetries(ctx context.Context, e *platform.Engine, token uint64, d lockstep.AddressedOrder, retries retryPolicy) (lockstep.Outcome, error) {
+func giveWithRetries(ctx context.Context, e *platform.Engine, token uint64, ao lockstep.AddressedOrder, retries retryPolicy) (lockstep.Outcome, error) {
 	for range retries.attempts - 1 {
-		if o, err := giveOnce(ctx, e, token, d, retries.timeout); o != lockstep.Unknown {
+		if o, err := giveOnce(ctx, e, token, ao, retries.timeout); o != lockstep.Unknown {
 			return o, err
 		}
 	}
-	return giveOnce(ctx, e, token, d, retries.lastTimeout)
+	return giveOnce(ctx, e, token, ao, retries.lastTimeout)
 }
 
-func giveOnce(ctx context.Context, e *platform.Engine, token uint64, d lockstep.AddressedOrder, timeout time.Duration) (lockstep.Outcome, error) {
+func giveOnce(ctx context.Context, e *platform.Engine, token uint64, ao lockstep.AddressedOrder, timeout time.Duration) (lockstep.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return e.Give(ctx, token, d)
+	return e.Give(ctx, token, ao)
 }
--- a/internal/ranker/tries_test.go
+++ b/internal/ranker/tries_test.go
@@ -12,7 +12,7 @@
 // against giving the successor's go order once per round only, with a poll of the
 // frozen VM in between: the step was released after 2.6 s, when callers had left and
 // engines still worked for them.
-func TestLostGoIsGivenAgainInItsRound(t *testing.T) {
+func TestLostReleaseIsGivenAgainInItsRound(t *testing.T) {
 	t.Parallel()
 	g := standin.StartGroup(3, 2, 9, 4)
 	t.Cleanup(g.Close)
@@ -26,8 +26,8 @@
 	const ahead = 1_000_000
 	for _, o := range []lockstep.Order{lockstep.Hold{Step: ahead}, lockstep.Release{Step: ahead}} {
 		g.LoseOrders(remoteRetries.attempts - 1)
-		d := lockstep.AddressedOrder{Rank: 1, Epoch: 1, Order: o}
-		got, err := term.send(t.Context(), d, rankReport{engineReport: engineReport{address: g.Addr(1)}})
+		ao := lockstep.AddressedOrder{Rank: 1, Epoch: 1, Order: o}
+		got, err := term.send(t.Context(), ao, rankReport{engineReport: engineReport{address: g.Addr(1)}})
 		if err != nil || got == lockstep.Unknown {
 			t.Fatalf("%T: %v, %v", o, got, err)
 		}
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -35,12 +35,12 @@
 func (j *job) attempt(ctx context.Context, assigned Assignment) Outcome {
 	r := j.relay
 	req := j.endpointRequest(assigned)
-	a, err := r.Client.Do(ctx, assigned.Endpoint.Address, req)
+	resp, err := r.Client.Do(ctx, assigned.Endpoint.Address, req)
 	if err != nil {
 		return j.lostOutcome(err)
 	}
-	defer a.Close()
-	info := r.HeaderCodec.ReadAnswer(a.Status, a.Header)
+	defer resp.Close()
+	info := r.HeaderCodec.ReadAnswer(resp.Status, resp.Header)
 	if info.Cold > 0 {
 		r.State.SetCold(assigned.Endpoint.ID, info.Cold, r.Now())
 	}
@@ -50,16 +50,16 @@
 		j.recordLimit(assigned, info)
 	}
 	if info.NotRun {
-		_, _ = io.Copy(io.Discard, a)
-		return NotRun{Sent: true, Code: notRunCode(info, a.Status)}
+		_, _ = io.Copy(io.Discard, resp)
+		return NotRun{Sent: true, Code: notRunCode(info, resp.Status)}
 	}
-	if err := j.checkAnswer(a, info); err != nil {
+	if err := j.checkAnswer(resp, info); err != nil {
 		return Unknown{Cause: err}
 	}
-	if j.route.RetrySemantics == routing.Stream && a.Status == http.StatusOK {
-		return j.forwardStream(ctx, assigned, a)
+	if j.route.RetrySemantics == routing.Stream && resp.Status == http.StatusOK {
+		return j.forwardStream(ctx, assigned, resp)
 	}
-	return j.forwardBuffered(ctx, assigned, a)
+	return j.forwardBuffered(ctx, assigned, resp)
 }
 
 // recordLimit records the request rate that the endpoint accepts according to its answer. An answer
@@ -144,11 +144,11 @@
 }
 
 // checkAnswer rejects encoded bodies, and successes that are unsigned or answer another request.
-func (j *job) checkAnswer(a *direct.Response, info AnswerInfo) error {
+func (j *job) checkAnswer(resp *direct.Response, info AnswerInfo) error {
 	switch {
-	case a.Header.Get("Content-Encoding") != "":
+	case resp.Header.Get("Content-Encoding") != "":
 		return errEncoded
-	case a.Status/100 != 2:
+	case resp.Status/100 != 2:
 		return nil
 	case !info.Signed:
 		return errUnsigned
@@ -160,8 +160,8 @@
 
 // forwardBuffered reads the complete answer before it forwards any of it, so that the request can
 // still be sent to another endpoint if the answer is cut off.
-func (j *job) forwardBuffered(ctx context.Context, assigned Assignment, a *direct.Response) Outcome {
-	body, err := io.ReadAll(io.LimitReader(a, maxAnswerBytes+1))
+func (j *job) forwardBuffered(ctx context.Context, assigned Assignment, resp *direct.Response) Outcome {
+	body, err := io.ReadAll(io.LimitReader(resp, maxAnswerBytes+1))
 	if err == nil && len(body) > maxAnswerBytes {
 		err = errAnswerTooLarge
 	}
@@ -170,8 +170,8 @@
 	}
 	now := j.relay.Now()
 	j.relay.State.PartReceived(assigned, now)
-	answer := &BufferedAnswer{Status: a.Status, Header: caller.EndToEnd(a.Header), Body: body}
-	if a.Status >= http.StatusInternalServerError {
+	answer := &BufferedAnswer{Status: resp.Status, Header: caller.EndToEnd(resp.Header), Body: body}
+	if resp.Status >= http.StatusInternalServerError {
 		return Failed{Answer: answer}
 	}
 	j.firstPartAt = now
@@ -191,12 +191,12 @@
 
 // forwardStream forwards events as they arrive. The header is sent to the caller with the first
 // event, so that another endpoint can take over if this one fails before that.
-func (j *job) forwardStream(ctx context.Context, assigned Assignment, a *direct.Response) Outcome {
-	events := direct.NewEventReader(a)
+func (j *job) forwardStream(ctx context.Context, assigned Assignment, resp *direct.Response) Outcome {
+	events := direct.NewEventReader(resp)
 	for {
 		ev, err := events.Next()
 		if err == io.EOF {
-			return j.endStream(a)
+			return j.endStream(resp)
 		}
 		if err != nil {
 			return j.readErrorOutcome(ctx, err)
@@ -207,13 +207,13 @@
 		if ev.HasID && ev.ID != j.lastEventID+1 {
 			return j.readErrorOutcome(ctx, errEventOrder)
 		}
-		if err := j.forwardEvent(assigned, a, ev); err != nil {
+		if err := j.forwardEvent(assigned, resp, ev); err != nil {
 			return Disconnected{Cause: err}
 		}
 	}
 }
 
-func (j *job) forwardEvent(assigned Assignment, a *direct.Response, ev direct.Event) error {
+func (j *job) forwardEvent(assigned Assignment, resp *direct.Response, ev direct.Event) error {
 	now := j.relay.Now()
 	j.relay.State.PartReceived(assigned, now)
 	if pause := now.Sub(j.lastPartAt); j.headSent && pause > j.longestPause {
@@ -222,7 +222,7 @@
 	j.lastPartAt = now
 	if !j.headSent {
 		j.headSent, j.firstPartAt = true, now
-		if err := j.reply.BeginRaw(a.Status, caller.EndToEnd(a.Header)); err != nil {
+		if err := j.reply.BeginRaw(resp.Status, caller.EndToEnd(resp.Header)); err != nil {
 			return err
 		}
 	}
@@ -232,9 +232,9 @@
 	return j.reply.Piece(ev.Raw)
 }
 
-func (j *job) endStream(a *direct.Response) Outcome {
+func (j *job) endStream(resp *direct.Response) Outcome {
 	if !j.headSent {
-		if err := j.reply.BeginRaw(a.Status, caller.EndToEnd(a.Header)); err != nil {
+		if err := j.reply.BeginRaw(resp.Status, caller.EndToEnd(resp.Header)); err != nil {
 			return Disconnected{Cause: err}
 		}
 		j.headSent = true
--- a/internal/relay/belief.go
+++ b/internal/relay/belief.go
@@ -96,7 +96,7 @@
 	retry        RetryBudget
 	table        *routing.Table
 	dir          directory.Directory
-	selector     placement.Balancer
+	balancer     placement.Balancer
 	coldShares   RateShares
 	limitShares  RateShares
 	retryBudgets map[string]*admission.RetryBudget
@@ -140,7 +140,7 @@
 func (st *State) Init(now time.Time) {
 	st.dir.RetentionAfterOutage = retentionAfterOutage
 	st.dir.ColdStart = st.coldStart
-	st.selector = placement.Balancer{DataCentre: st.DataCentre, Seed: st.Seed, Entries: 1}
+	st.balancer = placement.Balancer{DataCentre: st.DataCentre, Seed: st.Seed, Entries: 1}
 	st.retryBudgets = map[string]*admission.RetryBudget{}
 	st.entries = map[string]time.Time{}
 	st.endpoints = map[string]directory.Endpoint{}
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -169,7 +169,7 @@
 	}
 	for id := range st.endpoints {
 		if _, ok := usable[id]; !ok {
-			st.selector.Remove(id)
+			st.balancer.Remove(id)
 			st.coldShares.Forget(id)
 			st.limitShares.Forget(id)
 			delete(st.loads, id)
@@ -188,5 +188,5 @@
 	}
 	r.Allowance, r.Capacity = st.endpointCapacity(ep)
 	r.Running, r.ValidAt = st.running(ep, now)
-	st.selector.Update(r, now)
+	st.balancer.Update(r, now)
 }
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -48,7 +48,7 @@
 	st.excludeBeyondQuota(service, &q, now)
 	wait := st.excludeCold(service, &q, now)
 	limited := st.excludeLimited(service, &q, now)
-	c, ok, reason := st.selector.Choose(q, now)
+	c, ok, reason := st.balancer.Choose(q, now)
 	if !ok {
 		return Assignment{}, st.noPlaceError(service, reason, wait, limited, now)
 	}
@@ -57,7 +57,7 @@
 	if ep.ColdAt(now) && service.ColdRate > 0 {
 		st.coldShares.Take(ep.ID, service.ColdRate, st.countEntries(now), now)
 	}
-	assigned := Assignment{Endpoint: ep, LoadAge: -1, assignedAt: now, attempt: st.selector.Start(c, q, now)}
+	assigned := Assignment{Endpoint: ep, LoadAge: -1, assignedAt: now, attempt: st.balancer.Start(c, q, now)}
 	if l, ok := st.loads[ep.ID]; ok {
 		assigned.LoadAge = now.Sub(l.At)
 	}
@@ -117,7 +117,7 @@
 func (st *State) PartReceived(assigned Assignment, now time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.selector.Progress(assigned.attempt, now)
+	st.balancer.Progress(assigned.attempt, now)
 	if st.releaseQueued(assigned) {
 		st.latencies.recordFirst(assigned.Endpoint.Service, now.Sub(assigned.assignedAt), now)
 	}
@@ -163,23 +163,23 @@
 	switch o := o.(type) {
 	case NotRun:
 		if o.Sent {
-			st.selector.Refuse(assigned.attempt, 0, now)
+			st.balancer.Refuse(assigned.attempt, 0, now)
 			return
 		}
-		st.selector.Fail(assigned.attempt, now)
+		st.balancer.Fail(assigned.attempt, now)
 	case Unknown:
 		if errors.Is(o.Cause, context.DeadlineExceeded) {
 			st.recordFailure(assigned, now)
 			return
 		}
-		st.selector.Fail(assigned.attempt, now)
+		st.balancer.Fail(assigned.attempt, now)
 	case Interrupted:
-		st.selector.Fail(assigned.attempt, now)
+		st.balancer.Fail(assigned.attempt, now)
 	case Failed:
 		st.recordFailure(assigned, now)
 	default:
 		delete(st.failures, assigned.Endpoint.ID)
-		st.selector.End(assigned.attempt, now)
+		st.balancer.End(assigned.attempt, now)
 	}
 }
 
@@ -191,8 +191,8 @@
 func (st *State) recordFailure(assigned Assignment, now time.Time) {
 	st.failures[assigned.Endpoint.ID]++
 	if st.failures[assigned.Endpoint.ID] < failureThreshold {
-		st.selector.End(assigned.attempt, now)
+		st.balancer.End(assigned.attempt, now)
 		return
 	}
-	st.selector.Fail(assigned.attempt, now)
+	st.balancer.Fail(assigned.attempt, now)
 }
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestMayRepeat(t *testing.T) {
+func TestMayRetry(t *testing.T) {
 	for r, want := range map[*Route]bool{
 		{RetrySemantics: RunOnce}:                  false,
 		{RetrySemantics: RunOnce, Resumable: true}: false,
