--- a/internal/agent/ranks.go
+++ b/internal/agent/ranks.go
@@ -27,12 +27,12 @@
 
 // newRanks returns the agent's part in its group of ranks.
 //
-// Load: each agent of a group looks at its ranks every Tick, and the leader
-// talks to all members each Refresh and to the platform each third of the lease.
-// Harm prevented: talk that grows with the group would take the platform's few
-// hundred writes from claims. Limits: all times follow from LeaseTime, so that
-// an order is repeated often within a lease and members hear of their leader
-// several times before they take it for gone.
+// Load: each agent of a group looks at its ranks every EngineInterval, and the
+// leader talks to all members each RefreshInterval and to the platform each
+// third of the lease. Harm prevented: talk that grows with the group would take
+// the platform's few hundred writes from claims. Limits: all times follow from
+// LeaseTTL, so that an order is repeated often within a lease and members hear
+// of their leader several times before they take it for gone.
 func (a *Agent) newRanks() (*rank.Runner, error) {
 	s := &a.Settings.Rank
 	first, err := firstMap(s)
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -97,7 +97,7 @@
 }
 
 // withLoad returns a copy of the end that carries the endpoint's load, so that
-// each answer brings the entry's picture up to date.
+// each answer brings the entry's view up to date.
 func (a *Agent) withLoad(e *peerpb.End) *peerpb.End {
 	return &peerpb.End{
 		Code:             e.GetCode(),
--- a/internal/agent/view_test.go
+++ b/internal/agent/view_test.go
@@ -59,7 +59,7 @@
 	return newView(7, p, endpoint, out)
 }
 
-// An entry has an old picture and sends work to an endpoint that operators have
+// An entry has an old view and sends work to an endpoint that operators have
 // just taken out, or that serves another model since the last preset. Only the
 // agent's own check turns it away, truly as not run.
 func TestViewRefuses(t *testing.T) {
--- a/internal/caller/admission/share.go
+++ b/internal/caller/admission/share.go
@@ -68,7 +68,7 @@
 // ShareReport is sent by a holder to a lender.
 type ShareReport struct {
 	Holder string
-	// Number increases with each report of the holder, including across
+	// Sequence increases with each report of the holder, including across
 	// restarts.
 	Sequence uint64
 	// Echo is the newest stamp that the holder has received from this lender;
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -45,9 +45,9 @@
 	Ready() error
 }
 
-// Passer runs requests that are passed on as they came. Forward must finish the
-// reply before it returns; ctx ends when the caller leaves. The header and the
-// body belong to Forward.
+// Forwarder runs requests that are passed on as they came. Forward must finish
+// the reply before it returns; ctx ends when the caller leaves. The header and
+// the body belong to Forward.
 type Forwarder interface {
 	Forward(ctx context.Context, r *Raw, w *Reply)
 }
@@ -83,7 +83,7 @@
 	IdleTimeout time.Duration
 	// Handler runs the requests.
 	Handler Handler
-	// Passer, when set, runs all requests in place of Handler.
+	// Forwarder, when set, runs all requests in place of Handler.
 	Forwarder Forwarder
 	// Now is the clock of Raw.At; nil means the process's own.
 	Now func() time.Time
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -121,7 +121,7 @@
 }
 
 // MarkMisdirected records that another endpoint answered at the address of an endpoint:
-// the one that started at born is gone.
+// the one that started at startMillis is gone.
 func (d *Directory) MarkMisdirected(id string, startMillis uint64) {
 	if rec := d.entries[id]; rec != nil && rec.endpoint.StartMillis == startMillis {
 		rec.replaced = true
--- a/internal/endpoint/allowance/allowance.go
+++ b/internal/endpoint/allowance/allowance.go
@@ -47,7 +47,7 @@
 	admittedAt time.Time
 }
 
-// Cause is the reason for which an endpoint is considered cold.
+// ColdStartCause is the reason for which an endpoint is considered cold.
 type ColdStartCause int
 
 // Causes of a cold start.
@@ -81,7 +81,7 @@
 	median  time.Duration
 }
 
-// Bound returns the current concurrency limit.
+// Limit returns the current concurrency limit.
 func (s State) Limit() int { return s.limit }
 
 // Full returns the concurrency limit of the warm endpoint.
@@ -96,7 +96,7 @@
 // Cause returns the cause of the latest cold start.
 func (s State) Cause() ColdStartCause { return s.cause }
 
-// FirstToken returns the median time to first token, or zero if it is unknown.
+// MedianTTFT returns the median time to first token, or zero if it is unknown.
 func (s State) MedianTTFT() time.Duration { return s.median }
 
 // Allowance is the concurrency limiter of one endpoint. Its zero value admits
@@ -117,9 +117,9 @@
 	retries   retryScheduler
 }
 
-// Configure sets the limits. It returns ErrColdBound, ErrFullBound or ErrRamp if
-// they are invalid. It keeps the count of completed requests, so a preset switch
-// neither starts nor ends a cold start.
+// Configure sets the limits. It returns ErrColdLimit, ErrFullLimit or
+// ErrRampCompletions if they are invalid. It keeps the count of completed requests,
+// so a preset switch neither starts nor ends a cold start.
 func (a *Allowance) Configure(l Limits) error {
 	if err := l.validate(); err != nil {
 		return err
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// bound returns the current concurrency limit: limits.Cold, plus one for each
+// limit returns the current concurrency limit: limits.Cold, plus one for each
 // limits.RampCompletions requests completed in the present epoch, up to
 // limits.Full. a.mu must be held.
 //
@@ -148,7 +148,7 @@
 
 // Admit reserves a slot for a request. Without a free slot it returns an error
 // with a retry delay: EndpointCold while the limit is below the full one, else
-// EndpointBusy. The slot is held until Completed or Failed is called with the
+// EndpointBusy. The slot is held until Complete or Fail is called with the
 // ticket.
 //
 // Entries that act on outdated load reports can together send more than the
@@ -174,13 +174,14 @@
 	return Ticket{}, result.Newf(code, "%d of %d running", a.running, limit).WithRetryAfter(delay)
 }
 
-// Renew checks a ticket again immediately before its request is sent.
+// Revalidate checks a ticket again immediately before its request is sent.
 //
 // Requests that were admitted to a warm endpoint may still wait for a claim or a
 // connection when it restarts; sent together they would exceed what the cold
 // endpoint can run. A ticket of the present epoch stays valid. An older ticket is
-// renewed only if all running requests fit under the current limit, otherwise
-// Renew returns EndpointCold. A rejected ticket must still be released by Failed.
+// revalidated only if all running requests fit under the current limit, otherwise
+// Revalidate returns EndpointCold. A rejected ticket must still be released by
+// Fail.
 func (a *Allowance) Revalidate(t Ticket, now time.Time) (Ticket, *result.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -192,7 +193,7 @@
 	return Ticket{}, result.New(result.EndpointCold, "it turned cold before the request was sent").WithRetryAfter(delay)
 }
 
-// FirstToken records the time to first token of a streamed request, and starts a
+// ObserveTTFT records the time to first token of a streamed request, and starts a
 // cold start if the times have risen suddenly. It must not be called for responses
 // that aren't streamed: their first byte arrives after all of the work.
 func (a *Allowance) ObserveTTFT(t Ticket, d time.Duration) {
@@ -206,7 +207,7 @@
 	}
 }
 
-// Completed releases the slot of a request whose response is complete.
+// Complete releases the slot of a request whose response is complete.
 //
 // A request that was admitted before the present cold start doesn't show that the
 // endpoint is warm, so only requests of the present epoch raise the limit.
@@ -223,7 +224,7 @@
 	}
 }
 
-// Failed releases the slot of a request that ended without a complete response.
+// Fail releases the slot of a request that ended without a complete response.
 func (a *Allowance) Fail(_ Ticket, _ time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -236,7 +237,7 @@
 	}
 }
 
-// Restarted resets the limit to the cold one.
+// StartColdStart resets the limit to the cold one.
 //
 // A warm endpoint that turns cold under full load crashes if the load continues.
 // The reset is therefore immediate and complete: a wrong one costs capacity until
@@ -254,8 +255,8 @@
 	a.ttft.reset()
 }
 
-// Incarnation records the incarnation that the endpoint named in a load report or
-// a response header. An empty id is ignored. Any change means that the endpoint
+// SetIncarnation records the incarnation that the endpoint named in a load report
+// or a response header. An empty id is ignored. Any change means that the endpoint
 // was replaced or restarted and starts a cold start. As reports lag and may arrive
 // out of order, this includes a change back to an older id, which costs at most an
 // unnecessary cold start.
@@ -272,7 +273,7 @@
 	a.incarnation = id
 }
 
-// Reported records whether the endpoint was cold according to a load report that
+// ReportCold records whether the endpoint was cold according to a load report that
 // was made at the given time.
 //
 // Reports lag, and reports from an engine's cold start must not reset its limit
--- a/internal/endpoint/allowance/burst_test.go
+++ b/internal/endpoint/allowance/burst_test.go
@@ -67,7 +67,7 @@
 	return out
 }
 
-// Hundreds of requests arrive at one endpoint at once. If all refused clients get
+// Hundreds of requests arrive at one endpoint at once. If all refused callers get
 // the same retry delay, they retry at the same time, are refused again, and the
 // endpoint is idle in between.
 func TestRetryAfterSpreadsBurst(t *testing.T) {
--- a/internal/endpoint/allowance/inherited.go
+++ b/internal/endpoint/allowance/inherited.go
@@ -23,7 +23,7 @@
 	return 0
 }
 
-// ReportedRunning records that the endpoint reported n running requests while own
+// ReportRunning records that the endpoint reported n running requests while own
 // requests of this agent were running there.
 //
 // When the VM of an agent is replaced, the endpoint keeps running the requests that
--- a/internal/endpoint/allowance/pace.go
+++ b/internal/endpoint/allowance/pace.go
@@ -6,16 +6,16 @@
 	// defaultServiceTime is the assumed service time of a request, and the
 	// upper bound of the retry delay, until the first request has completed.
 	defaultServiceTime = time.Second
-	// minRetryAfter keeps clients from polling a fast endpoint in a busy loop.
+	// minRetryAfter keeps callers from polling a fast endpoint in a busy loop.
 	minRetryAfter = 20 * time.Millisecond
-	// maxRetryAfter keeps clients from staying away long after a stall has
+	// maxRetryAfter keeps callers from staying away long after a stall has
 	// ended.
 	maxRetryAfter = 5 * time.Second
 	// serviceTimeWeight is the inverse of the weight of a new sample in the
 	// moving average of the service time.
 	serviceTimeWeight = 8
 	// retriesPerSlot is the number of retries scheduled for each slot that is
-	// expected to become free. Some clients don't come back, and a refusal costs
+	// expected to become free. Some callers don't come back, and a refusal costs
 	// one message, whereas an unused slot costs capacity of the endpoint.
 	retriesPerSlot = 2
 )
@@ -50,14 +50,14 @@
 	s.serviceTime += (elapsed - s.serviceTime) / serviceTimeWeight
 }
 
-// retryAfter returns the retry delay for a request that is refused now; bound is
+// retryAfter returns the retry delay for a request that is refused now; limit is
 // the current concurrency limit.
 //
 // If all requests refused in a burst retried at the same time, they would be
 // refused again and the endpoint would run empty in between. Slots become free at
 // intervals of the mean service time divided by the limit (Little's law), and
 // retries are scheduled one after another at that rate. The observed intervals
-// between completions can't replace the estimate: when few clients retry, the
+// between completions can't replace the estimate: when few callers retry, the
 // intervals grow, and still fewer retries would be scheduled. If nothing has
 // completed for longer than the mean service time, that period is used in its
 // place. Delays beyond the upper bound wrap around into its second half, so that
--- a/internal/endpoint/batch/batch.go
+++ b/internal/endpoint/batch/batch.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// JumpSkew is the load imbalance (load of the busiest rank over the mean)
+	// DesignSkew is the load imbalance (load of the busiest rank over the mean)
 	// that a batch is sized for. After a sudden change in expert popularity,
 	// 2.4 to 3 were observed until the next expert map took effect half a second
 	// later; a planned map has 1.2 to 1.4.
 	DesignSkew = 1.7
-	// CalmSkew is the load imbalance of a planned expert map.
+	// PlannedSkew is the load imbalance of a planned expert map.
 	PlannedSkew = 1.3
-	// SlowFrom is the slowdown factor from which an engine counts as slow.
+	// SlowdownThreshold is the slowdown factor from which an engine counts as slow.
 	// Engines report their slowdown rounded; without the threshold, expert maps
 	// and allowances would change with every tenth for no benefit.
 	SlowdownThreshold = 1.2
 	// deliveryMargin is the part of the bound on the delay between events that
-	// is reserved for delivery to the client and for prefill of other prompts.
+	// is reserved for delivery to the caller and for prefill of other prompts.
 	deliveryMargin = 10 * time.Millisecond
 )
 
-// Pass returns the duration of one pass, which is e.Stride token steps, over a
-// batch of the given size. The parameter skew is the load imbalance of the
+// PassDuration returns the duration of one pass, which is e.Stride token steps, over
+// a batch of the given size. The parameter skew is the load imbalance of the
 // experts: the load of the busiest rank over the mean.
 func PassDuration(e *routing.Engine, size int, skew float64) time.Duration {
 	context := float64(e.MeanPrompt+e.MeanOutput) / 1000
@@ -36,13 +36,13 @@
 	return time.Duration(float64(e.Stride) * step * (1 - share + share*skew))
 }
 
-// MostWriters returns the largest batch of which a pass takes at most gap less
-// deliveryMargin at an imbalance of JumpSkew. It is at least 1 and otherwise at most
-// e.Slots; a gap of zero means no bound.
+// MaxBatch returns the largest batch of which a pass takes at most gap less
+// deliveryMargin at an imbalance of DesignSkew. It is at least 1 and otherwise at
+// most e.Slots; a gap of zero means no bound.
 //
 // Each request added to a batch lengthens every pass on all ranks of the group.
 // With full batches, one change in expert popularity under high load makes passes
-// longer than the longest pause that clients tolerate, and all running streams
+// longer than the longest pause that callers tolerate, and all running streams
 // are late. Smaller batches keep passes below it and cost a tenth of the
 // throughput.
 func MaxBatch(e *routing.Engine, gap time.Duration) int {
@@ -56,9 +56,9 @@
 	return n
 }
 
-// MostAtPace returns the largest batch of which a pass takes at most gap less
-// deliveryMargin at an imbalance of CalmSkew, on an engine that is slower than usual
-// by the factor pace. It may be 0; a gap of zero means no bound.
+// MaxBatchAtSlowdown returns the largest batch of which a pass takes at most gap
+// less deliveryMargin at an imbalance of PlannedSkew, on an engine that is slower
+// than usual by the factor slowdown. It may be 0; a gap of zero means no bound.
 func MaxBatchAtSlowdown(e *routing.Engine, gap time.Duration, slowdown float64) int {
 	if gap <= 0 {
 		return e.Slots
--- a/internal/endpoint/batch/batch_test.go
+++ b/internal/endpoint/batch/batch_test.go
@@ -26,7 +26,7 @@
 }
 
 // When expert popularity changes while batches are full, passes exceed the
-// longest pause that clients tolerate and every stream is late.
+// longest pause that callers tolerate and every stream is late.
 func TestMaxBatchKeepsThePause(t *testing.T) {
 	e := engine()
 	for _, gap := range []time.Duration{80 * time.Millisecond, 120 * time.Millisecond, 150 * time.Millisecond} {
--- a/internal/endpoint/direct/answer.go
+++ b/internal/endpoint/direct/answer.go
@@ -17,7 +17,7 @@
 	bodyWriteTimeout = 5 * time.Second
 )
 
-// Answer is a response whose header has arrived. Close must be called.
+// Response is a response whose header has arrived. Close must be called.
 type Response struct {
 	Status int
 	Header http.Header
@@ -32,7 +32,7 @@
 	stopAbort func() bool
 }
 
-// exchange writes r and reads the header of the response to it, skipping up to
+// exchange writes req and reads the header of the response to it, skipping up to
 // maxStaleResponses responses to earlier requests.
 func (r *Response) exchange(req *Request) error {
 	r.writer = startWriter(r.conn, req)
@@ -87,7 +87,7 @@
 	return n, err
 }
 
-// Whole reports whether the body has been read to its end.
+// Complete reports whether the body has been read to its end.
 func (r *Response) Complete() bool { return r.complete }
 
 // Close returns the connection to the pool if the body was read to its end and
--- a/internal/endpoint/direct/client.go
+++ b/internal/endpoint/direct/client.go
@@ -23,11 +23,11 @@
 	return errors.As(err, &e)
 }
 
-// ErrForeign reports a response that belongs to another request.
+// ErrMismatchedResponse reports a response that belongs to another request.
 var ErrMismatchedResponse = errors.New("direct: response belongs to another request")
 
-// ErrSpoiled reports a 101 Switching Protocols response, which can't be passed
-// on.
+// ErrUnexpectedUpgrade reports a 101 Switching Protocols response, which can't be
+// passed on.
 var ErrUnexpectedUpgrade = errors.New("direct: unexpected switch of protocols")
 
 // Request is an HTTP request to an endpoint.
@@ -35,12 +35,12 @@
 	Method, Target, Host string
 	Header               http.Header
 	Body                 []byte
-	// Mine reports whether a response with the given header belongs to this
+	// Matches reports whether a response with the given header belongs to this
 	// request. If it is nil, every response is accepted.
 	Matches func(http.Header) bool
-	// Fresh excludes pooled connections that are close to their idle timeout.
-	// It is for requests that must not run twice: if the endpoint closes the
-	// connection while such a request is in flight, its outcome is unknown.
+	// AvoidExpiring excludes pooled connections that are close to their idle
+	// timeout. It is for requests that must not run twice: if the endpoint closes
+	// the connection while such a request is in flight, its outcome is unknown.
 	AvoidExpiring bool
 }
 
@@ -52,9 +52,9 @@
 	dials int64
 }
 
-// Do sends r to addr and returns the response when its header has arrived. The
-// returned Answer must be closed. When ctx is done, the connection is reset, also
-// while the body is being read.
+// Do sends req to addr and returns the response when its header has arrived. The
+// returned Response must be closed. When ctx is done, the connection is reset,
+// also while the body is being read.
 func (c *Client) Do(ctx context.Context, addr string, req *Request) (*Response, error) {
 	cn, err := c.acquire(ctx, addr, req.AvoidExpiring)
 	if err != nil {
--- a/internal/endpoint/direct/client_test.go
+++ b/internal/endpoint/direct/client_test.go
@@ -252,8 +252,8 @@
 	}
 }
 
-// The client cancels a request. The endpoint must see the connection close, or it
-// continues to work on a request without a client.
+// The caller cancels a request. The endpoint must see the connection close, or it
+// continues to work on a request without a caller.
 func TestCancelledRequestClosesItsConnection(t *testing.T) {
 	closed := make(chan struct{})
 	addr := serve(t, func(t *testing.T, _ net.Conn, br *bufio.Reader) {
@@ -283,13 +283,13 @@
 			ids = append(ids, ev.ID)
 		}
 	}
-	t.Run("whole", func(t *testing.T) {
+	t.Run("complete", func(t *testing.T) {
 		ids, err := read("id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid:3\ndata: c\n\n")
 		if err != io.EOF || fmt.Sprint(ids) != "[1 2 3]" {
 			t.Fatalf("%v, %v", ids, err)
 		}
 	})
-	t.Run("torn", func(t *testing.T) {
+	t.Run("partial event", func(t *testing.T) {
 		ids, err := read("id: 1\ndata: a\n\nid: 2\nda")
 		if !errors.Is(err, ErrPartialEvent) || fmt.Sprint(ids) != "[1]" {
 			t.Fatalf("%v, %v", ids, err)
--- a/internal/endpoint/direct/events.go
+++ b/internal/endpoint/direct/events.go
@@ -10,7 +10,7 @@
 // maxEventSize bounds one event, in bytes. Events usually carry a few tokens.
 const maxEventSize = 1 << 20
 
-// ErrTorn reports a stream that ended inside an event.
+// ErrPartialEvent reports a stream that ended inside an event.
 var ErrPartialEvent = errors.New("direct: stream ended inside an event")
 
 var errEventTooLong = errors.New("direct: event is too long")
@@ -26,8 +26,8 @@
 	HasID bool
 }
 
-// Events splits a stream into complete events, independent of how its bytes are
-// distributed over reads. It never returns an event that is cut off by the end
+// EventReader splits a stream into complete events, independent of how its bytes
+// are distributed over reads. It never returns an event that is cut off by the end
 // of the stream.
 type EventReader struct {
 	r     io.Reader
@@ -36,12 +36,12 @@
 	err   error
 }
 
-// NewEvents returns an Events that reads from r.
+// NewEventReader returns an EventReader that reads from r.
 func NewEventReader(r io.Reader) *EventReader { return &EventReader{r: r} }
 
-// Next returns the next event. It returns io.EOF at the end of the stream, ErrTorn
-// if the stream ended inside an event, and else the error of the reader or an error
-// for an event that is too long.
+// Next returns the next event. It returns io.EOF at the end of the stream,
+// ErrPartialEvent if the stream ended inside an event, and else the error of the
+// reader or an error for an event that is too long.
 func (e *EventReader) Next() (Event, error) {
 	for {
 		if ev, ok := e.takeEvent(); ok {
@@ -57,7 +57,7 @@
 	}
 }
 
-// Waiting reports whether another complete event is buffered.
+// Buffered reports whether another complete event is buffered.
 func (e *EventReader) Buffered() bool { return eventEnd(e.buf[e.start:]) > 0 }
 
 // fill reads more bytes into the buffer and records the error, if any.
--- a/internal/endpoint/direct/pool.go
+++ b/internal/endpoint/direct/pool.go
@@ -36,7 +36,7 @@
 	readBufferSize = 4 << 10
 )
 
-// conn is a connection. It is owned either by the pool or by one Answer.
+// conn is a connection. It is owned either by the pool or by one Response.
 type conn struct {
 	net.Conn
 	br   *bufio.Reader
@@ -50,7 +50,7 @@
 //
 // After an ordinary close the kernel still delivers data that is queued for an
 // endpoint whose VM is frozen or unreachable. When the VM recovers, the endpoint
-// would run a request whose client has gone. A reset discards undelivered data.
+// would run a request whose caller has gone. A reset discards undelivered data.
 func (c *conn) abort() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // fails only if the connection is already closed
@@ -142,7 +142,7 @@
 	c.idle[cn.addr] = append(c.idle[cn.addr], cn)
 }
 
-// Sweep closes the idle connections that have expired by now.
+// CloseExpired closes the idle connections that have expired by now.
 func (c *Client) CloseExpired(now time.Time) {
 	var expired []*conn
 	c.mu.Lock()
--- a/internal/endpoint/direct/writer.go
+++ b/internal/endpoint/direct/writer.go
@@ -40,8 +40,8 @@
 	return w.err
 }
 
-// startWriter writes r to cn. It writes a body of more than maxInlineBody bytes in
-// a goroutine, because the endpoint may respond before it has read the body.
+// startWriter writes req to cn. It writes a body of more than maxInlineBody bytes
+// in a goroutine, because the endpoint may respond before it has read the body.
 func startWriter(cn *conn, req *Request) *writer {
 	w := &writer{done: make(chan struct{})}
 	header := encodeHeader(req)
@@ -62,7 +62,7 @@
 	return w
 }
 
-// encodeHeader returns the request line and the header of r. It doesn't escape
+// encodeHeader returns the request line and the header of req. It doesn't escape
 // header values: they come from a parsed request and contain no line breaks.
 func encodeHeader(req *Request) []byte {
 	var b bytes.Buffer
--- a/internal/endpoint/placement/attempt.go
+++ b/internal/endpoint/placement/attempt.go
@@ -49,7 +49,7 @@
 	a.prev, a.next = nil, nil
 }
 
-// Started records that an attempt was placed on the selected endpoint. Its load
+// Start records that an attempt was placed on the selected endpoint. Its load
 // counts from now until it ends, independent of reports. Started returns nil if
 // the endpoint was removed after it was selected.
 func (b *Balancer) Start(c Choice, q Query, now time.Time) *Attempt {
@@ -75,7 +75,7 @@
 	e.history.add(now, e.ownStreams, e.ownTokens)
 }
 
-// Piece records that a part of the response has arrived. It does nothing if a
+// Progress records that a part of the response has arrived. It does nothing if a
 // is nil or has ended.
 func (b *Balancer) Progress(a *Attempt, now time.Time) {
 	if a == nil || a.ended {
@@ -93,7 +93,7 @@
 	e.attempts.add(a)
 }
 
-// Ended removes the load of the attempt from its endpoint. It does nothing if a
+// End removes the load of the attempt from its endpoint. It does nothing if a
 // is nil or has ended.
 func (b *Balancer) End(a *Attempt, now time.Time) {
 	if a == nil || a.ended {
@@ -104,7 +104,7 @@
 	a.endpoint.addOwnLoad(-1, -a.tokens, now)
 }
 
-// Refused records that the agent refused the attempt without running it, and
+// Refuse records that the agent refused the attempt without running it, and
 // ends the attempt. The endpoint then counts as full until a report from after
 // the refusal shows free capacity or an attempt of this entry ends there. As
 // reports may be seconds old, one attempt may also be placed after a backoff:
@@ -129,7 +129,7 @@
 	e.otherStreams = max(e.otherStreams, float64(e.allowance-e.ownStreams))
 }
 
-// Failed records that the endpoint failed the attempt, and ends the attempt.
+// Fail records that the endpoint failed the attempt, and ends the attempt.
 // The endpoint is ejected (not selected) for a time that doubles with each
 // consecutive failure.
 //
@@ -163,7 +163,7 @@
 	maxEjectionDoublings = 6
 )
 
-// Accepted records that the agent accepted the attempt. It does nothing if a is
+// Accept records that the agent accepted the attempt. It does nothing if a is
 // nil.
 func (b *Balancer) Accept(a *Attempt) {
 	if a != nil && a.incarnation == a.endpoint.incarnation {
@@ -172,7 +172,7 @@
 }
 
 // Bounds of the backoff after a refusal. A new report usually arrives before
-// minBackoff has passed; maxBackoff is a delay that clients hardly notice.
+// minBackoff has passed; maxBackoff is a delay that callers hardly notice.
 const (
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = time.Second
--- a/internal/endpoint/placement/choose.go
+++ b/internal/endpoint/placement/choose.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// sample returns the endpoint with the lowest load score among p.Draws random
+// sample returns the endpoint with the lowest load score among b.Samples random
 // ones, or nil if none of them can be selected. It returns a slow endpoint,
 // with probe set, as soon as it finds one that is due to be probed.
 func (b *Balancer) sample(s *route, q *Query, now time.Time) (lowest *endpoint, probe bool) {
@@ -138,7 +138,7 @@
 // be probed. An endpoint that was slow once would otherwise be considered slow
 // for ever, because it gets no requests that could show its recovery. Probes
 // become less frequent as long as the endpoint stays slow, because each of them
-// delays a client.
+// delays a caller.
 func (b *Balancer) probeDue(e *endpoint, s *route, q *Query, now time.Time) bool {
 	interval := b.ProbeInterval << min(e.probes, maxProbeDoublings)
 	if q.RunOnce || e.ownStreams > 0 || now.Sub(e.lastChosen) < interval {
--- a/internal/endpoint/placement/doc.go
+++ b/internal/endpoint/placement/doc.go
@@ -1,11 +1,11 @@
 // Package placement selects the endpoint that runs an attempt of a request.
 //
-// A Picture holds what one entry knows about the endpoints of its subset: the
+// A Balancer holds what one entry knows about the endpoints of its subset: the
 // reports of their agents, which lag, and the entry's own attempts, which are
 // known immediately. It performs no I/O, starts no goroutines and reads no clock.
 // It is not safe for concurrent use; callers must hold a lock around each call. The
 // agent of an endpoint makes the final decision: it may refuse an attempt that was
-// placed with outdated reports, which is then recorded with Picture.Refused.
+// placed with outdated reports, which is then recorded with Balancer.Refuse.
 //
 // The load of an endpoint is its committed work, that is open streams and tokens
 // that have yet to be produced, not its current CPU use: an open stream that is
--- a/internal/endpoint/placement/endpoint.go
+++ b/internal/endpoint/placement/endpoint.go
@@ -19,10 +19,10 @@
 	capacity   int
 	cold       bool
 	draining   bool
-	// reportedOut is whether the agent reports the endpoint as out of service,
-	// and configuredOut whether the entry's configuration says so. Either may
-	// lag behind the other; the endpoint is out of service if one of them is
-	// set.
+	// reportedOutOfService is whether the agent reports the endpoint as out of
+	// service, and configuredOut whether the entry's configuration says so.
+	// Either may lag behind the other; the endpoint is out of service if one of
+	// them is set.
 	reportedOutOfService bool
 	configuredOut        bool
 	// otherStreams and otherTokens are the reported load from other entries.
@@ -70,7 +70,7 @@
 	e.latency = 0
 }
 
-// unavailable reports whether the endpoint is leaving or out of service.
+// unavailable reports whether the endpoint is draining or out of service.
 func (e *endpoint) unavailable() bool { return e.draining || e.reportedOutOfService || e.configuredOut }
 
 // applyReport copies the report and subtracts the load that this entry had on
@@ -144,7 +144,7 @@
 // stateCold is the state of an endpoint in cold start. It limits this entry to
 // an equal share of the free allowance. When an endpoint or a data centre comes
 // back, all entries see the same free allowance in the same outdated report.
-// The agent would refuse the excess, but each refusal costs the client a round
+// The agent would refuse the excess, but each refusal costs the caller a round
 // trip.
 func (b *Balancer) stateCold(e *endpoint, now time.Time) int {
 	free := float64(e.allowance) - e.otherStreams
--- a/internal/endpoint/placement/picture.go
+++ b/internal/endpoint/placement/picture.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Default values of the fields of Picture.
+// Default values of the fields of Balancer.
 const (
 	DefaultStaleAfter    = 5 * time.Second
 	DefaultSlowStart     = 10 * time.Second
@@ -17,8 +17,8 @@
 	DefaultAffinityBound = 1.25
 )
 
-// Picture is one entry's view of its endpoints. The exported fields must be set
-// before the first call; zero values select the defaults.
+// Balancer is one entry's view of its endpoints. The exported fields must be
+// set before the first call; zero values select the defaults.
 type Balancer struct {
 	// DataCentre is the data centre of the entry.
 	DataCentre string
@@ -35,17 +35,17 @@
 	// SlowStart is the time over which the load of an endpoint that becomes
 	// available is ramped up.
 	SlowStart time.Duration
-	// ProbeEvery is the interval between probes of a slow endpoint without
+	// ProbeInterval is the interval between probes of a slow endpoint without
 	// load.
 	ProbeInterval time.Duration
-	// Draws is the number of random endpoints that are compared for each
+	// Samples is the number of random endpoints that are compared for each
 	// choice.
 	Samples int
-	// Spill is the penalty on endpoints of other data centres: the difference
-	// in load, as a fraction of the capacity of an endpoint, from which a
-	// request goes to another data centre.
+	// RemotePenalty is the penalty on endpoints of other data centres: the
+	// difference in load, as a fraction of the capacity of an endpoint, from
+	// which a request goes to another data centre.
 	RemotePenalty float64
-	// AffineBound is the bound on the load score of the endpoint that keeps a
+	// AffinityBound is the bound on the load score of the endpoint that keeps a
 	// prefix, as a factor of the mean. A lower value disperses the cached
 	// prefixes, a higher one overloads single endpoints with popular prefixes.
 	AffinityBound float64
@@ -137,8 +137,8 @@
 	b.setRoutes(e, nil)
 }
 
-// SetOut sets the endpoints and the data centres that operators have taken out
-// of service. The lists replace those of earlier calls.
+// SetOutOfService sets the endpoints and the data centres that operators have
+// taken out of service. The lists replace those of earlier calls.
 func (b *Balancer) SetOutOfService(endpoints, dataCentres []string, now time.Time) {
 	b.init()
 	b.outEndpoints = toSet(endpoints)
--- a/internal/endpoint/placement/placement_test.go
+++ b/internal/endpoint/placement/placement_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// newPicture returns a Picture of n idle endpoints whose slow start is over.
+// newBalancer returns a Balancer of n idle endpoints whose slow start is over.
 func newBalancer(n int, now time.Time) *Balancer {
 	b := &Balancer{DataCentre: "dc0", RemotePenalty: 0.01}
 	for i := range n {
@@ -69,7 +69,7 @@
 		want   result.Code
 	}{
 		{"out", func(r *Report) { r.OutOfService = true }, result.OutOfService},
-		{"leaving", func(r *Report) { r.Draining = true }, result.EndpointLeaving},
+		{"draining", func(r *Report) { r.Draining = true }, result.EndpointLeaving},
 		{"cold and used", func(r *Report) { r.Cold, r.Allowance, r.Running = true, 1, 1 }, result.EndpointCold},
 		{"busy", func(r *Report) { r.Running = 8 }, result.EndpointBusy},
 		{"other route", func(r *Report) { r.Routes = []string{"other"} }, result.NoEndpoint},
@@ -347,7 +347,7 @@
 }
 
 // For any order of reports, orders of operators and attempts, no attempt may be
-// placed on an endpoint that is leaving, out of service or already tried.
+// placed on an endpoint that is draining, out of service or already tried.
 func TestEachChoiceIsAllowed(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 1))
 	b := &Balancer{DataCentre: "dc0"}
--- a/internal/endpoint/placement/report.go
+++ b/internal/endpoint/placement/report.go
@@ -22,13 +22,13 @@
 	// Running and CommittedTokens are the load from all entries.
 	Running         int
 	CommittedTokens uint64
-	// Cold, Leaving and Out report that the endpoint is in cold start, is
-	// draining before it leaves, or has been taken out of service.
+	// Cold, Draining and OutOfService report that the endpoint is in cold start,
+	// is draining before it leaves, or has been taken out of service.
 	Cold         bool
 	Draining     bool
 	OutOfService bool
-	// At is the time at which the report was valid, by the clock of the entry.
-	// If it is zero, the load of the endpoint counts as unknown.
+	// ValidAt is the time at which the report was valid, by the clock of the
+	// entry. If it is zero, the load of the endpoint counts as unknown.
 	ValidAt time.Time
 }
 
@@ -51,8 +51,9 @@
 	Endpoint    string
 	Incarnation uint64
 	DataCentre  string
-	// Affine means that the endpoint was selected for the prefix of the prompt,
-	// and Probe that it is slow and was selected to see if it has recovered.
+	// ByAffinity means that the endpoint was selected for the prefix of the
+	// prompt, and Probe that it is slow and was selected to see if it has
+	// recovered.
 	ByAffinity bool
 	Probe      bool
 }
--- a/internal/endpoint/placement/slow.go
+++ b/internal/endpoint/placement/slow.go
@@ -20,7 +20,7 @@
 	// however soon the first one arrived.
 	minSilence = 0.25
 	// minMedianLatency is the lower bound, in seconds, of the median with which
-	// latencies are compared: clients don't notice a few milliseconds that a
+	// latencies are compared: callers don't notice a few milliseconds that a
 	// busy VM adds.
 	minMedianLatency = 0.02
 	// latencySmoothing is the smoothing factor of the latency while it rises,
@@ -30,7 +30,7 @@
 	latencySmoothing  = 0.2
 	recoverySmoothing = 0.5
 	// maxProbeDoublings bounds the interval between probes of an endpoint that
-	// stays slow to 16 times ProbeEvery.
+	// stays slow to 16 times ProbeInterval.
 	maxProbeDoublings = 4
 	// medianStep is the relative change of the median latency of a route with
 	// each sample.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -205,7 +205,7 @@
 	return r
 }
 
-// lost takes an endpoint whose agent can't be heard out of the picture.
+// lost takes an endpoint whose agent can't be heard out of the balancer.
 func (e *Entry) lost(endpoint string) {
 	e.scheduler.mu.Lock()
 	defer e.scheduler.mu.Unlock()
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -229,7 +229,7 @@
 // readiness answers the check whether the process accepts connections.
 type readiness struct{ frontend *Frontend }
 
-// Forward implements caller.Passer.
+// Forward implements caller.Forwarder.
 func (r readiness) Forward(_ context.Context, raw *caller.Raw, w *caller.Reply) {
 	status := http.StatusServiceUnavailable
 	switch {
--- a/internal/measure/doc.go
+++ b/internal/measure/doc.go
@@ -1,7 +1,7 @@
 // Package measure drives the deciding packages with generated arrivals and
 // tabulates the outcome for callers.
 //
-// It runs the admission.Controller and placement.Picture that an entry runs,
+// It runs the admission.Controller and placement.Balancer that an entry runs,
 // over a simulated time without sockets, against endpoints that are described
 // by a few lines: running times grow with concurrency, throughput collapses
 // beyond capacity, and a cold endpoint that gets more than it bears falls over.
--- a/internal/rank/counts.go
+++ b/internal/rank/counts.go
@@ -21,7 +21,7 @@
 	// skewPlanned is the skew with the latest plan and skewBefore the skew
 	// without it.
 	skewPlanned, skewBefore metrics.GaugeFloat64
-	// grantedStep is the last step that the ranks may begin, and begunStep the
+	// stepLimit is the last step that the ranks may begin, and lastStep the
 	// last that they have begun.
 	stepLimit, lastStep metrics.Gauge
 }
--- a/internal/rank/engine.go
+++ b/internal/rank/engine.go
@@ -11,8 +11,8 @@
 // fencing token; naming.Member checks it first, because some engines do not.
 // Each order is idempotent and may take effect later, even if its call has
 // failed; but not after the ranks to which it was sent have restarted, because
-// it ends with their connection, and no later than Runner.Drain after the agent
-// that sent it has ended.
+// it ends with their connection, and no later than Runner.StartDelay after the
+// agent that sent it has ended.
 type Engine interface {
 	// Stage loads the weights that m needs and keeps m ready. Once it keeps
 	// three other maps, the engine may drop one that no activated entry for a
@@ -36,7 +36,7 @@
 	Counts(ctx context.Context) ([]ExpertLoad, error)
 }
 
-// Count is the load of one expert on the ranks of one endpoint.
+// ExpertLoad is the load of one expert on the ranks of one endpoint.
 type ExpertLoad struct {
 	// Layer and Expert identify the expert.
 	Layer, Expert int
--- a/internal/rank/evenmap/jumptable/table.go
+++ b/internal/rank/evenmap/jumptable/table.go
@@ -18,8 +18,9 @@
 	Shape evenmap.Shape
 	// Limits restricts the changes of one plan.
 	Limits evenmap.Limits
-	// Jumps is how often the popularity changes, and Looks the number of rounds
-	// after each change. A round samples counts and computes a placement.
+	// Jumps is how often the popularity changes, and PlansPerJump the number of
+	// rounds after each change. A round samples counts and computes a
+	// placement.
 	Jumps, PlansPerJump int
 	// Seed initialises the random number generator.
 	Seed uint64
@@ -65,19 +66,20 @@
 	static, naive, fromScratch, planned, oracle Result
 }
 
-// None returns the result of keeping the initial placement.
+// Static returns the result of keeping the initial placement.
 func (r Row) Static() Result { return r.static }
 
 // Naive returns the result of exchanging one expert per pair of ranks.
 func (r Row) Naive() Result { return r.naive }
 
-// Afresh returns the result of a placement computed from scratch in each round.
+// FromScratch returns the result of a placement computed from scratch in each
+// round.
 func (r Row) FromScratch() Result { return r.fromScratch }
 
 // Planned returns the result of plans of package evenmap within the limits.
 func (r Row) Planned() Result { return r.planned }
 
-// Bound returns the result of placements that are based on the true popularity
+// Oracle returns the result of placements that are based on the true popularity
 // and whose copies are free.
 func (r Row) Oracle() Result { return r.oracle }
 
--- a/internal/rank/evenmap/placement.go
+++ b/internal/rank/evenmap/placement.go
@@ -6,7 +6,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrPlacement is returned for lists that do not form a valid placement.
+// ErrInvalidPlacement is returned for lists that do not form a valid placement.
 var ErrInvalidPlacement = eris.New("evenmap: lists do not form a valid placement")
 
 // Shape holds the dimensions of a placement.
@@ -24,8 +24,8 @@
 }
 
 // NewPlacement returns the placement in which rank r holds the experts
-// ranks[r]. It returns ErrPlacement unless each expert is held, no rank holds
-// an expert twice and none holds more experts than it has slots.
+// ranks[r]. It returns ErrInvalidPlacement unless each expert is held, no rank
+// holds an expert twice and none holds more experts than it has slots.
 func NewPlacement(shape Shape, ranks [][]int) (*Placement, error) {
 	if len(ranks) != shape.Ranks {
 		return nil, eris.Wrapf(ErrInvalidPlacement, "%d lists of experts for %d ranks", len(ranks), shape.Ranks)
--- a/internal/rank/evenmap/plan.go
+++ b/internal/rank/evenmap/plan.go
@@ -26,15 +26,15 @@
 
 // Limits restricts the changes of a plan.
 type Limits struct {
-	// PerRank is how many experts one rank may copy in all sets together. A
-	// rank loads them one after the other, so it determines how long the plan
+	// CopiesPerRank is how many experts one rank may copy in all sets together.
+	// A rank loads them one after the other, so it determines how long the plan
 	// takes.
 	CopiesPerRank int
-	// PerSet is how many experts of one set a rank may copy.
+	// CopiesPerSet is how many experts of one set a rank may copy.
 	CopiesPerSet int
-	// Slow is the factor by which each rank is slower than usual; nil means 1
-	// for all. All ranks wait for the slowest one, so a slow rank is given less
-	// load.
+	// Slowdown is the factor by which each rank is slower than usual; nil means
+	// 1 for all. All ranks wait for the slowest one, so a slow rank is given
+	// less load.
 	Slowdown []float64
 	// MinGain is the minimum decrease of a set's skew, approximated by the norm
 	// of its rank loads, for each copy.
@@ -43,21 +43,21 @@
 
 // Plan is a planned change of the placements of all layer sets.
 type Plan struct {
-	next                  []*Placement
+	placements                  []*Placement
 	copies                int
 	skewBefore, skewAfter float64
 }
 
-// Next returns the planned placements by set.
-func (p *Plan) Placements() []*Placement { return p.next }
+// Placements returns the planned placements by set.
+func (p *Plan) Placements() []*Placement { return p.placements }
 
 // Copies returns the number of experts to copy.
 func (p *Plan) Copies() int { return p.copies }
 
-// Before returns the mean skew of the sets without the plan.
+// SkewBefore returns the mean skew of the sets without the plan.
 func (p *Plan) SkewBefore() float64 { return p.skewBefore }
 
-// After returns the mean skew of the sets with the plan.
+// SkewAfter returns the mean skew of the sets with the plan.
 func (p *Plan) SkewAfter() float64 { return p.skewAfter }
 
 // change is one step of the search. If to is not negative, expert is copied to
@@ -114,7 +114,7 @@
 		}
 	}
 	for i := range s.sets {
-		plan.next = append(plan.next, s.sets[i].p)
+		plan.placements = append(plan.placements, s.sets[i].p)
 		plan.skewAfter += s.sets[i].skew() / float64(len(s.sets))
 		for _, n := range s.sets[i].p.Copies(current[i]) {
 			plan.copies += n
--- a/internal/rank/expertmap/balance.go
+++ b/internal/rank/expertmap/balance.go
@@ -26,15 +26,15 @@
 	// replicas lists the slots of each expert.
 	replicas [][]int
 	// rankLoad is the load of each rank, rankVariance the variance of that
-	// load, and riskMargin the amount added to the load for the variance; see
-	// Risk.
+	// load, and varianceMargin the amount added to the load for the variance;
+	// see LoadVariance.
 	rankLoad, rankVariance, varianceMargin []float64
 	// expertLoad is the load of each expert.
 	expertLoad []float64
 	// relVariance is the variance of each expert's load divided by the square
 	// of the load.
 	relVariance []float64
-	// maxZScore is the number of standard deviations in riskMargin.
+	// maxZScore is the number of standard deviations in varianceMargin.
 	maxZScore    float64
 	meanRankLoad float64
 }
@@ -80,7 +80,7 @@
 }
 
 // copyFrom copies the state of q, which must have the same shape, loads and
-// risk as p.
+// variance as p.
 func (p *placement) copyFrom(q *placement) {
 	copy(p.expertAt, q.expertAt)
 	copy(p.slotLoad, q.slotLoad)
@@ -126,7 +126,7 @@
 }
 
 // setSlotLoad sets the load of the replica in a slot and updates the load,
-// variance and risk margin of its rank.
+// variance and variance margin of its rank.
 func (p *placement) setSlotLoad(slot int, v float64) {
 	r, old := p.rankOf(slot), p.slotLoad[slot]
 	if v == old {
@@ -138,7 +138,7 @@
 	p.varianceMargin[r] = p.maxZScore * math.Sqrt(max(0, p.rankVariance[r]))
 }
 
-// adjustedLoad returns the load of a rank plus its risk margin.
+// adjustedLoad returns the load of a rank plus its variance margin.
 func (p *placement) adjustedLoad(r int) float64 { return p.rankLoad[r] + p.varianceMargin[r] }
 
 func (p *placement) holds(r, e int) bool {
@@ -214,7 +214,7 @@
 }
 
 // otherLoad returns the adjusted load of the slot's rank without the load of
-// the slot itself. The slot's contribution to the risk margin is not
+// the slot itself. The slot's contribution to the variance margin is not
 // subtracted; it changes little from one sweep to the next, so the sweeps still
 // converge.
 func (p *placement) otherLoad(slot int) float64 {
--- a/internal/rank/expertmap/exact_test.go
+++ b/internal/rank/expertmap/exact_test.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// mustSolve returns the result of Solve without risk and checks that it is a
-// valid layer.
+// mustSolve returns the result of Solve without variance and checks that it is
+// a valid layer.
 func mustSolve(t *testing.T, shape Shape, load []float64) *Layer {
 	t.Helper()
 	l, err := Solve(shape, load, LoadVariance{})
--- a/internal/rank/expertmap/improve.go
+++ b/internal/rank/expertmap/improve.go
@@ -44,16 +44,17 @@
 // Moves returns the number of replicas that ranks have to load.
 func (i *Improvement) Moves() int { return i.moves }
 
-// Before returns the expected skew of the original layer.
+// SkewBefore returns the expected skew of the original layer.
 func (i *Improvement) SkewBefore() float64 { return i.skewBefore }
 
-// Kept returns the expected skew with the original placement and new shares.
+// SkewWithoutMoves returns the expected skew with the original placement and
+// new shares.
 func (i *Improvement) SkewWithoutMoves() float64 { return i.skewWithoutMoves }
 
-// After returns the expected skew of the improved layer.
+// SkewAfter returns the expected skew of the improved layer.
 func (i *Improvement) SkewAfter() float64 { return i.skewAfter }
 
-// checkLoads returns ErrObservation if load does not have one finite,
+// checkLoads returns ErrInvalidLoad if load does not have one finite,
 // non-negative value for each expert.
 func checkLoads(shape Shape, load []float64) error {
 	if len(load) != shape.Experts {
@@ -62,14 +63,14 @@
 	return checkValues(load)
 }
 
-// Improve optimizes the shares of l for the given loads and risk and then moves
-// replicas, at most maxMoves, as long as it pays: cost is the reduction of the
-// expected skew that each move has to bring. Moves are applied one after the
-// other, and Improve returns the layer after the number of moves with the
+// Improve optimizes the shares of l for the given loads and variance and then
+// moves replicas, at most maxMoves, as long as it pays: cost is the reduction
+// of the expected skew that each move has to bring. Moves are applied one after
+// the other, and Improve returns the layer after the number of moves with the
 // lowest sum of expected skew and cost, so a move that pays only together with
 // later ones is not missed. The search ends early when the expected skew is at
-// most goal above the lower bound. Improve returns ErrObservation if load does
-// not match the layer or has a value that is negative or not finite.
+// most skewTolerance above the lower bound. Improve returns ErrInvalidLoad if
+// load does not match the layer or has a value that is negative or not finite.
 func Improve(l *Layer, load []float64, variance LoadVariance, maxMoves int, cost, skewTolerance float64) (*Improvement, error) {
 	if err := checkLoads(l.shape, load); err != nil {
 		return nil, err
--- a/internal/rank/expertmap/layer.go
+++ b/internal/rank/expertmap/layer.go
@@ -18,11 +18,12 @@
 // slot holds the expert none.
 const none = -1
 
-// ErrShape is returned for impossible layer sizes and for numbers of layers or
-// ranks that do not match.
+// ErrInvalidShape is returned for impossible layer sizes and for numbers of
+// layers or ranks that do not match.
 var ErrInvalidShape = eris.New("expertmap: invalid or mismatched shape")
 
-// ErrLayer is returned for slots that do not make a valid layer; see NewLayer.
+// ErrInvalidLayer is returned for slots that do not make a valid layer; see
+// NewLayer.
 var ErrInvalidLayer = eris.New("expertmap: invalid layer slots")
 
 // Shape holds the dimensions of a layer.
@@ -59,10 +60,10 @@
 }
 
 // NewLayer returns the layer with the given slots, in rank-major order. It
-// copies slots. It returns ErrShape if the dimensions are impossible. It
-// returns ErrLayer if the number of slots is wrong, an expert index is out of
-// range, a share is negative, a rank holds two replicas of an expert, or the
-// shares of an expert do not add up to ShareUnits, which includes an expert
+// copies slots. It returns ErrInvalidShape if the dimensions are impossible. It
+// returns ErrInvalidLayer if the number of slots is wrong, an expert index is
+// out of range, a share is negative, a rank holds two replicas of an expert, or
+// the shares of an expert do not add up to ShareUnits, which includes an expert
 // without a replica.
 func NewLayer(shape Shape, slots []Slot) (*Layer, error) {
 	if err := shape.check(); err != nil {
@@ -78,9 +79,9 @@
 	return l, nil
 }
 
-// Contiguous returns the layer that assigns contiguous ranges of experts to the
-// ranks, with one replica for each expert. It returns ErrShape if the
-// dimensions are impossible.
+// NewContiguousLayer returns the layer that assigns contiguous ranges of
+// experts to the ranks, with one replica for each expert. It returns
+// ErrInvalidShape if the dimensions are impossible.
 func NewContiguousLayer(shape Shape) (*Layer, error) {
 	if err := shape.check(); err != nil {
 		return nil, err
--- a/internal/rank/expertmap/map.go
+++ b/internal/rank/expertmap/map.go
@@ -17,8 +17,8 @@
 }
 
 // NewMap returns a map with the given version and a copy of the slice layers.
-// It returns ErrNoLayers if layers is empty and ErrShape if the layers differ
-// in their number of ranks.
+// It returns ErrNoLayers if layers is empty and ErrInvalidShape if the layers
+// differ in their number of ranks.
 func NewMap(version uint64, layers []*Layer) (*Map, error) {
 	if len(layers) == 0 {
 		return nil, ErrNoLayers
--- a/internal/rank/expertmap/plan.go
+++ b/internal/rank/expertmap/plan.go
@@ -15,29 +15,31 @@
 	// ExpertBytes is the size of the weights of one expert in one layer, in
 	// bytes.
 	ExpertBytes int64
-	// StoreRate is the bandwidth of the weight store that is available to the
-	// group, in bytes per second.
+	// StoreBandwidth is the bandwidth of the weight store that is available to
+	// the group, in bytes per second.
 	StoreBandwidth int64
-	// StageTime is the maximum time for staging a plan, which is the time for
-	// loading its weights.
+	// MaxStagingTime is the maximum time for staging a plan, which is the time
+	// for loading its weights.
 	MaxStagingTime time.Duration
-	// Life is the expected time that the planned map is in use.
+	// MapLifetime is the expected time that the planned map is in use.
 	MapLifetime time.Duration
-	// Slowdown is the relative increase of step time while weights are loaded.
+	// LoadingSlowdown is the relative increase of step time while weights are
+	// loaded.
 	LoadingSlowdown float64
 	// MinGain is the minimum reduction of skew that justifies the messages and
 	// the write that activating a new map takes.
 	MinGain float64
-	// Goal is the distance from the lower bound on the skew within which a
-	// layer needs no moves.
+	// SkewTolerance is the distance from the lower bound on the skew within
+	// which a layer needs no moves.
 	SkewTolerance float64
-	// Tokens says that loads are in tokens per step, so their sampling variance
-	// is taken into account; see Risk.
+	// PoissonLoads says that loads are in tokens per step, so their sampling
+	// variance is taken into account; see LoadVariance.
 	PoissonLoads bool
 }
 
 // MaxMoves returns the number of replicas that the weight store can deliver
-// within StageTime, or zero if ExpertBytes or StoreRate is not positive.
+// within MaxStagingTime, or zero if ExpertBytes or StoreBandwidth is not
+// positive.
 func (l Limits) MaxMoves() int {
 	if l.ExpertBytes <= 0 || l.StoreBandwidth <= 0 {
 		return 0
@@ -45,8 +47,8 @@
 	return int(l.MaxStagingTime.Seconds() * float64(l.StoreBandwidth) / float64(l.ExpertBytes))
 }
 
-// moveCost returns the reduction of skew over Life that compensates for the
-// slower steps while the weights of one move are loaded.
+// moveCost returns the reduction of skew over MapLifetime that compensates for
+// the slower steps while the weights of one move are loaded.
 func (l Limits) moveCost() float64 {
 	if l.MapLifetime <= 0 || l.StoreBandwidth <= 0 {
 		return 0
@@ -71,30 +73,30 @@
 // Moves returns the replicas that ranks have to load.
 func (p *Plan) Moves() []Move { return p.moves }
 
-// Before returns the expected skew of the current map, averaged over all layers
-// by load.
+// SkewBefore returns the expected skew of the current map, averaged over all
+// layers by load.
 func (p *Plan) SkewBefore() float64 { return p.skewBefore }
 
-// After returns the expected skew of the planned map, averaged over all layers
-// by load.
+// SkewAfter returns the expected skew of the planned map, averaged over all
+// layers by load.
 func (p *Plan) SkewAfter() float64 { return p.skewAfter }
 
-// At returns the time for which the plan was made.
+// PlannedAt returns the time for which the plan was made.
 func (p *Plan) PlannedAt() time.Time { return p.plannedAt }
 
 // NewPlan plans the successor of current for the estimated popularity. Both
 // must have the same number of experts in each layer. It returns ErrNotObserved
-// if a layer has not been observed yet and ErrShape if current and pop differ
-// in their number of layers.
+// if a layer has not been observed yet and ErrInvalidShape if current and pop
+// differ in their number of layers.
 //
 // It is made for steady traffic whose expert popularity drifts over the day.
 // Each step takes as long as its slowest rank, and each replica move uses
 // bandwidth of the weight store. So clients lose time if a rank stays
 // overloaded, and also if replicas are moved for a short-lived change of
-// popularity. Therefore a move has to pay off within Life, the moves of all
-// layers together have to be loaded within StageTime, layers with a higher skew
-// are planned first, and a plan that reduces the skew by less than MinGain is
-// discarded.
+// popularity. Therefore a move has to pay off within MapLifetime, the moves of
+// all layers together have to be loaded within MaxStagingTime, layers with a
+// higher skew are planned first, and a plan that reduces the skew by less than
+// MinGain is discarded.
 func NewPlan(current *Map, pop *PopularityEstimator, limits Limits, now time.Time) (*Plan, error) {
 	if pop.Layers() != current.Layers() {
 		return nil, eris.Wrapf(ErrInvalidShape, "map has %d layers, estimator has %d", current.Layers(), pop.Layers())
--- a/internal/rank/expertmap/popularity.go
+++ b/internal/rank/expertmap/popularity.go
@@ -7,12 +7,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrObservation is returned for expert loads that do not match the layer, are
+// ErrInvalidLoad is returned for expert loads that do not match the layer, are
 // negative or are not finite.
 var ErrInvalidLoad = eris.New("expertmap: invalid expert loads")
 
-// Popularity estimates the load of each expert as an exponentially weighted
-// moving average of the observed counts. It is not safe for concurrent use.
+// PopularityEstimator estimates the load of each expert as an exponentially
+// weighted moving average of the observed counts. It is not safe for concurrent
+// use.
 type PopularityEstimator struct {
 	// tau is the time constant of the moving average.
 	tau    time.Duration
@@ -32,9 +33,9 @@
 	lastCounts []float64
 }
 
-// NewPopularity returns an estimator for the given numbers of layers and
-// experts per layer. The weight of an observation decays to 1/e after the time
-// constant tau. If tau is zero or negative, the estimate is the latest
+// NewPopularityEstimator returns an estimator for the given numbers of layers
+// and experts per layer. The weight of an observation decays to 1/e after the
+// time constant tau. If tau is zero or negative, the estimate is the latest
 // observation.
 func NewPopularityEstimator(layers, experts int, tau time.Duration) *PopularityEstimator {
 	p := &PopularityEstimator{tau: tau, layers: make([]estimate, layers)}
@@ -47,7 +48,7 @@
 // Observe updates the estimate of a layer with the mean counts per step
 // measured up to now. The first observation replaces the initial estimate. An
 // observation older than the latest one is treated as having the time of the
-// latest one. Observe returns ErrObservation if the layer does not exist, the
+// latest one. Observe returns ErrInvalidLoad if the layer does not exist, the
 // number of counts is wrong, or a count is negative or not finite.
 func (p *PopularityEstimator) Observe(layer int, counts []float64, now time.Time) error {
 	if layer < 0 || layer >= len(p.layers) || len(counts) != len(p.layers[layer].load) {
@@ -119,7 +120,7 @@
 	return 1 - math.Exp(-dt.Seconds()/p.tau.Seconds())
 }
 
-// Known reports whether every layer has been observed at least once.
+// Observed reports whether every layer has been observed at least once.
 func (p *PopularityEstimator) Observed() bool {
 	for _, e := range p.layers {
 		if e.observedAt.IsZero() {
@@ -137,7 +138,7 @@
 	return append([]float64(nil), p.layers[layer].load...)
 }
 
-// checkValues returns ErrObservation if a load is negative or not finite.
+// checkValues returns ErrInvalidLoad if a load is negative or not finite.
 func checkValues(load []float64) error {
 	for e, v := range load {
 		if v < 0 || math.IsNaN(v) || math.IsInf(v, 0) {
--- a/internal/rank/expertmap/risk.go
+++ b/internal/rank/expertmap/risk.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// Risk describes how the expert loads of future steps vary around the loads
-// that a layer is optimized for.
+// LoadVariance describes how the expert loads of future steps vary around the
+// loads that a layer is optimized for.
 //
 // A step takes as long as its slowest rank, so the expected maximum of the rank
 // loads matters, not the maximum of the expected loads: of two ranks with the
 // same mean load, the one with the higher variance causes more slow steps. Each
-// rank's load is therefore increased by a risk margin of as many standard
+// rank's load is therefore increased by a variance margin of as many standard
 // deviations as the expected maximum over all ranks lies above the mean. The
 // standard deviation of a replica's load is proportional to its share. A rank
 // with a few large replicas therefore has a higher standard deviation than one
@@ -18,8 +18,8 @@
 	// Drift is the standard deviation of an expert's load, relative to the
 	// planned load, caused by changes in popularity after planning.
 	Drift float64
-	// Draw says that loads are token counts, whose number in a step has Poisson
-	// variance.
+	// Poisson says that loads are token counts, whose number in a step has
+	// Poisson variance.
 	Poisson bool
 }
 
--- a/internal/rank/expertmap/skewtable/table.go
+++ b/internal/rank/expertmap/skewtable/table.go
@@ -47,7 +47,7 @@
 type Case struct {
 	// Shape holds the dimensions of the layer.
 	Shape expertmap.Shape
-	// Correlation is the correlation time of the popularity.
+	// CorrelationTime is the correlation time of the popularity.
 	CorrelationTime time.Duration
 	// Interval is the time between two plans.
 	Interval time.Duration
@@ -125,7 +125,7 @@
 // Planned returns the skew with plans of package expertmap.
 func (r Row) Planned() Skews { return r.planned }
 
-// Floor returns the skew with a layer optimized for the exact popularity.
+// Known returns the skew with a layer optimized for the exact popularity.
 func (r Row) Known() Skews { return r.known }
 
 // Bound returns the lower bound on the skew.
--- a/internal/rank/expertmap/solve.go
+++ b/internal/rank/expertmap/solve.go
@@ -3,9 +3,10 @@
 import "sort"
 
 // Solve computes a layer for the given loads from scratch, with shares
-// optimized for the given risk. The length of load must be shape.Experts. Solve
-// returns ErrShape if the dimensions are impossible, and ErrObservation if the
-// length of load is wrong or a load is negative or not finite.
+// optimized for the given variance. The length of load must be shape.Experts.
+// Solve returns ErrInvalidShape if the dimensions are impossible, and
+// ErrInvalidLoad if the length of load is wrong or a load is negative or not
+// finite.
 //
 // Each redundant slot goes to the expert with the highest load per replica at
 // that point. Replicas are then placed in descending order of load, each on the
--- a/internal/rank/kvlease.go
+++ b/internal/rank/kvlease.go
@@ -52,8 +52,8 @@
 func (l *KVLease) leaseKey() string  { return l.Prefix + groupPrefix + l.Group + leaseSuffix }
 func (l *KVLease) recordKey() string { return l.Prefix + groupPrefix + l.Group + "/record" }
 
-// Held returns the key-value pair of the lease, and false if nobody holds the
-// lease.
+// CurrentHolder returns the key-value pair of the lease, and false if nobody
+// holds the lease.
 func (l *KVLease) CurrentHolder(ctx context.Context) (platform.KeyValue, bool, error) {
 	reply, err := l.KV.Get(ctx, l.leaseKey())
 	if err != nil {
--- a/internal/rank/lockstep/doc.go
+++ b/internal/rank/lockstep/doc.go
@@ -3,7 +3,7 @@
 //
 // The engines accept these orders: prepare (copy the experts that are new in a
 // map), arm (switch to the prepared map when a given step begins), disarm, hold
-// (no rank begins a given step until it is released) and go (release the held
+// (no rank begins a given step until it is released) and release (let the held
 // step). Ranks do not compare maps, so the leader alone ensures that no step
 // begins with two of them: it holds a step in advance, arms every rank for that
 // step, and releases it only after it has observed every rank armed, or none.
@@ -24,16 +24,16 @@
 //     for which it copies nothing.
 //   - A delayed disarm names a version that is never armed again: an aborted
 //     change is not resumed.
-//   - A delayed go names a step that has begun: the leader does not abort a
-//     step for which it has ordered go, and does not order go for a step that
+//   - A delayed release names a step that has begun: the leader does not abort a
+//     step for which it has ordered the release, and does not order it for a step that
 //     it aborts before the no-op version is prepared on all ranks.
 //   - A delayed hold stops the group at a step that no change needs; the step
 //     is aborted like any other.
 //
 // A leader that is paused or partitioned leaves a step held while the rank on
-// its own VM cannot be observed; Rescue describes what its successor may do
-// then.
+// its own VM cannot be observed; RecoverHeldStep describes what its successor
+// may do then.
 //
-// Apart from that, Decide relies on the observed state of the ranks and not on
-// the orders sent, so a successor continues from what the ranks report.
+// Apart from that, NextOrders relies on the observed state of the ranks and not
+// on the orders sent, so a successor continues from what the ranks report.
 package lockstep
--- a/internal/rank/lockstep/giveup.go
+++ b/internal/rank/lockstep/giveup.go
@@ -49,10 +49,10 @@
 
 // abortStep aborts the held step: it disarms all ranks, prepares the no-op
 // version on them and releases the step. The leader's own rank is disarmed and
-// prepared before the others; see Rescue.
+// prepared before the others; see RecoverHeldStep.
 func (l *Leader) abortStep(ranks []State, h heldStep, now time.Time) []AddressedOrder {
 	if l.inForce == nil || l.inForce.Version != ranks[h.rank].Map {
-		return nil // the map in force must be set first; see Current
+		return nil // the map in force must be set first; see SetInForce
 	}
 	if l.noopVersion == 0 || l.prepareStalled(now) {
 		l.noopVersion, l.goal = l.nextVersion(), nil
--- a/internal/rank/lockstep/lead.go
+++ b/internal/rank/lockstep/lead.go
@@ -8,7 +8,7 @@
 const (
 	// initialLeadBase and initialLeadPerRank give the expected time from the
 	// hold of a change to its release while none has been measured: the four
-	// round trips of hold, arms and go, and for each rank the work of its
+	// round trips of hold, arms and release, and for each rank the work of its
 	// leader, which has a quarter of a core.
 	initialLeadBase    = 10 * time.Millisecond
 	initialLeadPerRank = 2 * time.Millisecond
@@ -25,9 +25,9 @@
 //
 // Groups have 16 to 128 ranks and steps of 50 to 100 ms. Arming 16 ranks takes
 // some 20 ms and 72 ranks more than 100 ms. A group that reaches the held step
-// too early waits until the go, and every running stream has a pause that its
-// caller does not tolerate; with a hold that is much too early, the map follows
-// each jump of expert popularity a step later than it could.
+// too early waits until the release, and every running stream has a pause that
+// its caller does not tolerate; with a hold that is much too early, the map
+// follows each jump of expert popularity a step later than it could.
 type leadEstimator struct {
 	samples []time.Duration
 	// holdOrderedAt is when the hold of the current change was ordered, or
@@ -38,11 +38,12 @@
 
 // Change is the timing of a change of maps, from its hold to its release.
 type Change struct {
-	// Step is the step that was held. Ahead is how many steps in advance it was
-	// held.
+	// Step is the step that was held. StepsAhead is how many steps in advance
+	// it was held.
 	Step, StepsAhead uint64
-	// Expected is the estimated and Took the measured duration of the change.
-	// StepTime is the estimated duration of a step before the change.
+	// ExpectedDuration is the estimated and Duration the measured duration of
+	// the change. StepDuration is the estimated duration of a step before the
+	// change.
 	ExpectedDuration, Duration, StepDuration time.Duration
 }
 
--- a/internal/rank/lockstep/leader.go
+++ b/internal/rank/lockstep/leader.go
@@ -30,11 +30,11 @@
 // Leader decides the orders for one group. Set the exported fields before the
 // first call. It is not safe for concurrent use.
 type Leader struct {
-	// Own is the rank on the leader's VM. Holder is the rank to which hold
-	// orders are sent. They differ in a group of more than one rank; see
-	// Rescue.
+	// OwnRank is the rank on the leader's VM. HoldRank is the rank to which
+	// hold orders are sent. They differ in a group of more than one rank; see
+	// RecoverHeldStep.
 	OwnRank, HoldRank int
-	// Before is the previous leader, or nil when it is not known.
+	// Predecessor is the previous leader, or nil when it is not known.
 	Predecessor *Predecessor
 	// Token is the leader's fencing token, which increases with each leader.
 	Token uint64
@@ -64,7 +64,8 @@
 	stepDuration time.Duration
 	lastStep     uint64
 	lastStepAt   time.Time
-	// releasedStep is the step for which go was ordered with all ranks armed.
+	// releasedStep is the step for which the release was ordered with all ranks
+	// armed.
 	releasedStep uint64
 	inForce      *Goal
 	// fencedAt is when each rank was first known to have seen the leader's
@@ -108,7 +109,7 @@
 // together.
 func (l *Leader) Holding() bool { return !l.heldSince.IsZero() }
 
-// Current sets the map in force, which the leader must know to abort a step.
+// SetInForce sets the map in force, which the leader must know to abort a step.
 func (l *Leader) SetInForce(version uint64, sets [][][]int) {
 	l.inForce = &Goal{Version: version, Sets: sets}
 }
@@ -121,8 +122,8 @@
 	return now.Sub(l.heldSince)
 }
 
-// Awaited returns the ranks that prevent a held step from being released: those
-// that are armed, or have not prepared the no-op version.
+// BlockingRanks returns the ranks that prevent a held step from being released:
+// those that are armed, or have not prepared the no-op version.
 func (l *Leader) BlockingRanks(ranks []State) []int {
 	var out []int
 	for i, r := range ranks {
@@ -136,7 +137,7 @@
 // InForce returns the map in force, or nil when it is not known.
 func (l *Leader) InForce() *Goal { return l.inForce }
 
-// Answered records the outcome of an order. The outcome Fenced deposes the
+// RecordOutcome records the outcome of an order. The outcome Fenced deposes the
 // leader.
 func (l *Leader) RecordOutcome(ao AddressedOrder, o Outcome, now time.Time) {
 	if o == Fenced {
@@ -172,14 +173,14 @@
 	}
 }
 
-// recordGo records how long a change took, measured from its hold.
+// recordRelease records how long a change took, measured from its hold.
 func (l *Leader) recordRelease(o Outcome, now time.Time) {
 	if o == Accepted || o == NoChange {
 		l.leadTime.end(now)
 	}
 }
 
-// Changed returns the timing of the last change that was released with all
+// TakeChange returns the timing of the last change that was released with all
 // ranks armed. It returns each change once.
 func (l *Leader) TakeChange() (Change, bool) {
 	c := l.leadTime.change
@@ -193,12 +194,12 @@
 // Deposed reports whether a rank has seen the token of a newer leader.
 func (l *Leader) Deposed() bool { return l.deposed }
 
-// Decide returns the orders to send now. The slice ranks holds the state of
+// NextOrders returns the orders to send now. The slice ranks holds the state of
 // every rank by its number, all observed just now, after every earlier order
 // was answered or its call timed out. A rank that cannot be observed may be
-// armed; for that case see Rescue. If begin is false, Decide only completes
-// what is held or armed, because a leader that is about to stop must not leave
-// the group held.
+// armed; for that case see RecoverHeldStep. If begin is false, NextOrders only
+// completes what is held or armed, because a leader that is about to stop must
+// not leave the group held.
 func (l *Leader) NextOrders(ranks []State, begin bool, now time.Time) []AddressedOrder {
 	if l.deposed || !l.sameAcceptingGroup(ranks) {
 		return nil
@@ -249,8 +250,8 @@
 	return out
 }
 
-// newDirective returns an order for rank i, valid for the state in which the
-// rank was observed.
+// newAddressedOrder returns an order for rank i, valid for the state in which
+// the rank was observed.
 func newAddressedOrder(ranks []State, i int, o Order) AddressedOrder {
 	return AddressedOrder{Rank: i, Epoch: ranks[i].Epoch, Sequence: ranks[i].Sequence, Order: o}
 }
@@ -310,9 +311,9 @@
 
 // armNext returns the orders that arm the next ranks: first those other than
 // the leader's own and the holder, then the holder, and the leader's own last.
-// Rescue depends on the leader's own rank being last. Arming the holder
-// separately covers a leader that fails just after its hold, while its first
-// arm orders are still in transit: the holder's is not among them, so the
+// RecoverHeldStep depends on the leader's own rank being last. Arming the
+// holder separately covers a leader that fails just after its hold, while its
+// first arm orders are still in transit: the holder's is not among them, so the
 // successor finds a rank that is not armed. It costs a few milliseconds per
 // change.
 func (l *Leader) armNext(ranks []State, h heldStep) []AddressedOrder {
--- a/internal/rank/lockstep/observe.go
+++ b/internal/rank/lockstep/observe.go
@@ -20,8 +20,8 @@
 	return true
 }
 
-// sameOpenGroup reports whether all ranks belong to one group, in one epoch,
-// that accepts requests.
+// sameAcceptingGroup reports whether all ranks belong to one group, in one
+// epoch, that accepts requests.
 func (l *Leader) sameAcceptingGroup(ranks []State) bool {
 	for i, r := range ranks {
 		if !r.Accepting || r.Epoch != ranks[0].Epoch || r.Rank != i || r.Size != len(ranks) {
--- a/internal/rank/lockstep/rescue.go
+++ b/internal/rank/lockstep/rescue.go
@@ -7,9 +7,9 @@
 	Rank  int
 }
 
-// Rescue returns the orders that release a group whose previous leader left a
-// step held, when the rank on that leader's VM cannot be observed. The slice
-// ranks holds the states of the ranks for which seen is true.
+// RecoverHeldStep returns the orders that release a group whose previous leader
+// left a step held, when the rank on that leader's VM cannot be observed. The
+// slice ranks holds the states of the ranks for which seen is true.
 //
 // It guards against a leader's VM that freezes or is partitioned while a step
 // is held. The engine on that VM continues with its group, but nobody can reach
@@ -48,7 +48,7 @@
 	return out
 }
 
-// canRescue reports whether only the predecessor's rank is missing and all
+// canRecover reports whether only the predecessor's rank is missing and all
 // others take part in a change of the predecessor.
 func (l *Leader) canRecover(ranks []State, seen []bool) bool {
 	if l.Predecessor == nil || l.Predecessor.Rank == l.OwnRank {
--- a/internal/rank/lockstep/simulation_test.go
+++ b/internal/rank/lockstep/simulation_test.go
@@ -363,8 +363,8 @@
 			i := w.rng.IntN(len(leaders))
 			if stale[i] != nil && !w.isUnreachable(leaders[i].l.OwnRank) && w.rng.IntN(4) == 0 {
 				leaders[i].round(*stale[i])
-				// Rescue requires that leaders observe the ranks again after
-				// their orders; Decide tolerates a reused observation.
+				// RecoverHeldStep requires that leaders observe the ranks again
+				// after their orders; NextOrders tolerates a reused observation.
 				if !stale[i].complete || w.rng.IntN(2) == 0 {
 					*stale[i] = w.observe()
 				}
--- a/internal/rank/lockstep/state.go
+++ b/internal/rank/lockstep/state.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Arming is a map version and the step at which a rank switches to it.
+// ArmedMap is a map version and the step at which a rank switches to it.
 type ArmedMap struct {
 	Step, Version uint64
 }
@@ -19,7 +19,7 @@
 	// Rank is the rank's number in the group, from 0, and Size the number of
 	// ranks.
 	Rank, Size int
-	// Open reports whether the group accepts requests.
+	// Accepting reports whether the group accepts requests.
 	Accepting bool
 	// Step is the last step that has begun.
 	Step uint64
@@ -38,11 +38,11 @@
 	// Running and Queued are the numbers of running and queued requests of the
 	// rank.
 	Running, Queued int
-	// Born is the start time of the engine, in milliseconds since the Unix
-	// epoch.
+	// StartMillis is the start time of the engine, in milliseconds since the
+	// Unix epoch.
 	StartMillis uint64
-	// Pace is the ratio of the engine's current step time to its usual one; a
-	// value above 1 is slower.
+	// Slowdown is the ratio of the engine's current step time to its usual one;
+	// a value above 1 is slower.
 	Slowdown float64
 	// AsOf is a time on the leader's clock at or before the moment that the
 	// report describes. A report obtained through the agent describes the rank
@@ -69,7 +69,7 @@
 	return text
 }
 
-// Order is an order to one rank: Fence, Prepare, Arm, Disarm, Hold or Go.
+// Order is an order to one rank: Fence, Prepare, Arm, Disarm, Hold or Release.
 type Order interface{ isOrder() }
 
 // Fence changes nothing but the highest token that the rank has seen, so that
@@ -89,10 +89,10 @@
 // Disarm cancels an Arm.
 type Disarm struct{ Version uint64 }
 
-// Hold prevents the group from beginning Step until Go.
+// Hold prevents the group from beginning Step until Release.
 type Hold struct{ Step uint64 }
 
-// Go releases a held step.
+// Release releases a held step.
 type Release struct{ Step uint64 }
 
 func (Fence) isOrder()   {}
@@ -109,12 +109,12 @@
 const (
 	// Unknown means that no reply arrived: the order may be executed later.
 	Unknown Outcome = iota
-	// Begun means that the rank has accepted the order.
+	// Accepted means that the rank has accepted the order.
 	Accepted
-	// Already means that the rank was already in the ordered state.
+	// NoChange means that the rank was already in the ordered state.
 	NoChange
-	// Unfit means that the rank rejected the order because it does not fit the
-	// rank's state.
+	// Rejected means that the rank rejected the order because it does not fit
+	// the rank's state.
 	Rejected
 	// Fenced means that the rank has seen the token of a newer leader.
 	Fenced
@@ -125,8 +125,8 @@
 	return [...]string{"unknown", "begun", "already", "unfit", "fenced"}[o]
 }
 
-// Directive is an order for one rank, valid for the epoch and sequence number
-// at which the rank was observed.
+// AddressedOrder is an order for one rank, valid for the epoch and sequence
+// number at which the rank was observed.
 type AddressedOrder struct {
 	Rank            int
 	Epoch, Sequence uint64
--- a/internal/rank/loops.go
+++ b/internal/rank/loops.go
@@ -109,7 +109,7 @@
 
 // electionTimeout returns how long this agent waits for a leader before it
 // tries to acquire the lease. The timeouts are staggered by index, so that a
-// group whose leader has failed costs the platform one call per LeaseTime
+// group whose leader has failed costs the platform one call per LeaseTTL
 // instead of one per agent.
 func (r *Runner) electionTimeout() time.Duration {
 	return r.LeaseTTL + time.Duration(r.Index)*r.ResendInterval
--- a/internal/rank/naming/decide.go
+++ b/internal/rank/naming/decide.go
@@ -193,7 +193,8 @@
 	return actions
 }
 
-// maxFailedAttempts limits the distance of an activation to 64 times Margin+1.
+// maxFailedAttempts limits the distance of an activation to 64 times
+// StepMargin+1.
 const maxFailedAttempts = 6
 
 // nextSafeStep returns a step that no rank may have been allowed to begin when
--- a/internal/rank/naming/doc.go
+++ b/internal/rank/naming/doc.go
@@ -10,9 +10,9 @@
 //
 // # Activating a map
 //
-// An activation, of type Name, is a map and the first step that uses it. The
-// leader activates a map in four phases. Each phase ends once all members have
-// replied.
+// An activation, of type Activation, is a map and the first step that uses it.
+// The leader activates a map in four phases. Each phase ends once all members
+// have replied.
 //
 //  1. Stage: each member gives the map to its engine, which loads weights.
 //  2. Hold: each member promises not to let its ranks begin the activation's
--- a/internal/rank/naming/engine.go
+++ b/internal/rank/naming/engine.go
@@ -6,10 +6,10 @@
 type EngineState struct {
 	// Incarnation changes when the ranks have restarted and lost their maps.
 	Incarnation uint64
-	// Begun is the last step that a rank has begun. A rank that restarts during
-	// a step repeats it, so Begun is then the step before.
+	// LastStep is the last step that a rank has begun. A rank that restarts
+	// during a step repeats it, so LastStep is then the step before.
 	LastStep uint64
-	// Allowed is the step limit: the last step that the ranks may begin.
+	// StepLimit is the step limit: the last step that the ranks may begin.
 	StepLimit uint64
 	// Staged lists the loaded maps.
 	Staged []Ref
@@ -33,8 +33,8 @@
 	Restart bool
 }
 
-// EngineAllow sets the step limit: the ranks may begin all steps up to and
-// including Step. A step lower than the present limit has no effect.
+// EngineSetStepLimit sets the step limit: the ranks may begin all steps up to
+// and including Step. A step lower than the present limit has no effect.
 type EngineSetStepLimit struct{ Step uint64 }
 
 func (EngineStage) isEngineOrder()        {}
--- a/internal/rank/naming/join.go
+++ b/internal/rank/naming/join.go
@@ -16,8 +16,8 @@
 	m.joinReplies = map[int]JoinReply{}
 }
 
-// Joins returns the message to send to all peers. It returns false once the
-// member has joined.
+// JoinRequest returns the message to send to all peers. It returns false once
+// the member has joined.
 func (m *Member) JoinRequest() (Join, bool) {
 	m.init()
 	return Join{Member: m.Index, Incarnation: m.Incarnation}, !m.joined
@@ -38,8 +38,8 @@
 	return reply
 }
 
-// HandleJoining processes a peer's reply. The member joins once all peers have
-// replied and one of them knows the group's schedule.
+// HandleJoinReply processes a peer's reply. The member joins once all peers
+// have replied and one of them knows the group's schedule.
 func (m *Member) HandleJoinReply(reply JoinReply) {
 	m.init()
 	from := reply.State.Member
--- a/internal/rank/naming/leader.go
+++ b/internal/rank/naming/leader.go
@@ -14,19 +14,19 @@
 	Members int
 	// Token is the fencing token of the lease.
 	Token uint64
-	// Resend is how long the leader waits for a member's reply before it sends
-	// another order to this member.
+	// ResendInterval is how long the leader waits for a member's reply before
+	// it sends another order to this member.
 	ResendInterval time.Duration
-	// Refresh is the age at which a member's state is queried again although
-	// there is no order for it.
+	// RefreshInterval is the age at which a member's state is queried again
+	// although there is no order for it.
 	RefreshInterval time.Duration
 	// HoldTime is how long members may hold an activation that is not
 	// committed. It is bounded because ranks that reach the activation's step
 	// wait there.
 	HoldTime time.Duration
-	// Margin is how many steps an activation is placed beyond the highest step
-	// limit reported, because members extend their limits while the hold order
-	// is in transit. It should equal the members' Lookahead.
+	// StepMargin is how many steps an activation is placed beyond the highest
+	// step limit reported, because members extend their limits while the hold
+	// order is in transit. It should equal the members' Lookahead.
 	StepMargin uint64
 
 	// leaseUntil is the time until which the lease is held at least.
@@ -92,14 +92,14 @@
 	}
 }
 
-// Extend records that the lease is held at least until the given time.
+// ExtendLease records that the lease is held at least until the given time.
 func (l *Leader) ExtendLease(until time.Time) { l.leaseUntil = until }
 
 // Propose sets the map to activate next. It replaces a proposed map whose
 // activation has not been started yet.
 func (l *Leader) Propose(m *expertmap.Map) { l.proposed = m }
 
-// Learn adds a map that the leader may have to stage again to finish an
+// AddKnownMap adds a map that the leader may have to stage again to finish an
 // activation of its predecessor.
 func (l *Leader) AddKnownMap(m *expertmap.Map) {
 	for _, known := range l.knownMaps {
@@ -163,7 +163,7 @@
 }
 
 // Step returns the actions to take at the time now. Call it after each reply
-// and once per Resend.
+// and once per ResendInterval.
 func (l *Leader) Step(now time.Time) []Action {
 	l.init()
 	if l.deposed {
@@ -224,7 +224,8 @@
 	return actions
 }
 
-// queryStale queries the members whose last reply is at least Refresh old.
+// queryStale queries the members whose last reply is at least RefreshInterval
+// old.
 func (l *Leader) queryStale(now time.Time) []Action {
 	var actions []Action
 	for i := range l.Members {
@@ -237,7 +238,7 @@
 }
 
 // send sends an order unless an order to this member is unanswered and less
-// than Resend old.
+// than ResendInterval old.
 func (l *Leader) send(to int, o Order, now time.Time) []Action {
 	if at, ok := l.sentAt[to]; ok && now.Sub(at) < l.ResendInterval {
 		return nil
@@ -246,18 +247,18 @@
 	return []Action{Send{To: to, Order: o}}
 }
 
-// maxReadBackoff limits the back-off between reads to 32 times Resend.
+// maxReadBackoff limits the back-off between reads to 32 times ResendInterval.
 const maxReadBackoff = 5
 
 // readDue reports whether the record may be read again, and notes the time of
 // the read if so.
 //
 // Leaders of hundreds of groups may wait for a platform that is down or slow.
-// If each read every Resend, they would use up the platform's read capacity as
-// it recovers and keep it down. The delay therefore doubles with each failure,
-// up to 32 times Resend. With a Resend of 0.2 s, 375 groups make at most 60
-// reads a second, and an activation is delayed by some seconds once the
-// platform answers.
+// If each read every ResendInterval, they would use up the platform's read
+// capacity as it recovers and keep it down. The delay therefore doubles with
+// each failure, up to 32 times ResendInterval. With a ResendInterval of 0.2 s,
+// 375 groups make at most 60 reads a second, and an activation is delayed by
+// some seconds once the platform answers.
 func (l *Leader) readDue(now time.Time) bool {
 	if !l.lastReadAt.IsZero() && now.Sub(l.lastReadAt) < l.ResendInterval<<l.failedReads {
 		return false
@@ -280,11 +281,11 @@
 	return view
 }
 
-// Settled reports whether the leader has no activation in progress. A proposed
-// map does not count.
+// NoActivation reports whether the leader has no activation in progress. A
+// proposed map does not count.
 func (l *Leader) NoActivation() bool { return l.current == Activation{} }
 
-// Current returns the map that all members use. It returns false while their
+// CurrentMap returns the map that all members use. It returns false while their
 // maps differ or an activation is in progress.
 func (l *Leader) CurrentMap() (Ref, bool) {
 	if l.deposed || !l.ready() || !l.Idle() || l.inProgress() != (Activation{}) {
@@ -295,8 +296,8 @@
 	return r, same
 }
 
-// Lost reports whether all members have lost their maps, so that the group
-// needs one from outside.
+// AllMapsLost reports whether all members have lost their maps, so that the
+// group needs one from outside.
 func (l *Leader) AllMapsLost() bool {
 	return !l.deposed && l.ready() && l.Idle() && l.allMembers(func(s State) bool { return !s.Joined && s.NoPeerJoined })
 }
--- a/internal/rank/naming/member.go
+++ b/internal/rank/naming/member.go
@@ -111,7 +111,7 @@
 	case m.stepLimit >= o.Activation.Step || m.engine.LastStep >= o.Activation.Step:
 		return result.Newf(result.Conflict, "the ranks may run up to step %d", m.stepLimit)
 	case m.engineHasLaterEntry(o.Activation):
-		return result.New(result.Conflict, "the ranks have a later name ahead of them")
+		return result.New(result.Conflict, "the ranks have a later activation ahead of them")
 	case !m.engineStaged(o.Activation.Map):
 		return result.Newf(result.MapMissing, "version %d", o.Activation.Map.Version)
 	}
@@ -257,8 +257,8 @@
 	return s
 }
 
-// Needed returns the maps of the schedule and of the pending activation, which
-// a leader may have to stage again.
+// RequiredMaps returns the maps of the schedule and of the pending activation,
+// which a leader may have to stage again.
 func (m *Member) RequiredMaps() []*expertmap.Map {
 	var out []*expertmap.Map
 	for _, e := range m.maps {
--- a/internal/rank/naming/message.go
+++ b/internal/rank/naming/message.go
@@ -2,7 +2,7 @@
 
 import "github.com/hyssoprelay/hyssoprelay/internal/rank/expertmap"
 
-// Head is the header of every order to a member.
+// OrderHeader is the header of every order to a member.
 type OrderHeader struct {
 	// Token is the fencing token of the leader.
 	Token uint64
@@ -57,21 +57,21 @@
 type State struct {
 	Member      int
 	Incarnation uint64
-	// Number increases with each state of an incarnation, so that a delayed
+	// Sequence increases with each state of an incarnation, so that a delayed
 	// state is recognised.
 	Sequence uint64
-	// Fence is the highest fencing token that the member has seen.
+	// MaxToken is the highest fencing token that the member has seen.
 	MaxToken uint64
 	// Joined is set once the member knows its group's schedule. Orphan is set
 	// if it does not and all peers have replied that they do not either.
 	Joined, NoPeerJoined bool
-	// Begun is the last step that the ranks are known to have begun.
+	// LastStep is the last step that the ranks are known to have begun.
 	LastStep uint64
-	// Granted is the last step that the ranks may have been allowed to begin.
+	// StepLimit is the last step that the ranks may have been allowed to begin.
 	StepLimit uint64
 	// Schedule holds the released activations, oldest first.
 	Schedule []ScheduleEntry
-	// Pending is the activation that the member holds, or the zero Name.
+	// Pending is the activation that the member holds, or the zero Activation.
 	Pending Activation
 	// Staged lists the maps that are loaded in the engine and known to the
 	// member.
@@ -110,11 +110,12 @@
 	Incarnation uint64
 }
 
-// Joining is the reply to Join.
+// JoinReply is the reply to Join.
 type JoinReply struct {
-	// To is the incarnation that sent the Join.
+	// SenderIncarnation is the incarnation that sent the Join.
 	SenderIncarnation uint64
-	// Noted is the highest incarnation of the sender that the peer has seen.
+	// KnownIncarnation is the highest incarnation of the sender that the peer
+	// has seen.
 	KnownIncarnation uint64
 	State            State
 	// Maps holds the maps of the schedule and of the pending activation.
--- a/internal/rank/naming/name.go
+++ b/internal/rank/naming/name.go
@@ -14,7 +14,7 @@
 	return Ref{Version: m.Version(), Digest: m.Digest()}
 }
 
-// Name is an activation: a map and the first step that uses it. The zero Name
+// Activation is a map and the first step that uses it. The zero Activation
 // means no activation.
 type Activation struct {
 	// Token is the fencing token of the leader that chose the step.
@@ -28,11 +28,12 @@
 type Record struct {
 	// Token is the fencing token of the leader that wrote last.
 	Token uint64
-	// Name is the last committed activation.
+	// Activation is the last committed activation.
 	Activation Activation
 }
 
-// Entry is an entry of a schedule: a map and the first step that uses it.
+// ScheduleEntry is an entry of a schedule: a map and the first step that uses
+// it.
 type ScheduleEntry struct {
 	FirstStep uint64
 	Map       Ref
@@ -56,7 +57,8 @@
 	return best.Map, found
 }
 
-// After returns the entries of a schedule that begin later than the given step.
+// EntriesAfter returns the entries of a schedule that begin later than the
+// given step.
 func EntriesAfter(schedule []ScheduleEntry, step uint64) []ScheduleEntry {
 	var out []ScheduleEntry
 	for _, e := range schedule {
@@ -67,7 +69,8 @@
 	return out
 }
 
-// latestEntry returns the newest entry of a schedule, or the zero Entry.
+// latestEntry returns the newest entry of a schedule, or the zero
+// ScheduleEntry.
 func latestEntry(schedule []ScheduleEntry) ScheduleEntry {
 	if len(schedule) == 0 {
 		return ScheduleEntry{}
--- a/internal/rank/naming/tick.go
+++ b/internal/rank/naming/tick.go
@@ -94,9 +94,9 @@
 	return nil
 }
 
-// allowOrders raises the engine's step limit once the engine has all maps of
-// the schedule, to at most Lookahead steps beyond the last one begun and never
-// to the step of a pending activation (see hold).
+// stepLimitOrders raises the engine's step limit once the engine has all maps
+// of the schedule, to at most Lookahead steps beyond the last one begun and
+// never to the step of a pending activation (see hold).
 //
 // Ranks begin a step every 10 to 20 ms. If the limit is too close, the group
 // stops between two ticks; if it is too far, a new map is delayed by as many
--- a/internal/rank/runner.go
+++ b/internal/rank/runner.go
@@ -47,8 +47,8 @@
 	// EventJoined means that the member has joined its group; Number is the
 	// version of the map in force.
 	EventJoined = "rankJoined"
-	// EventLost means that the member has lost its maps and waits; Number is
-	// the version of the map that was in force.
+	// EventMapsLost means that the member has lost its maps and waits; Number
+	// is the version of the map that was in force.
 	EventMapsLost = "rankLost"
 )
 
@@ -80,24 +80,24 @@
 	// plans; zero disables rebalancing.
 	Limits    expertmap.Limits
 	PlanEvery time.Duration
-	// Memory is the time span of the popularity estimate.
+	// PopularityWindow is the time span of the popularity estimate.
 	PopularityWindow time.Duration
-	// Tick is the interval at which the engine's state is read. Lookahead is
-	// how many steps the ranks may run without a further grant; these must last
-	// for several ticks.
+	// EngineInterval is the interval at which the engine's state is read.
+	// Lookahead is how many steps the ranks may run without a further grant;
+	// these must last for several intervals.
 	EngineInterval time.Duration
 	Lookahead      uint64
-	// Resend, Refresh and HoldTime are those of naming.Leader.
+	// ResendInterval, RefreshInterval and HoldTime are those of naming.Leader.
 	ResendInterval, RefreshInterval, HoldTime time.Duration
-	// LeaseTime is the duration of the lease, which is renewed after each third
+	// LeaseTTL is the duration of the lease, which is renewed after each third
 	// of it. Another agent tries to acquire the lease after it has received no
-	// order of a leader for LeaseTime plus Index times Resend.
+	// order of a leader for LeaseTTL plus Index times ResendInterval.
 	LeaseTTL time.Duration
 	// CallTimeout is the timeout of each call to a peer, the engine or the
 	// platform.
 	CallTimeout time.Duration
-	// Drain is how long after a start orders of the agent's earlier run may
-	// still reach the engine.
+	// StartDelay is how long after a start orders of the agent's earlier run
+	// may still reach the engine.
 	StartDelay time.Duration
 	// Credentials is the TLS configuration for connections to peers; nil means
 	// plain text.
@@ -191,11 +191,11 @@
 	return first
 }
 
-// Leads reports whether this agent leads the group.
+// Leading reports whether this agent leads the group.
 func (r *Runner) Leading() bool { return r.leading.Load() }
 
-// InForce returns the version of the newest map in the member's schedule, or
-// zero while the member has not joined its group.
+// VersionInForce returns the version of the newest map in the member's
+// schedule, or zero while the member has not joined its group.
 func (r *Runner) VersionInForce() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/ranker/loads.go
+++ b/internal/ranker/loads.go
@@ -39,7 +39,7 @@
 	return loadReporter{tree: fanout.Tree{MaxDirect: fanout.MaxDirectEntries, MaxSize: fanout.MaxSubgroupEntries}}
 }
 
-// due reports whether a report is due now. A change between open and closed is
+// due reports whether a report is due now. A change between accepting and closed is
 // reported at once, because requests wait for it.
 func (r *loadReporter) due(closed bool, now time.Time) bool {
 	if now.Sub(r.lastSent) < loadReportInterval && closed == r.lastClosed {
--- a/internal/ranker/orders.go
+++ b/internal/ranker/orders.go
@@ -14,7 +14,7 @@
 )
 
 // maxFollowUps bounds how many rounds of orders are given without a poll in between:
-// hold, arm in three parts, go.
+// hold, arm in three parts, release.
 const maxFollowUps = 5
 
 // prepareTimeout bounds a call that has a delegate deliver a map.
@@ -67,7 +67,7 @@
 	return outcomes
 }
 
-// giveToSubgroup delivers the directives with the given indices through the delegate
+// giveToSubgroup delivers the orders with the given indices through the delegate
 // by which their ranks were polled, and stores the outcomes under the same indices.
 func (t *term) giveToSubgroup(
 	ctx context.Context, indices []int, orders []lockstep.AddressedOrder, byRank []rankReport, outcomes []lockstep.Outcome,
--- a/internal/ranker/round.go
+++ b/internal/ranker/round.go
@@ -80,8 +80,9 @@
 	}).Info("expert map change completed")
 }
 
-// rescue releases a step that the previous leader left held, provided that leader's
-// rank is the only one not polled. It returns how long to wait before the next round.
+// recoverHeldStep releases a step that the previous leader left held, provided that
+// leader's rank is the only one not polled. It returns how long to wait before the
+// next round.
 func (t *term) recoverHeldStep(ctx context.Context, ranks []lockstep.State, byRank []rankReport, seen []bool) time.Duration {
 	orders := t.leader.RecoverHeldStep(ranks, seen)
 	if len(orders) == 0 {
--- a/internal/ranker/service.go
+++ b/internal/ranker/service.go
@@ -181,8 +181,8 @@
 	return req
 }
 
-// directiveFromProto decodes an order except for the map of a Prepare. It returns an
-// error for an order of unknown kind.
+// addressedOrderFromProto decodes an order except for the map of a Prepare. It
+// returns an error for an order of unknown kind.
 func addressedOrderFromProto(req *fleetpb.GiveRequest) (lockstep.AddressedOrder, error) {
 	ao := lockstep.AddressedOrder{Epoch: req.GetEpoch(), Sequence: req.GetSequence()}
 	switch o := req.GetOrder().(type) {
--- a/internal/ranker/tries.go
+++ b/internal/ranker/tries.go
@@ -29,8 +29,8 @@
 //
 // When a leader froze with a step held, on engines that lose four in ten orders,
 // single attempts of 150 ms, each followed by a poll that waits for the frozen VM,
-// lost the successor's go order three times in a row. The step stayed held for 2.6 s
-// instead of 1.4 s, and callers leave after 2 s without an event.
+// lost the successor's release order three times in a row. The step stayed held for
+// 2.6 s instead of 1.4 s, and callers leave after 2 s without an event.
 var remoteRetries = retryPolicy{attempts: 5, timeout: 20 * time.Millisecond, lastTimeout: engineTimeout - 4*20*time.Millisecond}
 
 // giveWithRetries gives an order until it is answered, or the attempts are used up.
--- a/internal/ranker/tries_test.go
+++ b/internal/ranker/tries_test.go
@@ -9,9 +9,9 @@
 )
 
 // A leader's VM freezes with a step held, and engines lose four in ten orders. Guards
-// against giving the successor's go order once per round only, with a poll of the
-// frozen VM in between: the step was released after 2.6 s, when callers had left and
-// engines still worked for them.
+// against giving the successor's release order once per round only, with a poll of
+// the frozen VM in between: the step was released after 2.6 s, when callers had left
+// and engines still worked for them.
 func TestLostReleaseIsGivenAgainInItsRound(t *testing.T) {
 	t.Parallel()
 	g := standin.StartGroup(3, 2, 9, 4)
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -8,5 +8,5 @@
 // store. A revoked key is refused: keys are accepted only while the configuration is recent, by a
 // clock that keeps running while the VM is suspended.
 //
-// The decisions (NextStep, RateShares, Freshness) use no sockets and read no clocks.
+// The decisions (NextDecision, RateShares, Freshness) use no sockets and read no clocks.
 package relay
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -68,7 +68,7 @@
 }
 
 // countResult counts a request by its result, and its latencies by service and by the route's
-// Repeat.
+// RetrySemantics.
 func (m *Metrics) countResult(code result.Code, kind, service string, first, whole time.Duration) {
 	metrics.GetOrRegisterCounter("relay.results."+code.String(), m.registry).Inc(1)
 	if service == "" || code != result.OK {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -28,8 +28,8 @@
 	defaultTimeout = time.Minute
 )
 
-// Relay forwards requests to endpoints. It implements caller.Passer. Set the exported fields before
-// the first request.
+// Relay forwards requests to endpoints. It implements caller.Forwarder. Set the exported fields
+// before the first request.
 type Relay struct {
 	State       *State
 	Client      *direct.Client
@@ -86,7 +86,7 @@
 	pauseEndedAt time.Time
 }
 
-// Forward implements caller.Passer.
+// Forward implements caller.Forwarder.
 func (r *Relay) Forward(ctx context.Context, raw *caller.Raw, w *caller.Reply) {
 	r.State.AwaitReady(ctx, r.Now())
 	now := r.Now()
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -80,7 +80,7 @@
 	minAttemptTime = 60 * time.Millisecond
 )
 
-// NextStep decides whether a request is sent to another endpoint.
+// NextDecision decides whether a request is sent to another endpoint.
 //
 // When an endpoint or a data centre fails, each of its requests asks for another attempt at the
 // remaining ones. A request that may run once must not run twice, the route's attempts must not be
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -58,7 +58,7 @@
 	Splits    []Split
 }
 
-// MayRepeat reports whether a request may be sent again after it may already have run.
+// MayRetry reports whether a request may be sent again after it may already have run.
 func (r *Route) MayRetry() bool {
 	return r.RetrySemantics == Idempotent || r.RetrySemantics == Stream && r.Resumable
 }
--- a/internal/standin/ranks/engine.go
+++ b/internal/standin/ranks/engine.go
@@ -67,24 +67,24 @@
 }
 
 // Activate implements rank.Engine.
-func (e *Engine) Activate(_ context.Context, n naming.ScheduleEntry, restart bool, _ uint64) error {
+func (e *Engine) Activate(_ context.Context, entry naming.ScheduleEntry, restart bool, _ uint64) error {
 	if err := e.enter(); err != nil {
 		return err
 	}
 	defer e.group.mu.Unlock()
-	if e.find(n.Map) == nil {
-		return result.Newf(result.MapMissing, "version %d", n.Map.Version)
+	if e.find(entry.Map) == nil {
+		return result.Newf(result.MapMissing, "version %d", entry.Map.Version)
 	}
-	for _, o := range e.state.Schedule {
-		if o == n {
+	for _, other := range e.state.Schedule {
+		if other == entry {
 			return nil
 		}
 	}
-	if restart && n.FirstStep > e.state.LastStep {
-		e.state.Schedule = naming.EntriesAfter(e.state.Schedule, n.FirstStep)
-		e.state.LastStep = n.FirstStep - 1
+	if restart && entry.FirstStep > e.state.LastStep {
+		e.state.Schedule = naming.EntriesAfter(e.state.Schedule, entry.FirstStep)
+		e.state.LastStep = entry.FirstStep - 1
 	}
-	e.state.Schedule = append(e.state.Schedule, n)
+	e.state.Schedule = append(e.state.Schedule, entry)
 	return nil
 }
 
--- a/internal/standin/ranks/http.go
+++ b/internal/standin/ranks/http.go
@@ -86,8 +86,8 @@
 	for _, m := range s.Staged {
 		out.Staged = append(out.Staged, endpoint.RanksRef(m))
 	}
-	for _, n := range s.Schedule {
-		out.Schedule = append(out.Schedule, endpoint.RanksEntry{From: n.FirstStep, Map: endpoint.RanksRef(n.Map)})
+	for _, entry := range s.Schedule {
+		out.Schedule = append(out.Schedule, endpoint.RanksEntry{From: entry.FirstStep, Map: endpoint.RanksRef(entry.Map)})
 	}
 	standin.WriteJSON(w, http.StatusOK, out)
 }
