--- a/internal/endpoint/direct/client_test.go
+++ b/internal/endpoint/direct/client_test.go
@@ -84,7 +84,7 @@
 
 // An endpoint responds to a request twice, and the duplicate is taken for the
 // response to the next request on the connection.
-func TestSecondResponseBelongsToNobody(t *testing.T) {
+func TestSecondAnswerBelongsToNobody(t *testing.T) {
 	t.Run("duplicate arrives before the next request", func(t *testing.T) {
 		addr := serve(t,
 			func(t *testing.T, c net.Conn, br *bufio.Reader) {
@@ -141,7 +141,7 @@
 	})
 }
 
-func TestBrokenResponses(t *testing.T) {
+func TestBrokenAnswers(t *testing.T) {
 	for name, text := range map[string]string{
 		"cut short":           "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 100\r\n\r\nshort",
 		"not in the protocol": "\x00\x01 what is this\r\n\r\n",
@@ -220,7 +220,7 @@
 
 // An endpoint rejects a long request before it has read the body, and reads the
 // body later. It must still receive all of the body and nothing else.
-func TestEarlyResponseGetsTheRestOfTheBody(t *testing.T) {
+func TestEarlyAnswerGetsTheRestOfTheBody(t *testing.T) {
 	body := strings.Repeat("b", 4<<20)
 	got := make(chan int, 1)
 	addr := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
@@ -283,13 +283,13 @@
 			ids = append(ids, ev.ID)
 		}
 	}
-	t.Run("complete", func(t *testing.T) {
+	t.Run("whole", func(t *testing.T) {
 		ids, err := read("id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid:3\ndata: c\n\n")
 		if err != io.EOF || fmt.Sprint(ids) != "[1 2 3]" {
 			t.Fatalf("%v, %v", ids, err)
 		}
 	})
-	t.Run("partial event", func(t *testing.T) {
+	t.Run("torn", func(t *testing.T) {
 		ids, err := read("id: 1\ndata: a\n\nid: 2\nda")
 		if !errors.Is(err, ErrPartialEvent) || fmt.Sprint(ids) != "[1]" {
 			t.Fatalf("%v, %v", ids, err)
--- a/internal/endpoint/placement/placement_test.go
+++ b/internal/endpoint/placement/placement_test.go
@@ -69,7 +69,7 @@
 		want   result.Code
 	}{
 		{"out", func(r *Report) { r.OutOfService = true }, result.OutOfService},
-		{"draining", func(r *Report) { r.Draining = true }, result.EndpointLeaving},
+		{"leaving", func(r *Report) { r.Draining = true }, result.EndpointLeaving},
 		{"cold and used", func(r *Report) { r.Cold, r.Allowance, r.Running = true, 1, 1 }, result.EndpointCold},
 		{"busy", func(r *Report) { r.Running = 8 }, result.EndpointBusy},
 		{"other route", func(r *Report) { r.Routes = []string{"other"} }, result.NoEndpoint},
@@ -245,7 +245,7 @@
 }
 
 // Sampling must not distribute requests much less evenly than a full scan.
-func TestSamplesAreNearTheFullScan(t *testing.T) {
+func TestDrawsAreNearTheFullScan(t *testing.T) {
 	b := newBalancer(90, epoch)
 	got := startRequests(t, b, query, 360, epoch)
 	maxCount := 0
--- a/internal/rank/evenmap/plan.go
+++ b/internal/rank/evenmap/plan.go
@@ -43,7 +43,7 @@
 
 // Plan is a planned change of the placements of all layer sets.
 type Plan struct {
-	placements                  []*Placement
+	placements            []*Placement
 	copies                int
 	skewBefore, skewAfter float64
 }
--- a/internal/rank/lockstep/lead_test.go
+++ b/internal/rank/lockstep/lead_test.go
@@ -164,7 +164,7 @@
 
 // Guards against a hold that arrives too late after an idle period, during
 // which steps seem to last a second.
-func TestStepDurationFallsAtOnce(t *testing.T) {
+func TestStepTimeFallsAtOnce(t *testing.T) {
 	l := &Leader{}
 	now := time.Unix(1000, 0)
 	l.updateStepDuration(1, now)
--- a/internal/rank/lockstep/simulation_test.go
+++ b/internal/rank/lockstep/simulation_test.go
@@ -113,16 +113,16 @@
 }
 
 // execute executes an order by the engines' rules.
-func (w *simulation) execute(token uint64, ao AddressedOrder) Outcome {
-	r := &w.ranks[ao.Rank]
+func (w *simulation) execute(token uint64, d AddressedOrder) Outcome {
+	r := &w.ranks[d.Rank]
 	if token < r.token {
 		return Fenced
 	}
 	r.token = token
-	if ao.Epoch != r.state.Epoch {
+	if d.Epoch != r.state.Epoch {
 		return Rejected
 	}
-	switch o := ao.Order.(type) {
+	switch o := d.Order.(type) {
 	case Fence:
 		return Rejected
 	case Prepare:
@@ -164,16 +164,16 @@
 }
 
 // deliver executes an order, or loses the order or its reply, or delays it.
-func (w *simulation) deliver(token uint64, ao AddressedOrder) Outcome {
-	if w.isUnreachable(ao.Rank) {
+func (w *simulation) deliver(token uint64, d AddressedOrder) Outcome {
+	if w.isUnreachable(d.Rank) {
 		w.delayed = append(w.delayed, delayedOrder{
-			at: w.unreachableUntil + w.rng.IntN(100), token: token, order: ao,
+			at: w.unreachableUntil + w.rng.IntN(100), token: token, order: d,
 		})
 		return Unknown
 	}
-	delaying := w.tick < w.delayingUntil && ao.Rank == w.delayingRank
+	delaying := w.tick < w.delayingUntil && d.Rank == w.delayingRank
 	if !delaying && w.rng.Float64() >= w.faultRate {
-		return w.execute(token, ao)
+		return w.execute(token, d)
 	}
 	kind := w.rng.IntN(3)
 	if delaying {
@@ -183,22 +183,22 @@
 	case 0:
 		return Unknown
 	case 1:
-		w.execute(token, ao)
+		w.execute(token, d)
 		return Unknown
 	default:
-		order := delayedOrder{at: w.tick + 1 + w.rng.IntN(200), token: token, order: ao}
-		order.versionAccepted = w.rng.IntN(2) == 0 && w.acceptVersion(token, ao)
-		w.delayed = append(w.delayed, order)
+		delayed := delayedOrder{at: w.tick + 1 + w.rng.IntN(200), token: token, order: d}
+		delayed.versionAccepted = w.rng.IntN(2) == 0 && w.acceptVersion(token, d)
+		w.delayed = append(w.delayed, delayed)
 		return Unknown
 	}
 }
 
 // acceptVersion makes a rank accept the version of a prepare order that it
 // executes later, and reports whether it did.
-func (w *simulation) acceptVersion(token uint64, ao AddressedOrder) bool {
-	r := &w.ranks[ao.Rank]
-	p, ok := ao.Order.(Prepare)
-	if !ok || token < r.token || p.Version <= r.highestVersion || r.state.Armed != nil || ao.Epoch != r.state.Epoch {
+func (w *simulation) acceptVersion(token uint64, d AddressedOrder) bool {
+	r := &w.ranks[d.Rank]
+	p, ok := d.Order.(Prepare)
+	if !ok || token < r.token || p.Version <= r.highestVersion || r.state.Armed != nil || d.Epoch != r.state.Epoch {
 		return false
 	}
 	r.token, r.highestVersion = token, p.Version
@@ -303,8 +303,8 @@
 // orders. A frozen leader continues with an observation from before it froze.
 func (d *leaderDriver) round(seen observation) {
 	if !seen.complete {
-		for _, ao := range d.l.RecoverHeldStep(seen.ranks, seen.seen) {
-			d.l.RecordOutcome(ao, d.w.deliver(d.token, ao), d.w.now)
+		for _, o := range d.l.RecoverHeldStep(seen.ranks, seen.seen) {
+			d.l.RecordOutcome(o, d.w.deliver(d.token, o), d.w.now)
 		}
 		return
 	}
@@ -314,8 +314,8 @@
 	if !d.l.Busy() && d.w.rng.IntN(d.w.proposalInterval) == 0 {
 		d.l.Propose(content(d.w.nextContent()))
 	}
-	for _, ao := range d.l.NextOrders(seen.ranks, true, d.w.now) {
-		d.l.RecordOutcome(ao, d.w.deliver(d.token, ao), d.w.now)
+	for _, o := range d.l.NextOrders(seen.ranks, true, d.w.now) {
+		d.l.RecordOutcome(o, d.w.deliver(d.token, o), d.w.now)
 	}
 }
 
--- a/internal/rank/naming/guards_test.go
+++ b/internal/rank/naming/guards_test.go
@@ -117,12 +117,12 @@
 	g.assertActiveVersion(3)
 }
 
-// TestRestartedGroupActivatesAtLaterStep guards against two maps in one step,
+// TestRestartedGroupNamesLaterStep guards against two maps in one step,
 // which garbles answers. The ranks of one member have an activation scheduled
 // for a later step when all agents restart and the other member's ranks lose
 // their maps. The group starts again and must not reach the scheduled step with
 // another map.
-func TestRestartedGroupActivatesAtLaterStep(t *testing.T) {
+func TestRestartedGroupNamesLaterStep(t *testing.T) {
 	g, a := newActiveGroup(t)
 	a.Propose(testMap(2))
 	g.runLeader(a, 8, releaseTo(1), g.writeRecord)
@@ -141,11 +141,11 @@
 	g.assertActiveVersion(3)
 }
 
-// TestReleasedActivationIsFinished guards against a group that stops, which
+// TestReleasedNameIsFinished guards against a group that stops, which
 // makes callers wait. One member has been released and its ranks have the
 // activation scheduled; then its agent and the other member's ranks restart.
 // The leader, which keeps running, has to finish the activation.
-func TestReleasedActivationIsFinished(t *testing.T) {
+func TestReleasedNameIsFinished(t *testing.T) {
 	g, a := newActiveGroup(t)
 	a.Propose(testMap(2))
 	g.runLeader(a, 8, releaseTo(1), g.writeRecord)
@@ -174,10 +174,10 @@
 	g.assertOneMap()
 }
 
-// TestNoActivationWithoutLease guards against a leader that starts an
+// TestNoNameWithoutLease guards against a leader that starts an
 // activation after its lease has lapsed, when another leader may exist. The
 // lease lapses and a map is proposed; no member may be asked to hold.
-func TestNoActivationWithoutLease(t *testing.T) {
+func TestNoNameWithoutLease(t *testing.T) {
 	g, a := newActiveGroup(t)
 	a.ExtendLease(g.now)
 	a.Propose(testMap(2))
--- a/internal/ranker/orders.go
+++ b/internal/ranker/orders.go
@@ -168,7 +168,7 @@
 	return t.ranker.Settings.FencingChecked || now.Before(t.leaseUntil)
 }
 
-// logOrder logs the outcome of an order. A Prepare that an engine has begun is left
+// logOrder logs the outcome of an order. A Prepare that an engine has accepted is left
 // out, because the proposal of a map is logged once for all ranks.
 func (t *term) logOrder(ao lockstep.AddressedOrder, o lockstep.Outcome, err error) {
 	if _, ok := ao.Order.(lockstep.Prepare); ok && o == lockstep.Accepted {
