--- a/internal/endpoint/placement/slow_test.go
+++ b/internal/endpoint/placement/slow_test.go
@@ -110,7 +110,7 @@
 }
 
 // Of two endpoints, one responds in 1 ms and the other in 20 ms because its VM
-// is busy. Clients don't notice the difference, so it must not affect the
+// is busy. Callers don't notice the difference, so it must not affect the
 // distribution much.
 func TestFewMillisecondsAreNotSlow(t *testing.T) {
 	b := newBalancer(2, epoch)
