--- a/internal/agent/ranks.go
+++ b/internal/agent/ranks.go
@@ -27,12 +27,12 @@
 
 // newRanks returns the agent's part in its group of ranks.
 //
-// Load: each agent of a group looks at its ranks every Tick, and the leader
-// talks to all members each Refresh and to the platform each third of the lease.
-// Harm prevented: talk that grows with the group would take the platform's few
-// hundred writes from claims. Limits: all times follow from LeaseTime, so that
-// an order is repeated often within a lease and members hear of their leader
-// several times before they take it for gone.
+// Load: each agent of a group looks at its ranks every EngineInterval, and the
+// leader talks to all members each RefreshInterval and to the platform each
+// third of the lease. Harm prevented: talk that grows with the group would take
+// the platform's few hundred writes from claims. Limits: all times follow from
+// LeaseTTL, so that an order is repeated often within a lease and members hear
+// of their leader several times before they take it for gone.
 func (a *Agent) newRanks() (*rank.Runner, error) {
 	s := &a.Settings.Rank
 	first, err := firstMap(s)
@@ -49,10 +49,10 @@
 			Holder: fmt.Sprintf("%s/%d", a.Settings.Name, incarnation),
 		},
 		Initial: first, Limits: planLimits(s),
-		PlanEvery: s.PlanEvery, Memory: s.PlanEvery,
-		Tick: s.Tick, Lookahead: uint64(s.Lookahead),
-		Resend: s.LeaseTime / 25, Refresh: s.LeaseTime / 10, HoldTime: 2 * s.LeaseTime,
-		LeaseTime: s.LeaseTime, CallTimeout: rankCallTimeout, Drain: s.SettleTime,
+		PlanEvery: s.PlanEvery, PopularityWindow: s.PlanEvery,
+		EngineInterval: s.Tick, Lookahead: uint64(s.Lookahead),
+		ResendInterval: s.LeaseTime / 25, RefreshInterval: s.LeaseTime / 10, HoldTime: 2 * s.LeaseTime,
+		LeaseTTL: s.LeaseTime, CallTimeout: rankCallTimeout, StartDelay: s.SettleTime,
 		Connect: a.rankConns.Get,
 		Metrics: a.Registry, Events: a.rankEvent, Log: a.Log,
 	}, nil
@@ -77,13 +77,13 @@
 	if a.ranks == nil {
 		return nil
 	}
-	return &peerpb.RankStatus{Group: a.ranks.Group, MapVersion: a.ranks.InForce(), Leads: a.ranks.Leads()}
+	return &peerpb.RankStatus{Group: a.ranks.Group, MapVersion: a.ranks.VersionInForce(), Leads: a.ranks.Leading()}
 }
 
 // firstMap returns the map that a group begins with: experts in order, spread
 // evenly over the ranks.
 func firstMap(s *settings.Rank) (*expertmap.Map, error) {
-	l, err := expertmap.Contiguous(expertmap.Shape{Ranks: s.Ranks, Slots: s.Slots, Experts: s.Experts})
+	l, err := expertmap.NewContiguousLayer(expertmap.Shape{Ranks: s.Ranks, Slots: s.Slots, Experts: s.Experts})
 	if err != nil {
 		return nil, err
 	}
@@ -96,8 +96,8 @@
 
 func planLimits(s *settings.Rank) expertmap.Limits {
 	return expertmap.Limits{
-		ExpertBytes: int64(s.ExpertBytes), StoreRate: int64(s.StoreRate), StageTime: s.StageTime,
-		Life: s.PlanEvery, Slowdown: loadSlowdown, MinGain: planGain, Goal: planGoal, Tokens: true,
+		ExpertBytes: int64(s.ExpertBytes), StoreBandwidth: int64(s.StoreRate), MaxStagingTime: s.StageTime,
+		MapLifetime: s.PlanEvery, LoadingSlowdown: loadSlowdown, MinGain: planGain, SkewTolerance: planGoal, PoissonLoads: true,
 	}
 }
 
@@ -112,12 +112,12 @@
 // rankEvent puts a change of the group's state into the time line.
 func (a *Agent) rankEvent(e rank.Event) {
 	kinds := map[string]timeline.Kind{
-		rank.EventLead:    timeline.LeaseTaken,
-		rank.EventDeposed: timeline.LeaseLost,
-		rank.EventStaged:  timeline.MapStaged,
-		rank.EventInForce: timeline.MapNamed,
-		rank.EventJoined:  timeline.PeerJoined,
-		rank.EventLost:    timeline.PeerLost,
+		rank.EventLead:     timeline.LeaseTaken,
+		rank.EventDeposed:  timeline.LeaseLost,
+		rank.EventStaged:   timeline.MapStaged,
+		rank.EventInForce:  timeline.MapNamed,
+		rank.EventJoined:   timeline.PeerJoined,
+		rank.EventMapsLost: timeline.PeerLost,
 	}
 	detail := e.Kind + " " + a.Settings.Rank.Group
 	a.ring.Add(kinds[e.Kind], "", a.Settings.EndpointName, detail, e.Number, a.now())
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -97,7 +97,7 @@
 }
 
 // withLoad returns a copy of the end that carries the endpoint's load, so that
-// each answer brings the entry's picture up to date.
+// each answer brings the entry's view up to date.
 func (a *Agent) withLoad(e *peerpb.End) *peerpb.End {
 	return &peerpb.End{
 		Code:             e.GetCode(),
@@ -157,14 +157,14 @@
 		Endpoint:         a.Settings.EndpointName,
 		Incarnation:      a.incarnation,
 		DataCentre:       a.Settings.DataCentre,
-		Allowance:        uint32(s.Bound()),
+		Allowance:        uint32(s.Limit()),
 		Capacity:         uint32(s.Full()),
 		Running:          uint32(s.Running()),
 		CommittedTokens:  uint64(max(0, a.tokens.Load())),
 		Cold:             s.Cold(),
 		Leaving:          a.announced.Load(),
 		ConfigDigest:     peer.ConfigDigest(&a.store),
-		FirstTokenMicros: s.FirstToken().Microseconds(),
+		FirstTokenMicros: s.MedianTTFT().Microseconds(),
 	}
 	if v := a.view.Load(); v != nil {
 		r.Routes = v.names
--- a/internal/caller/admission/holder.go
+++ b/internal/caller/admission/holder.go
@@ -213,7 +213,7 @@
 	}
 	h.Sequence++
 	l.lastNumber, l.sentAt = h.Sequence, now
-	r := ShareReport{Holder: h.Entry, Number: h.Sequence, Echo: l.echo}
+	r := ShareReport{Holder: h.Entry, Sequence: h.Sequence, Echo: l.echo}
 	for name, a := range h.accounts {
 		// lenderOf computes one hash per entry, so it is called only for the
 		// accounts that are included: of 12,000 accounts, only some are in
@@ -263,7 +263,7 @@
 // because only the sending time of that report is known.
 func (h *ShareHolder) Reply(lender string, r ShareReply) {
 	l := h.lenders[lender]
-	if l == nil || r.Number != l.lastNumber {
+	if l == nil || r.Sequence != l.lastNumber {
 		return
 	}
 	l.echo = r.Stamp
--- a/internal/caller/admission/lender.go
+++ b/internal/caller/admission/lender.go
@@ -84,14 +84,14 @@
 		h = &holderState{}
 		l.holders[r.Holder] = h
 	}
-	if r.Number <= h.lastNumber {
+	if r.Sequence <= h.lastNumber {
 		return ShareReply{}, false
 	}
-	h.lastNumber = r.Number
+	h.lastNumber = r.Sequence
 	h.lastReport = now
 	h.depositsUntil = l.depositExpiry(r.Echo)
 	l.recordDemand(r)
-	reply = ShareReply{Number: r.Number, Stamp: l.stamp(now)}
+	reply = ShareReply{Sequence: r.Sequence, Stamp: l.stamp(now)}
 	for _, d := range r.Accounts {
 		if g, ok := l.grant(r.Holder, d.Account, now); ok {
 			reply.Grants = append(reply.Grants, g)
--- a/internal/caller/admission/share.go
+++ b/internal/caller/admission/share.go
@@ -69,9 +69,9 @@
 // ShareReport is sent by a holder to a lender.
 type ShareReport struct {
 	Holder string
-	// Number increases with each report of the holder, including across
+	// Sequence increases with each report of the holder, including across
 	// restarts.
-	Number uint64
+	Sequence uint64
 	// Echo is the newest stamp that the holder has received from this lender;
 	// zero if none.
 	Echo     ShareStamp
@@ -89,8 +89,8 @@
 
 // ShareReply is a lender's reply to a report.
 type ShareReply struct {
-	// Number is the number of the report that the reply answers.
-	Number uint64
+	// Sequence is the number of the report that the reply answers.
+	Sequence uint64
 	// Stamp is the lender's clock reading at the time of the reply.
 	Stamp  ShareStamp
 	Grants []ShareGrant
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -47,10 +47,10 @@
 	Ready() error
 }
 
-// Passer serves requests that are forwarded unchanged. Forward must finish the reply before it
+// Forwarder serves requests that are forwarded unchanged. Forward must finish the reply before it
 // returns. Its ctx is cancelled when the caller disconnects. Forward may keep and modify the header
 // and the body.
-type Passer interface {
+type Forwarder interface {
 	Forward(ctx context.Context, r *Raw, w *Reply)
 }
 
@@ -85,8 +85,8 @@
 	IdleTimeout time.Duration
 	// Handler serves the requests.
 	Handler Handler
-	// Passer, if not nil, serves all requests in place of Handler.
-	Passer Passer
+	// Forwarder, if not nil, serves all requests in place of Handler.
+	Forwarder Forwarder
 	// Now is the clock for Raw.At. Nil selects time.Now.
 	Now func() time.Time
 
@@ -258,7 +258,7 @@
 	}
 	_ = nc.SetReadDeadline(time.Time{})
 	c := v.(*conn)
-	if s.Passer != nil {
+	if s.Forwarder != nil {
 		s.handleRaw(hr, nc, c)
 		return
 	}
@@ -288,7 +288,7 @@
 			w.Fail(result.Of(err))
 			return
 		}
-		s.Passer.Forward(ctx, raw, w)
+		s.Forwarder.Forward(ctx, raw, w)
 	})
 }
 
--- a/internal/endpoint/allowance/allowance.go
+++ b/internal/endpoint/allowance/allowance.go
@@ -10,9 +10,9 @@
 
 // Errors returned by Configure.
 var (
-	ErrColdBound = errors.New("allowance: cold-start concurrency must be at least 1")
-	ErrFullBound = errors.New("allowance: full concurrency must not be below cold-start concurrency")
-	ErrRamp      = errors.New("allowance: completions per ramp step must be at least 1")
+	ErrColdLimit       = errors.New("allowance: cold-start concurrency must be at least 1")
+	ErrFullLimit       = errors.New("allowance: full concurrency must not be below cold-start concurrency")
+	ErrRampCompletions = errors.New("allowance: completions per ramp step must be at least 1")
 )
 
 // Limits are the configured concurrency limits of an endpoint.
@@ -30,11 +30,11 @@
 func (l Limits) validate() error {
 	switch {
 	case l.Cold < 1:
-		return ErrColdBound
+		return ErrColdLimit
 	case l.Full < l.Cold:
-		return ErrFullBound
+		return ErrFullLimit
 	case l.RampCompletions < 1:
-		return ErrRamp
+		return ErrRampCompletions
 	default:
 		return nil
 	}
@@ -47,13 +47,13 @@
 	admittedAt time.Time
 }
 
-// Cause is the reason for which an endpoint is considered cold.
-type Cause int
+// ColdStartCause is the reason for which an endpoint is considered cold.
+type ColdStartCause int
 
 // Causes of a cold start.
 const (
 	// Unknown is the initial cause: nothing is known about the endpoint yet.
-	Unknown Cause = iota
+	Unknown ColdStartCause = iota
 	// Announced means that the endpoint reported it or that a restart was
 	// ordered.
 	Announced
@@ -68,21 +68,21 @@
 )
 
 // String returns the name of the cause in camel case.
-func (c Cause) String() string {
+func (c ColdStartCause) String() string {
 	return [...]string{"unknown", "announced", "connectionLost", "newIncarnation", "slowFirstTokens"}[c]
 }
 
 // State is a snapshot of an Allowance.
 type State struct {
-	bound   int
+	limit   int
 	full    int
 	running int
-	cause   Cause
+	cause   ColdStartCause
 	median  time.Duration
 }
 
-// Bound returns the current concurrency limit.
-func (s State) Bound() int { return s.bound }
+// Limit returns the current concurrency limit.
+func (s State) Limit() int { return s.limit }
 
 // Full returns the concurrency limit of the warm endpoint.
 func (s State) Full() int { return s.full }
@@ -91,13 +91,13 @@
 func (s State) Running() int { return s.running }
 
 // Cold reports whether the limit is still below the full one.
-func (s State) Cold() bool { return s.bound < s.full }
+func (s State) Cold() bool { return s.limit < s.full }
 
 // Cause returns the cause of the latest cold start.
-func (s State) Cause() Cause { return s.cause }
+func (s State) Cause() ColdStartCause { return s.cause }
 
-// FirstToken returns the median time to first token, or zero if it is unknown.
-func (s State) FirstToken() time.Duration { return s.median }
+// MedianTTFT returns the median time to first token, or zero if it is unknown.
+func (s State) MedianTTFT() time.Duration { return s.median }
 
 // Allowance is the concurrency limiter of one endpoint. Its zero value admits
 // nothing until Configure has been called. While it holds mu it takes no other
@@ -109,7 +109,7 @@
 	completions int
 	running     int
 	inherited   inherited
-	cause       Cause
+	cause       ColdStartCause
 	incarnation string
 	// warmSince is when the limit last reached limits.Full.
 	warmSince time.Time
@@ -117,9 +117,9 @@
 	retries   retryScheduler
 }
 
-// Configure sets the limits. It returns ErrColdBound, ErrFullBound or ErrRamp if
-// they are invalid. It keeps the count of completed requests, so a preset switch
-// neither starts nor ends a cold start.
+// Configure sets the limits. It returns ErrColdLimit, ErrFullLimit or
+// ErrRampCompletions if they are invalid. It keeps the count of completed requests,
+// so a preset switch neither starts nor ends a cold start.
 func (a *Allowance) Configure(l Limits) error {
 	if err := l.validate(); err != nil {
 		return err
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// bound returns the current concurrency limit: limits.Cold, plus one for each
+// limit returns the current concurrency limit: limits.Cold, plus one for each
 // limits.RampCompletions requests completed in the present epoch, up to
 // limits.Full. a.mu must be held.
 //
@@ -139,7 +139,7 @@
 // requests show that caches and kernels have warmed up, whereas elapsed time also
 // passes on an idle endpoint. The limit grows by one at a time, so that a step
 // exceeds the endpoint's capacity by at most one request.
-func (a *Allowance) bound() int {
+func (a *Allowance) limit() int {
 	if a.limits.Full == 0 {
 		return 0
 	}
@@ -148,7 +148,7 @@
 
 // Admit reserves a slot for a request. Without a free slot it returns an error
 // with a retry delay: EndpointCold while the limit is below the full one, else
-// EndpointBusy. The slot is held until Completed or Failed is called with the
+// EndpointBusy. The slot is held until Complete or Fail is called with the
 // ticket.
 //
 // Entries that act on outdated load reports can together send more than the
@@ -158,8 +158,8 @@
 func (a *Allowance) Admit(now time.Time) (Ticket, *result.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	bound := a.bound()
-	if a.running+a.inherited.count(now) < bound {
+	limit := a.limit()
+	if a.running+a.inherited.count(now) < limit {
 		if a.running == 0 {
 			a.retries.becameBusy(now)
 		}
@@ -167,38 +167,39 @@
 		return Ticket{epoch: a.epoch, admittedAt: now}, nil
 	}
 	code := result.EndpointBusy
-	if bound < a.limits.Full || bound == 0 {
+	if limit < a.limits.Full || limit == 0 {
 		code = result.EndpointCold
 	}
-	delay := a.retries.retryAfter(bound, now)
-	return Ticket{}, result.Newf(code, "%d of %d running", a.running, bound).WithRetryAfter(delay)
+	delay := a.retries.retryAfter(limit, now)
+	return Ticket{}, result.Newf(code, "%d of %d running", a.running, limit).WithRetryAfter(delay)
 }
 
-// Renew checks a ticket again immediately before its request is sent.
+// Revalidate checks a ticket again immediately before its request is sent.
 //
 // Requests that were admitted to a warm endpoint may still wait for a claim or a
 // connection when it restarts; sent together they would exceed what the cold
 // endpoint can run. A ticket of the present epoch stays valid. An older ticket is
-// renewed only if all running requests fit under the current limit, otherwise
-// Renew returns EndpointCold. A rejected ticket must still be released by Failed.
-func (a *Allowance) Renew(t Ticket, now time.Time) (Ticket, *result.Error) {
+// revalidated only if all running requests fit under the current limit, otherwise
+// Revalidate returns EndpointCold. A rejected ticket must still be released by
+// Fail.
+func (a *Allowance) Revalidate(t Ticket, now time.Time) (Ticket, *result.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	bound := a.bound()
-	if t.epoch == a.epoch || a.running+a.inherited.count(now) <= bound {
+	limit := a.limit()
+	if t.epoch == a.epoch || a.running+a.inherited.count(now) <= limit {
 		return Ticket{epoch: a.epoch, admittedAt: t.admittedAt}, nil
 	}
-	delay := a.retries.retryAfter(bound, now)
+	delay := a.retries.retryAfter(limit, now)
 	return Ticket{}, result.New(result.EndpointCold, "it turned cold before the request was sent").WithRetryAfter(delay)
 }
 
-// FirstToken records the time to first token of a streamed request, and starts a
+// ObserveTTFT records the time to first token of a streamed request, and starts a
 // cold start if the times have risen suddenly. It must not be called for responses
 // that aren't streamed: their first byte arrives after all of the work.
-func (a *Allowance) FirstToken(t Ticket, d time.Duration) {
+func (a *Allowance) ObserveTTFT(t Ticket, d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if t.epoch != a.epoch || a.bound() < a.limits.Full {
+	if t.epoch != a.epoch || a.limit() < a.limits.Full {
 		return
 	}
 	if a.ttft.slow(d) {
@@ -206,25 +207,25 @@
 	}
 }
 
-// Completed releases the slot of a request whose response is complete.
+// Complete releases the slot of a request whose response is complete.
 //
 // A request that was admitted before the present cold start doesn't show that the
 // endpoint is warm, so only requests of the present epoch raise the limit.
-func (a *Allowance) Completed(t Ticket, now time.Time) {
+func (a *Allowance) Complete(t Ticket, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.releaseLocked()
 	a.retries.completed(t.admittedAt, now)
-	if t.epoch == a.epoch && a.bound() < a.limits.Full {
+	if t.epoch == a.epoch && a.limit() < a.limits.Full {
 		a.completions++
-		if a.bound() == a.limits.Full {
+		if a.limit() == a.limits.Full {
 			a.warmSince = now
 		}
 	}
 }
 
-// Failed releases the slot of a request that ended without a complete response.
-func (a *Allowance) Failed(_ Ticket, _ time.Time) {
+// Fail releases the slot of a request that ended without a complete response.
+func (a *Allowance) Fail(_ Ticket, _ time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.releaseLocked()
@@ -236,30 +237,30 @@
 	}
 }
 
-// Restarted resets the limit to the cold one.
+// StartColdStart resets the limit to the cold one.
 //
 // A warm endpoint that turns cold under full load crashes if the load continues.
 // The reset is therefore immediate and complete: a wrong one costs capacity until
 // some dozens of requests have completed, a missing one costs the endpoint.
-func (a *Allowance) Restarted(cause Cause) {
+func (a *Allowance) StartColdStart(cause ColdStartCause) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.resetToColdLocked(cause)
 }
 
-func (a *Allowance) resetToColdLocked(cause Cause) {
+func (a *Allowance) resetToColdLocked(cause ColdStartCause) {
 	a.epoch++
 	a.completions = 0
 	a.cause = cause
 	a.ttft.reset()
 }
 
-// Incarnation records the incarnation that the endpoint named in a load report or
-// a response header. An empty id is ignored. Any change means that the endpoint
+// SetIncarnation records the incarnation that the endpoint named in a load report
+// or a response header. An empty id is ignored. Any change means that the endpoint
 // was replaced or restarted and starts a cold start. As reports lag and may arrive
 // out of order, this includes a change back to an older id, which costs at most an
 // unnecessary cold start.
-func (a *Allowance) Incarnation(id string) {
+func (a *Allowance) SetIncarnation(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if id == "" || id == a.incarnation {
@@ -272,7 +273,7 @@
 	a.incarnation = id
 }
 
-// Reported records whether the endpoint was cold according to a load report that
+// ReportCold records whether the endpoint was cold according to a load report that
 // was made at the given time.
 //
 // Reports lag, and reports from an engine's cold start must not reset its limit
@@ -280,10 +281,10 @@
 // after the limit reached the full one; while the limit grows it adds no
 // information. A report of a warm endpoint never counts, as it may be older than
 // the cold start.
-func (a *Allowance) Reported(cold bool, made time.Time) {
+func (a *Allowance) ReportCold(cold bool, made time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if cold && a.bound() == a.limits.Full && made.After(a.warmSince) {
+	if cold && a.limit() == a.limits.Full && made.After(a.warmSince) {
 		a.resetToColdLocked(Announced)
 	}
 }
@@ -293,7 +294,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return State{
-		bound:   a.bound(),
+		limit:   a.limit(),
 		full:    a.limits.Full,
 		running: a.running,
 		cause:   a.cause,
--- a/internal/endpoint/direct/answer.go
+++ b/internal/endpoint/direct/answer.go
@@ -17,8 +17,8 @@
 	bodyWriteTimeout = 5 * time.Second
 )
 
-// Answer is a response whose header has arrived. Close must be called.
-type Answer struct {
+// Response is a response whose header has arrived. Close must be called.
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the declared length of the body in bytes, or -1 if it is unknown.
@@ -32,33 +32,33 @@
 	stopAbort func() bool
 }
 
-// exchange writes r and reads the header of the response to it, skipping up to
+// exchange writes req and reads the header of the response to it, skipping up to
 // maxStaleResponses responses to earlier requests.
-func (a *Answer) exchange(r *Request) error {
-	a.writer = startWriter(a.conn, r)
-	if a.writer.sent == 0 && a.writer.err != nil {
-		return &NotSentError{cause: a.writer.err}
+func (r *Response) exchange(req *Request) error {
+	r.writer = startWriter(r.conn, req)
+	if r.writer.sent == 0 && r.writer.err != nil {
+		return &NotSentError{cause: r.writer.err}
 	}
 	for range maxStaleResponses + 1 {
-		resp, err := readResponse(a.conn.br, r.Method)
+		resp, err := readResponse(r.conn.br, req.Method)
 		if err != nil {
 			return err
 		}
-		a.resp, a.Status, a.Header, a.Length = resp, resp.StatusCode, resp.Header, resp.ContentLength
-		if r.Mine == nil || r.Mine(resp.Header) {
+		r.resp, r.Status, r.Header, r.Length = resp, resp.StatusCode, resp.Header, resp.ContentLength
+		if req.Matches == nil || req.Matches(resp.Header) {
 			return nil
 		}
 		// An endpoint may respond to a request twice, and the duplicate is read
 		// as the response to the next request. The id in its header shows that;
 		// the right response follows on the same connection.
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			return ErrForeign
+			return ErrMismatchedResponse
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return err
 		}
 	}
-	return ErrForeign
+	return ErrMismatchedResponse
 }
 
 // readResponse reads the header of the next response, skipping informational (1xx)
@@ -73,40 +73,40 @@
 			return resp, nil
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, ErrSpoiled
+			return nil, ErrUnexpectedUpgrade
 		}
 	}
 }
 
 // Read reads the body. It returns io.EOF only if the body is complete.
-func (a *Answer) Read(p []byte) (int, error) {
-	n, err := a.resp.Body.Read(p)
+func (r *Response) Read(p []byte) (int, error) {
+	n, err := r.resp.Body.Read(p)
 	if err == io.EOF {
-		a.complete = true
+		r.complete = true
 	}
 	return n, err
 }
 
-// Whole reports whether the body has been read to its end.
-func (a *Answer) Whole() bool { return a.complete }
+// Complete reports whether the body has been read to its end.
+func (r *Response) Complete() bool { return r.complete }
 
 // Close returns the connection to the pool if the body was read to its end and
 // the connection can be reused, and closes it otherwise.
-func (a *Answer) Close() {
-	active := a.stopAbort()
-	if !active || !a.reusable() {
-		a.closeAfterWrite(active)
+func (r *Response) Close() {
+	active := r.stopAbort()
+	if !active || !r.reusable() {
+		r.closeAfterWrite(active)
 		return
 	}
-	a.conn.used = true
-	a.client.release(a.conn, idleTimeout(a.resp.Header))
+	r.conn.used = true
+	r.client.release(r.conn, idleTimeout(r.resp.Header))
 }
 
 // reusable reports whether the connection can carry another request: request
 // and response are complete, no data follows, and the endpoint doesn't close
 // the connection.
-func (a *Answer) reusable() bool {
-	return a.complete && a.resp != nil && !a.resp.Close && a.conn.br.Buffered() == 0 && a.writer.finished() == nil && hasFraming(a.resp)
+func (r *Response) reusable() bool {
+	return r.complete && r.resp != nil && !r.resp.Close && r.conn.br.Buffered() == 0 && r.writer.finished() == nil && hasFraming(r.resp)
 }
 
 // hasFraming reports whether the end of the body is marked by its length or by
@@ -121,21 +121,21 @@
 // later. It must receive all of the body, so after a complete response the
 // connection is closed only when the body has been written or bodyWriteTimeout
 // has passed. Otherwise the connection is reset at once.
-func (a *Answer) closeAfterWrite(active bool) {
-	if !active || !a.complete {
-		a.conn.abort()
+func (r *Response) closeAfterWrite(active bool) {
+	if !active || !r.complete {
+		r.conn.abort()
 		return
 	}
-	if a.writer.isDone() {
-		_ = a.conn.Conn.Close()
+	if r.writer.isDone() {
+		_ = r.conn.Conn.Close()
 		return
 	}
 	go func() {
 		select {
-		case <-a.writer.done:
+		case <-r.writer.done:
 		case <-time.After(bodyWriteTimeout):
 		}
-		_ = a.conn.Conn.Close()
+		_ = r.conn.Conn.Close()
 	}()
 }
 
--- a/internal/endpoint/direct/client_test.go
+++ b/internal/endpoint/direct/client_test.go
@@ -58,7 +58,7 @@
 func request(id string) *Request {
 	return &Request{
 		Method: http.MethodGet, Target: "/x?y=1", Host: "h", Header: http.Header{"X-Id": {id}},
-		Mine: func(h http.Header) bool { return h.Get("X-Id") == id },
+		Matches: func(h http.Header) bool { return h.Get("X-Id") == id },
 	}
 }
 
@@ -66,12 +66,12 @@
 func get(c *Client, addr, id string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	a, err := c.Do(ctx, addr, request(id))
+	r, err := c.Do(ctx, addr, request(id))
 	if err != nil {
 		return "", err
 	}
-	defer a.Close()
-	b, err := io.ReadAll(a)
+	defer r.Close()
+	b, err := io.ReadAll(r)
 	return string(b), err
 }
 
@@ -117,7 +117,7 @@
 
 // A truncated response without a length is taken for a complete one. Only the way
 // in which the connection ends tells them apart: a reset means truncation.
-func TestAnswerWithoutLength(t *testing.T) {
+func TestResponseWithoutLength(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\n"
 	t.Run("closed, response is complete", func(t *testing.T) {
 		addr := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
@@ -237,23 +237,23 @@
 		}
 		got <- len(b)
 	})
-	r := request("1")
-	r.Method, r.Body = http.MethodPost, []byte(body)
-	a, err := (&Client{}).Do(context.Background(), addr, r)
+	req := request("1")
+	req.Method, req.Body = http.MethodPost, []byte(body)
+	r, err := (&Client{}).Do(context.Background(), addr, req)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadAll(a); err != nil || a.Status != http.StatusRequestEntityTooLarge {
-		t.Fatalf("%d, %v", a.Status, err)
+	if _, err := io.ReadAll(r); err != nil || r.Status != http.StatusRequestEntityTooLarge {
+		t.Fatalf("%d, %v", r.Status, err)
 	}
-	a.Close()
+	r.Close()
 	if n := <-got; n != len(body) {
 		t.Fatalf("%d bytes of %d arrived", n, len(body))
 	}
 }
 
-// The client cancels a request. The endpoint must see the connection close, or it
-// continues to work on a request without a client.
+// The caller cancels a request. The endpoint must see the connection close, or it
+// continues to work on a request without a caller.
 func TestCancelledRequestClosesItsConnection(t *testing.T) {
 	closed := make(chan struct{})
 	addr := serve(t, func(t *testing.T, _ net.Conn, br *bufio.Reader) {
@@ -274,7 +274,7 @@
 
 func TestEvents(t *testing.T) {
 	read := func(text string) (ids []int64, err error) {
-		e := NewEvents(oneByte{strings.NewReader(text)})
+		e := NewEventReader(oneByte{strings.NewReader(text)})
 		for {
 			ev, err := e.Next()
 			if err != nil {
@@ -291,7 +291,7 @@
 	})
 	t.Run("torn", func(t *testing.T) {
 		ids, err := read("id: 1\ndata: a\n\nid: 2\nda")
-		if !errors.Is(err, ErrTorn) || fmt.Sprint(ids) != "[1]" {
+		if !errors.Is(err, ErrPartialEvent) || fmt.Sprint(ids) != "[1]" {
 			t.Fatalf("%v, %v", ids, err)
 		}
 	})
--- a/internal/endpoint/placement/attempt.go
+++ b/internal/endpoint/placement/attempt.go
@@ -49,19 +49,19 @@
 	a.prev, a.next = nil, nil
 }
 
-// Started records that an attempt was placed on the selected endpoint. Its load
+// Start records that an attempt was placed on the selected endpoint. Its load
 // counts from now until it ends, independent of reports. Started returns nil if
 // the endpoint was removed after it was selected.
-func (p *Picture) Started(c Choice, q Query, now time.Time) *Attempt {
-	e := p.endpoints[c.Endpoint]
+func (b *Balancer) Start(c Choice, q Query, now time.Time) *Attempt {
+	e := b.endpoints[c.Endpoint]
 	if e == nil {
 		return nil
 	}
 	a := &Attempt{
 		endpoint: e, incarnation: e.incarnation, tokens: max(0, q.Tokens),
-		started: now, lastProgress: now, route: p.routes[q.Route],
+		started: now, lastProgress: now, route: b.routes[q.Route],
 	}
-	p.observeTokens(a.tokens)
+	b.observeTokens(a.tokens)
 	e.attempts.add(a)
 	e.addOwnLoad(1, a.tokens, now)
 	return a
@@ -75,14 +75,14 @@
 	e.history.add(now, e.ownStreams, e.ownTokens)
 }
 
-// Piece records that a part of the response has arrived. It does nothing if a
+// Progress records that a part of the response has arrived. It does nothing if a
 // is nil or has ended.
-func (p *Picture) Piece(a *Attempt, now time.Time) {
+func (b *Balancer) Progress(a *Attempt, now time.Time) {
 	if a == nil || a.ended {
 		return
 	}
 	e := a.endpoint
-	p.Accepted(a)
+	b.Accept(a)
 	if !a.responded {
 		a.responded = true
 		e.consecutiveFailures = 0
@@ -93,9 +93,9 @@
 	e.attempts.add(a)
 }
 
-// Ended removes the load of the attempt from its endpoint. It does nothing if a
+// End removes the load of the attempt from its endpoint. It does nothing if a
 // is nil or has ended.
-func (p *Picture) Ended(a *Attempt, now time.Time) {
+func (b *Balancer) End(a *Attempt, now time.Time) {
 	if a == nil || a.ended {
 		return
 	}
@@ -104,7 +104,7 @@
 	a.endpoint.addOwnLoad(-1, -a.tokens, now)
 }
 
-// Refused records that the agent refused the attempt without running it, and
+// Refuse records that the agent refused the attempt without running it, and
 // ends the attempt. The endpoint then counts as full until a report from after
 // the refusal shows free capacity or an attempt of this entry ends there. As
 // reports may be seconds old, one attempt may also be placed after a backoff:
@@ -114,11 +114,11 @@
 // At saturation each entry has queued requests and tries each free slot that an
 // outdated report shows. Without the backoff agents would spend most of their
 // work on refusals.
-func (p *Picture) Refused(a *Attempt, retryAfter time.Duration, now time.Time) {
+func (b *Balancer) Refuse(a *Attempt, retryAfter time.Duration, now time.Time) {
 	if a == nil || a.ended {
 		return
 	}
-	p.Ended(a, now)
+	b.End(a, now)
 	e := a.endpoint
 	backoff := min(max(retryAfter, minBackoff<<min(e.consecutiveRefusals, 10)), maxBackoff)
 	if !a.started.Before(e.lastRefusal) {
@@ -129,7 +129,7 @@
 	e.otherStreams = max(e.otherStreams, float64(e.allowance-e.ownStreams))
 }
 
-// Failed records that the endpoint failed the attempt, and ends the attempt.
+// Fail records that the endpoint failed the attempt, and ends the attempt.
 // The endpoint is ejected (not selected) for a time that doubles with each
 // consecutive failure.
 //
@@ -141,11 +141,11 @@
 // Attempts that started before the last failure are ignored, because an engine
 // that restarts breaks all its streams at once. Without this rule, six
 // broken streams ejected an engine for 8 s that was back immediately.
-func (p *Picture) Failed(a *Attempt, now time.Time) {
+func (b *Balancer) Fail(a *Attempt, now time.Time) {
 	if a == nil || a.ended {
 		return
 	}
-	p.Ended(a, now)
+	b.End(a, now)
 	e := a.endpoint
 	if a.incarnation != e.incarnation || a.started.Before(e.lastFailure) {
 		return
@@ -163,16 +163,16 @@
 	maxEjectionDoublings = 6
 )
 
-// Accepted records that the agent accepted the attempt. It does nothing if a is
+// Accept records that the agent accepted the attempt. It does nothing if a is
 // nil.
-func (p *Picture) Accepted(a *Attempt) {
+func (b *Balancer) Accept(a *Attempt) {
 	if a != nil && a.incarnation == a.endpoint.incarnation {
 		a.endpoint.consecutiveRefusals = 0
 	}
 }
 
 // Bounds of the backoff after a refusal. A new report usually arrives before
-// minBackoff has passed; maxBackoff is a delay that clients hardly notice.
+// minBackoff has passed; maxBackoff is a delay that callers hardly notice.
 const (
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = time.Second
--- a/internal/endpoint/placement/picture.go
+++ b/internal/endpoint/placement/picture.go
@@ -7,19 +7,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Default values of the fields of Picture.
+// Default values of the fields of Balancer.
 const (
-	DefaultStaleAfter  = 5 * time.Second
-	DefaultSlowStart   = 10 * time.Second
-	DefaultProbeEvery  = 2 * time.Second
-	DefaultDraws       = 4
-	DefaultSpill       = 0.15
-	DefaultAffineBound = 1.25
+	DefaultStaleAfter    = 5 * time.Second
+	DefaultSlowStart     = 10 * time.Second
+	DefaultProbeInterval = 2 * time.Second
+	DefaultSamples       = 4
+	DefaultRemotePenalty = 0.15
+	DefaultAffinityBound = 1.25
 )
 
-// Picture is one entry's view of its endpoints. The exported fields must be set
-// before the first call; zero values select the defaults.
-type Picture struct {
+// Balancer is one entry's view of its endpoints. The exported fields must be
+// set before the first call; zero values select the defaults.
+type Balancer struct {
 	// DataCentre is the data centre of the entry.
 	DataCentre string
 	// Entries is the number of entries that send requests to the same
@@ -35,20 +35,20 @@
 	// SlowStart is the time over which the load of an endpoint that becomes
 	// available is ramped up.
 	SlowStart time.Duration
-	// ProbeEvery is the interval between probes of a slow endpoint without
+	// ProbeInterval is the interval between probes of a slow endpoint without
 	// load.
-	ProbeEvery time.Duration
-	// Draws is the number of random endpoints that are compared for each
+	ProbeInterval time.Duration
+	// Samples is the number of random endpoints that are compared for each
 	// choice.
-	Draws int
-	// Spill is the penalty on endpoints of other data centres: the difference
-	// in load, as a fraction of the capacity of an endpoint, from which a
-	// request goes to another data centre.
-	Spill float64
-	// AffineBound is the bound on the load score of the endpoint that keeps a
+	Samples int
+	// RemotePenalty is the penalty on endpoints of other data centres: the
+	// difference in load, as a fraction of the capacity of an endpoint, from
+	// which a request goes to another data centre.
+	RemotePenalty float64
+	// AffinityBound is the bound on the load score of the endpoint that keeps a
 	// prefix, as a factor of the mean. A lower value disperses the cached
 	// prefixes, a higher one overloads single endpoints with popular prefixes.
-	AffineBound float64
+	AffinityBound float64
 
 	endpoints      map[string]*endpoint
 	routes         map[string]*route
@@ -58,36 +58,36 @@
 	meanTokens     float64
 }
 
-func (p *Picture) init() {
-	if p.endpoints != nil {
+func (b *Balancer) init() {
+	if b.endpoints != nil {
 		return
 	}
-	p.endpoints = make(map[string]*endpoint)
-	p.routes = make(map[string]*route)
-	p.outEndpoints = make(map[string]bool)
-	p.outDataCentres = make(map[string]bool)
-	p.rngState = mix64(p.Seed + 1)
-	p.meanTokens = initialMeanTokens
-	if p.Entries <= 0 {
-		p.Entries = 1
+	b.endpoints = make(map[string]*endpoint)
+	b.routes = make(map[string]*route)
+	b.outEndpoints = make(map[string]bool)
+	b.outDataCentres = make(map[string]bool)
+	b.rngState = mix64(b.Seed + 1)
+	b.meanTokens = initialMeanTokens
+	if b.Entries <= 0 {
+		b.Entries = 1
 	}
-	if p.StaleAfter <= 0 {
-		p.StaleAfter = DefaultStaleAfter
+	if b.StaleAfter <= 0 {
+		b.StaleAfter = DefaultStaleAfter
 	}
-	if p.SlowStart <= 0 {
-		p.SlowStart = DefaultSlowStart
+	if b.SlowStart <= 0 {
+		b.SlowStart = DefaultSlowStart
 	}
-	if p.ProbeEvery <= 0 {
-		p.ProbeEvery = DefaultProbeEvery
+	if b.ProbeInterval <= 0 {
+		b.ProbeInterval = DefaultProbeInterval
 	}
-	if p.Draws <= 0 {
-		p.Draws = DefaultDraws
+	if b.Samples <= 0 {
+		b.Samples = DefaultSamples
 	}
-	if p.Spill <= 0 {
-		p.Spill = DefaultSpill
+	if b.RemotePenalty <= 0 {
+		b.RemotePenalty = DefaultRemotePenalty
 	}
-	if p.AffineBound <= 0 {
-		p.AffineBound = DefaultAffineBound
+	if b.AffinityBound <= 0 {
+		b.AffinityBound = DefaultAffinityBound
 	}
 }
 
@@ -97,55 +97,55 @@
 
 // Update applies a report. It returns false if it ignored the report because it
 // names no endpoint or is older than a previous one.
-func (p *Picture) Update(r Report, now time.Time) bool {
-	p.init()
+func (b *Balancer) Update(r Report, now time.Time) bool {
+	b.init()
 	if r.Endpoint == "" {
 		return false
 	}
-	e := p.endpoints[r.Endpoint]
+	e := b.endpoints[r.Endpoint]
 	if e == nil {
 		e = &endpoint{name: r.Endpoint, hash: xxhash.Sum64String(r.Endpoint), availableSince: now}
-		p.endpoints[r.Endpoint] = e
+		b.endpoints[r.Endpoint] = e
 	}
 	if r.Incarnation < e.incarnation {
 		return false
 	}
 	if r.Incarnation > e.incarnation {
 		e.reset(r.Incarnation, now)
-	} else if !r.At.IsZero() && r.At.Before(e.reportedAt) {
+	} else if !r.ValidAt.IsZero() && r.ValidAt.Before(e.reportedAt) {
 		return false
 	}
 	wasUnavailable := e.unavailable()
-	e.applyReport(r, p.DataCentre)
-	e.configuredOut = p.outEndpoints[r.Endpoint] || p.outDataCentres[r.DataCentre]
+	e.applyReport(r, b.DataCentre)
+	e.configuredOut = b.outEndpoints[r.Endpoint] || b.outDataCentres[r.DataCentre]
 	if wasUnavailable && !e.unavailable() {
 		e.availableSince = now
 	}
-	p.setRoutes(e, r.Routes)
+	b.setRoutes(e, r.Routes)
 	return true
 }
 
 // Remove removes an endpoint whose VM has gone. Open attempts on it may still
 // be ended afterwards.
-func (p *Picture) Remove(name string) {
-	p.init()
-	e := p.endpoints[name]
+func (b *Balancer) Remove(name string) {
+	b.init()
+	e := b.endpoints[name]
 	if e == nil {
 		return
 	}
-	delete(p.endpoints, name)
-	p.setRoutes(e, nil)
+	delete(b.endpoints, name)
+	b.setRoutes(e, nil)
 }
 
-// SetOut sets the endpoints and the data centres that operators have taken out
-// of service. The lists replace those of earlier calls.
-func (p *Picture) SetOut(endpoints, dataCentres []string, now time.Time) {
-	p.init()
-	p.outEndpoints = toSet(endpoints)
-	p.outDataCentres = toSet(dataCentres)
-	for _, e := range p.endpoints {
+// SetOutOfService sets the endpoints and the data centres that operators have
+// taken out of service. The lists replace those of earlier calls.
+func (b *Balancer) SetOutOfService(endpoints, dataCentres []string, now time.Time) {
+	b.init()
+	b.outEndpoints = toSet(endpoints)
+	b.outDataCentres = toSet(dataCentres)
+	for _, e := range b.endpoints {
 		wasUnavailable := e.unavailable()
-		e.configuredOut = p.outEndpoints[e.name] || p.outDataCentres[e.dataCentre]
+		e.configuredOut = b.outEndpoints[e.name] || b.outDataCentres[e.dataCentre]
 		if wasUnavailable && !e.unavailable() {
 			e.availableSince = now
 		}
@@ -161,19 +161,19 @@
 }
 
 // setRoutes makes e serve exactly the given routes.
-func (p *Picture) setRoutes(e *endpoint, routes []string) {
+func (b *Balancer) setRoutes(e *endpoint, routes []string) {
 	if equal(e.routes, routes) {
 		return
 	}
 	for _, name := range e.routes {
-		p.routes[name].remove(e)
+		b.routes[name].remove(e)
 	}
 	e.routes = append([]string(nil), routes...)
 	for _, name := range e.routes {
-		s := p.routes[name]
+		s := b.routes[name]
 		if s == nil {
 			s = &route{}
-			p.routes[name] = s
+			b.routes[name] = s
 		}
 		s.add(e)
 	}
@@ -192,22 +192,22 @@
 }
 
 // Len returns the number of known endpoints.
-func (p *Picture) Len() int { return len(p.endpoints) }
+func (b *Balancer) Len() int { return len(b.endpoints) }
 
 // Load returns the estimated number of streams on the endpoint, and whether the
 // endpoint is known and its report is recent.
-func (p *Picture) Load(name string, now time.Time) (float64, bool) {
-	e := p.endpoints[name]
+func (b *Balancer) Load(name string, now time.Time) (float64, bool) {
+	e := b.endpoints[name]
 	if e == nil {
 		return 0, false
 	}
-	return e.streams(), e.hasRecentReport(now, p.StaleAfter)
+	return e.streams(), e.hasRecentReport(now, b.StaleAfter)
 }
 
 // nextRandom returns a pseudo-random number (SplitMix64).
-func (p *Picture) nextRandom() uint64 {
-	p.rngState += 0x9e3779b97f4a7c15
-	return mix64(p.rngState)
+func (b *Balancer) nextRandom() uint64 {
+	b.rngState += 0x9e3779b97f4a7c15
+	return mix64(b.rngState)
 }
 
 // mix64 is the output function of SplitMix64. It is also used to hash integers.
@@ -218,7 +218,7 @@
 }
 
 // observeTokens updates the moving average of the number of tokens per request.
-func (p *Picture) observeTokens(n int) {
+func (b *Balancer) observeTokens(n int) {
 	const step = 0.01
-	p.meanTokens += step * (math.Max(1, float64(n)) - p.meanTokens)
+	b.meanTokens += step * (math.Max(1, float64(n)) - b.meanTokens)
 }
--- a/internal/endpoint/placement/report.go
+++ b/internal/endpoint/placement/report.go
@@ -22,14 +22,14 @@
 	// Running and CommittedTokens are the load from all entries.
 	Running         int
 	CommittedTokens uint64
-	// Cold, Leaving and Out report that the endpoint is in cold start, is
-	// draining before it leaves, or has been taken out of service.
-	Cold    bool
-	Leaving bool
-	Out     bool
-	// At is the time at which the report was valid, by the clock of the entry.
-	// If it is zero, the load of the endpoint counts as unknown.
-	At time.Time
+	// Cold, Draining and OutOfService report that the endpoint is in cold start,
+	// is draining before it leaves, or has been taken out of service.
+	Cold         bool
+	Draining     bool
+	OutOfService bool
+	// ValidAt is the time at which the report was valid, by the clock of the
+	// entry. If it is zero, the load of the endpoint counts as unknown.
+	ValidAt time.Time
 }
 
 // Query describes the attempt for which an endpoint is to be selected.
@@ -51,10 +51,11 @@
 	Endpoint    string
 	Incarnation uint64
 	DataCentre  string
-	// Affine means that the endpoint was selected for the prefix of the prompt,
-	// and Probe that it is slow and was selected to see if it has recovered.
-	Affine bool
-	Probe  bool
+	// ByAffinity means that the endpoint was selected for the prefix of the
+	// prompt, and Probe that it is slow and was selected to see if it has
+	// recovered.
+	ByAffinity bool
+	Probe      bool
 }
 
 // rejectionCodes are the reasons that no endpoint can be selected, ordered by
@@ -71,7 +72,7 @@
 const (
 	noEndpoint = iota
 	outOfService
-	leaving
+	draining
 	cold
 	busy
 	eligible
--- a/internal/endpoint/ranks_test.go
+++ b/internal/endpoint/ranks_test.go
@@ -25,7 +25,7 @@
 	d := direct.Engine(0)
 	ctx := testContext(t)
 	m := smallMap(t)
-	entry := naming.Entry{From: 3, Map: naming.RefOf(m)}
+	entry := naming.ScheduleEntry{FirstStep: 3, Map: naming.RefOf(m)}
 
 	requireCode(t, r.Activate(ctx, entry, true, 1), result.MapMissing)
 	for range 2 {
@@ -56,7 +56,7 @@
 
 func smallMap(t *testing.T) *expertmap.Map {
 	t.Helper()
-	l, err := expertmap.Contiguous(expertmap.Shape{Ranks: 2, Slots: 3, Experts: 4})
+	l, err := expertmap.NewContiguousLayer(expertmap.Shape{Ranks: 2, Slots: 3, Experts: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/entry/retry_test.go
+++ b/internal/entry/retry_test.go
@@ -66,7 +66,7 @@
 	t.Helper()
 	s := &scheduler{}
 	s.init()
-	s.picture.DataCentre = "a"
+	s.balancer.DataCentre = "a"
 	s.admission.MaxWaiting = 100
 	s.budget.Percent = percent
 	if err := s.admission.Configure([]admission.Limits{{Account: "clinic"}}, epoch); err != nil {
@@ -78,7 +78,7 @@
 func (s *scheduler) hear(name string, allowed int, now time.Time) {
 	s.report(placement.Report{
 		Endpoint: name, Incarnation: 1, DataCentre: "a", Routes: []string{"small"},
-		Allowance: allowed, Capacity: allowed, At: now,
+		Allowance: allowed, Capacity: allowed, ValidAt: now,
 	}, now)
 }
 
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -129,11 +129,11 @@
 	f.build()
 	f.callerServer = &caller.Server{
 		Addr: s.CallerAddress.String(), BodyLimit: maxBodyBytes, MaxConns: maxConns,
-		ReadTimeout: readTimeout, IdleTimeout: idleTimeout, Passer: f.relay, Now: boottime.Now,
+		ReadTimeout: readTimeout, IdleTimeout: idleTimeout, Forwarder: f.relay, Now: boottime.Now,
 	}
 	f.readyServer = &caller.Server{
 		Addr: s.ReadyAddress.String(), BodyLimit: maxBodyBytes, MaxConns: maxConns,
-		ReadTimeout: readTimeout, IdleTimeout: idleTimeout, Passer: readiness{f},
+		ReadTimeout: readTimeout, IdleTimeout: idleTimeout, Forwarder: readiness{f},
 	}
 	f.peerConns = &peer.Conns{}
 	f.peerServer = &peer.Server{Addr: s.PeerAddress.String(), Register: func(g grpc.ServiceRegistrar) {
@@ -188,7 +188,7 @@
 	f.documentSender.Pacer = &document.Pacer{BytesPerSecond: documentBandwidthShare * s.LineRate}
 	f.mirror.Peer = f.followPeer
 	f.relay = &relay.Relay{
-		State: f.state, Client: &direct.Client{}, HeaderCodec: platform.Dialect{},
+		State: f.state, Client: &direct.Client{}, HeaderCodec: platform.HeaderCodec{},
 		Now: boottime.Now, Log: f.Log.Logger,
 		Metrics: relay.NewMetrics(f.Registry),
 	}
@@ -229,7 +229,7 @@
 // readiness answers the check whether the process accepts connections.
 type readiness struct{ frontend *Frontend }
 
-// Forward implements caller.Passer.
+// Forward implements caller.Forwarder.
 func (r readiness) Forward(_ context.Context, raw *caller.Raw, w *caller.Reply) {
 	status := http.StatusServiceUnavailable
 	switch {
--- a/internal/rank/counts.go
+++ b/internal/rank/counts.go
@@ -21,9 +21,9 @@
 	// skewPlanned is the skew with the latest plan and skewBefore the skew
 	// without it.
 	skewPlanned, skewBefore metrics.GaugeFloat64
-	// grantedStep is the last step that the ranks may begin, and begunStep the
+	// stepLimit is the last step that the ranks may begin, and lastStep the
 	// last that they have begun.
-	grantedStep, begunStep metrics.Gauge
+	stepLimit, lastStep metrics.Gauge
 }
 
 func newRunnerMetrics(r metrics.Registry) runnerMetrics {
@@ -42,7 +42,7 @@
 		mapVersion:     metrics.GetOrRegisterGauge("rank.version", r),
 		skewPlanned:    metrics.GetOrRegisterGaugeFloat64("rank.skewPlanned", r),
 		skewBefore:     metrics.GetOrRegisterGaugeFloat64("rank.skewBefore", r),
-		grantedStep:    metrics.GetOrRegisterGauge("rank.granted", r),
-		begunStep:      metrics.GetOrRegisterGauge("rank.begun", r),
+		stepLimit:      metrics.GetOrRegisterGauge("rank.granted", r),
+		lastStep:       metrics.GetOrRegisterGauge("rank.begun", r),
 	}
 }
--- a/internal/rank/evenmap/placement.go
+++ b/internal/rank/evenmap/placement.go
@@ -6,8 +6,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrPlacement is returned for lists that do not form a valid placement.
-var ErrPlacement = eris.New("evenmap: lists do not form a valid placement")
+// ErrInvalidPlacement is returned for lists that do not form a valid placement.
+var ErrInvalidPlacement = eris.New("evenmap: lists do not form a valid placement")
 
 // Shape holds the dimensions of a placement.
 type Shape struct {
@@ -24,27 +24,27 @@
 }
 
 // NewPlacement returns the placement in which rank r holds the experts
-// ranks[r]. It returns ErrPlacement unless each expert is held, no rank holds
-// an expert twice and none holds more experts than it has slots.
+// ranks[r]. It returns ErrInvalidPlacement unless each expert is held, no rank
+// holds an expert twice and none holds more experts than it has slots.
 func NewPlacement(shape Shape, ranks [][]int) (*Placement, error) {
 	if len(ranks) != shape.Ranks {
-		return nil, eris.Wrapf(ErrPlacement, "%d lists of experts for %d ranks", len(ranks), shape.Ranks)
+		return nil, eris.Wrapf(ErrInvalidPlacement, "%d lists of experts for %d ranks", len(ranks), shape.Ranks)
 	}
 	p := &Placement{shape: shape, ranks: make([][]int, shape.Ranks), holders: make([][]int, shape.Experts)}
 	for r, experts := range ranks {
 		if len(experts) > shape.Slots {
-			return nil, eris.Wrapf(ErrPlacement, "rank %d holds %d experts, more than its slots", r, len(experts))
+			return nil, eris.Wrapf(ErrInvalidPlacement, "rank %d holds %d experts, more than its slots", r, len(experts))
 		}
 		for _, e := range experts {
 			if e < 0 || e >= shape.Experts || slices.Contains(p.ranks[r], e) {
-				return nil, eris.Wrapf(ErrPlacement, "rank %d lists the unknown or repeated expert %d", r, e)
+				return nil, eris.Wrapf(ErrInvalidPlacement, "rank %d lists the unknown or repeated expert %d", r, e)
 			}
 			p.add(e, r)
 		}
 	}
 	for e, hs := range p.holders {
 		if len(hs) == 0 {
-			return nil, eris.Wrapf(ErrPlacement, "no rank holds expert %d", e)
+			return nil, eris.Wrapf(ErrInvalidPlacement, "no rank holds expert %d", e)
 		}
 	}
 	return p, nil
--- a/internal/rank/expertmap/improve.go
+++ b/internal/rank/expertmap/improve.go
@@ -32,10 +32,10 @@
 
 // Improvement is the result of Improve.
 type Improvement struct {
-	layer        *Layer
-	moves        int
-	before, kept float64
-	after        float64
+	layer                        *Layer
+	moves                        int
+	skewBefore, skewWithoutMoves float64
+	skewAfter                    float64
 }
 
 // Layer returns the improved layer.
@@ -44,41 +44,42 @@
 // Moves returns the number of replicas that ranks have to load.
 func (i *Improvement) Moves() int { return i.moves }
 
-// Before returns the expected skew of the original layer.
-func (i *Improvement) Before() float64 { return i.before }
+// SkewBefore returns the expected skew of the original layer.
+func (i *Improvement) SkewBefore() float64 { return i.skewBefore }
 
-// Kept returns the expected skew with the original placement and new shares.
-func (i *Improvement) Kept() float64 { return i.kept }
+// SkewWithoutMoves returns the expected skew with the original placement and
+// new shares.
+func (i *Improvement) SkewWithoutMoves() float64 { return i.skewWithoutMoves }
 
-// After returns the expected skew of the improved layer.
-func (i *Improvement) After() float64 { return i.after }
+// SkewAfter returns the expected skew of the improved layer.
+func (i *Improvement) SkewAfter() float64 { return i.skewAfter }
 
-// checkLoads returns ErrObservation if load does not have one finite,
+// checkLoads returns ErrInvalidLoad if load does not have one finite,
 // non-negative value for each expert.
 func checkLoads(shape Shape, load []float64) error {
 	if len(load) != shape.Experts {
-		return eris.Wrapf(ErrObservation, "%d loads for %d experts", len(load), shape.Experts)
+		return eris.Wrapf(ErrInvalidLoad, "%d loads for %d experts", len(load), shape.Experts)
 	}
 	return checkValues(load)
 }
 
-// Improve optimizes the shares of l for the given loads and risk and then moves
-// replicas, at most maxMoves, as long as it pays: cost is the reduction of the
-// expected skew that each move has to bring. Moves are applied one after the
-// other, and Improve returns the layer after the number of moves with the
+// Improve optimizes the shares of l for the given loads and variance and then
+// moves replicas, at most maxMoves, as long as it pays: cost is the reduction
+// of the expected skew that each move has to bring. Moves are applied one after
+// the other, and Improve returns the layer after the number of moves with the
 // lowest sum of expected skew and cost, so a move that pays only together with
 // later ones is not missed. The search ends early when the expected skew is at
-// most goal above the lower bound. Improve returns ErrObservation if load does
-// not match the layer or has a value that is negative or not finite.
-func Improve(l *Layer, load []float64, risk Risk, maxMoves int, cost, goal float64) (*Improvement, error) {
+// most skewTolerance above the lower bound. Improve returns ErrInvalidLoad if
+// load does not match the layer or has a value that is negative or not finite.
+func Improve(l *Layer, load []float64, variance LoadVariance, maxMoves int, cost, skewTolerance float64) (*Improvement, error) {
 	if err := checkLoads(l.shape, load); err != nil {
 		return nil, err
 	}
-	p := placementOf(l, load, risk)
-	imp := &Improvement{before: p.expectedSkew()}
+	p := placementOf(l, load, variance)
+	imp := &Improvement{skewBefore: p.expectedSkew()}
 	p.balance(maxSweeps, balanceTolerance)
-	imp.layer, imp.kept, imp.after = p.buildLayer(), p.expectedSkew(), p.expectedSkew()
-	target := LowerBound(load, l.shape) + goal
+	imp.layer, imp.skewWithoutMoves, imp.skewAfter = p.buildLayer(), p.expectedSkew(), p.expectedSkew()
+	target := LowerBound(load, l.shape) + skewTolerance
 	best, nonImproving := p.expectedSkew(), 0
 	for n := 1; n <= maxMoves && nonImproving < patience && p.expectedSkew() > target; n++ {
 		if !p.applyBestMove() {
@@ -87,7 +88,7 @@
 		nonImproving++
 		if objective := p.expectedSkew() + cost*float64(n); objective < best {
 			best, nonImproving = objective, 0
-			imp.layer, imp.after = p.buildLayer(), p.expectedSkew()
+			imp.layer, imp.skewAfter = p.buildLayer(), p.expectedSkew()
 		}
 	}
 	imp.moves = imp.layer.Moves(l)
--- a/internal/rank/expertmap/input_test.go
+++ b/internal/rank/expertmap/input_test.go
@@ -24,13 +24,13 @@
 		slots []Slot
 		want  error
 	}{
-		{"more experts than slots", Shape{1, 1, 2}, nil, ErrShape},
-		{"no ranks", Shape{0, 1, 1}, nil, ErrShape},
-		{"too few slots", shape, []Slot{full}, ErrLayer},
-		{"expert without replica", shape, []Slot{full, empty, empty, empty}, ErrLayer},
-		{"two replicas of an expert on a rank", shape, []Slot{{0, 1}, {0, ShareUnits - 1}, {1, ShareUnits}, empty}, ErrLayer},
-		{"shares do not add up", shape, []Slot{{0, 1}, {1, ShareUnits}, empty, empty}, ErrLayer},
-		{"expert out of range", shape, []Slot{full, {2, ShareUnits}, {1, ShareUnits}, empty}, ErrLayer},
+		{"more experts than slots", Shape{1, 1, 2}, nil, ErrInvalidShape},
+		{"no ranks", Shape{0, 1, 1}, nil, ErrInvalidShape},
+		{"too few slots", shape, []Slot{full}, ErrInvalidLayer},
+		{"expert without replica", shape, []Slot{full, empty, empty, empty}, ErrInvalidLayer},
+		{"two replicas of an expert on a rank", shape, []Slot{{0, 1}, {0, ShareUnits - 1}, {1, ShareUnits}, empty}, ErrInvalidLayer},
+		{"shares do not add up", shape, []Slot{{0, 1}, {1, ShareUnits}, empty, empty}, ErrInvalidLayer},
+		{"expert out of range", shape, []Slot{full, {2, ShareUnits}, {1, ShareUnits}, empty}, ErrInvalidLayer},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := NewLayer(c.shape, c.slots)
@@ -42,27 +42,27 @@
 func TestInvalidLoadsAreRejected(t *testing.T) {
 	shape := Shape{Ranks: 2, Slots: 2, Experts: 2}
 	for _, load := range [][]float64{{1}, {1, -1}, {1, math.NaN()}, {1, math.Inf(1)}} {
-		_, err := Solve(shape, load, Risk{})
-		assertError(t, err, ErrObservation)
-		err = NewPopularity(1, 2, 0).Observe(0, load, time.Unix(1, 0))
-		assertError(t, err, ErrObservation)
+		_, err := Solve(shape, load, LoadVariance{})
+		assertError(t, err, ErrInvalidLoad)
+		err = NewPopularityEstimator(1, 2, 0).Observe(0, load, time.Unix(1, 0))
+		assertError(t, err, ErrInvalidLoad)
 	}
 }
 
 func TestImproveWithZeroLoad(t *testing.T) {
 	shape := Shape{Ranks: 2, Slots: 2, Experts: 3}
-	imp, err := Improve(mustSolve(t, shape, make([]float64, 3)), make([]float64, 3), Risk{Draw: true}, 4, 0, 0)
+	imp, err := Improve(mustSolve(t, shape, make([]float64, 3)), make([]float64, 3), LoadVariance{Poisson: true}, 4, 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	assertNear(t, imp.After(), 1, 0)
+	assertNear(t, imp.SkewAfter(), 1, 0)
 	if imp.Moves() != 0 {
 		t.Errorf("%d moves for zero load", imp.Moves())
 	}
 }
 
 func TestPopularityDecay(t *testing.T) {
-	p := NewPopularity(1, 1, time.Minute)
+	p := NewPopularityEstimator(1, 1, time.Minute)
 	at := time.Unix(100, 0)
 	for _, c := range []struct {
 		after time.Duration
@@ -88,11 +88,11 @@
 // not planned, and a plan with too small a gain leaves the map unchanged.
 func TestPlanRespectsLimits(t *testing.T) {
 	shape := Shape{Ranks: 4, Slots: 3, Experts: 8}
-	cheap := Limits{ExpertBytes: 1, StoreRate: 100, StageTime: time.Second, Life: time.Hour, Slowdown: 0.1}
+	cheap := Limits{ExpertBytes: 1, StoreBandwidth: 100, MaxStagingTime: time.Second, MapLifetime: time.Hour, LoadingSlowdown: 0.1}
 	costly := cheap
-	costly.ExpertBytes, costly.StageTime, costly.Life = 100, 100*time.Second, 10*time.Millisecond
-	noStageTime := cheap
-	noStageTime.StageTime = 0
+	costly.ExpertBytes, costly.MaxStagingTime, costly.MapLifetime = 100, 100*time.Second, 10*time.Millisecond
+	noStagingTime := cheap
+	noStagingTime.MaxStagingTime = 0
 	highMinGain := cheap
 	highMinGain.MinGain = 10
 	for _, c := range []struct {
@@ -103,7 +103,7 @@
 	}{
 		{"moves are worth their cost", cheap, true, true},
 		{"moves cost too much", costly, false, true},
-		{"no time to load weights", noStageTime, false, true},
+		{"no time to load weights", noStagingTime, false, true},
 		{"gain below minimum", highMinGain, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -114,7 +114,7 @@
 			if got := plan.Next().Version() == 2; got != c.changed {
 				t.Errorf("version %d", plan.Next().Version())
 			}
-			assertAtMost(t, plan.After(), plan.Before())
+			assertAtMost(t, plan.SkewAfter(), plan.SkewBefore())
 		})
 	}
 }
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	load[shape.Experts-1] = 20
-	pop := NewPopularity(1, shape.Experts, 0)
+	pop := NewPopularityEstimator(1, shape.Experts, 0)
 	if err := pop.Observe(0, load, time.Unix(1, 0)); err != nil {
 		t.Fatal(err)
 	}
@@ -148,8 +148,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = NewPlan(current, NewPopularity(1, 2, 0), Limits{}, time.Unix(1, 0))
+	_, err = NewPlan(current, NewPopularityEstimator(1, 2, 0), Limits{}, time.Unix(1, 0))
 	assertError(t, err, ErrNotObserved)
-	_, err = NewPlan(current, NewPopularity(2, 2, 0), Limits{}, time.Unix(1, 0))
-	assertError(t, err, ErrShape)
+	_, err = NewPlan(current, NewPopularityEstimator(2, 2, 0), Limits{}, time.Unix(1, 0))
+	assertError(t, err, ErrInvalidShape)
 }
--- a/internal/rank/expertmap/map.go
+++ b/internal/rank/expertmap/map.go
@@ -17,8 +17,8 @@
 }
 
 // NewMap returns a map with the given version and a copy of the slice layers.
-// It returns ErrNoLayers if layers is empty and ErrShape if the layers differ
-// in their number of ranks.
+// It returns ErrNoLayers if layers is empty and ErrInvalidShape if the layers
+// differ in their number of ranks.
 func NewMap(version uint64, layers []*Layer) (*Map, error) {
 	if len(layers) == 0 {
 		return nil, ErrNoLayers
@@ -26,7 +26,7 @@
 	h := xxhash.New()
 	for _, l := range layers {
 		if l.shape.Ranks != layers[0].shape.Ranks {
-			return nil, eris.Wrapf(ErrShape, "layers have %d and %d ranks", l.shape.Ranks, layers[0].shape.Ranks)
+			return nil, eris.Wrapf(ErrInvalidShape, "layers have %d and %d ranks", l.shape.Ranks, layers[0].shape.Ranks)
 		}
 		l.hash(h)
 	}
--- a/internal/rank/expertmap/plan.go
+++ b/internal/rank/expertmap/plan.go
@@ -15,53 +15,55 @@
 	// ExpertBytes is the size of the weights of one expert in one layer, in
 	// bytes.
 	ExpertBytes int64
-	// StoreRate is the bandwidth of the weight store that is available to the
-	// group, in bytes per second.
-	StoreRate int64
-	// StageTime is the maximum time for staging a plan, which is the time for
-	// loading its weights.
-	StageTime time.Duration
-	// Life is the expected time that the planned map is in use.
-	Life time.Duration
-	// Slowdown is the relative increase of step time while weights are loaded.
-	Slowdown float64
+	// StoreBandwidth is the bandwidth of the weight store that is available to
+	// the group, in bytes per second.
+	StoreBandwidth int64
+	// MaxStagingTime is the maximum time for staging a plan, which is the time
+	// for loading its weights.
+	MaxStagingTime time.Duration
+	// MapLifetime is the expected time that the planned map is in use.
+	MapLifetime time.Duration
+	// LoadingSlowdown is the relative increase of step time while weights are
+	// loaded.
+	LoadingSlowdown float64
 	// MinGain is the minimum reduction of skew that justifies the messages and
 	// the write that activating a new map takes.
 	MinGain float64
-	// Goal is the distance from the lower bound on the skew within which a
-	// layer needs no moves.
-	Goal float64
-	// Tokens says that loads are in tokens per step, so their sampling variance
-	// is taken into account; see Risk.
-	Tokens bool
+	// SkewTolerance is the distance from the lower bound on the skew within
+	// which a layer needs no moves.
+	SkewTolerance float64
+	// PoissonLoads says that loads are in tokens per step, so their sampling
+	// variance is taken into account; see LoadVariance.
+	PoissonLoads bool
 }
 
 // MaxMoves returns the number of replicas that the weight store can deliver
-// within StageTime, or zero if ExpertBytes or StoreRate is not positive.
+// within MaxStagingTime, or zero if ExpertBytes or StoreBandwidth is not
+// positive.
 func (l Limits) MaxMoves() int {
-	if l.ExpertBytes <= 0 || l.StoreRate <= 0 {
+	if l.ExpertBytes <= 0 || l.StoreBandwidth <= 0 {
 		return 0
 	}
-	return int(l.StageTime.Seconds() * float64(l.StoreRate) / float64(l.ExpertBytes))
+	return int(l.MaxStagingTime.Seconds() * float64(l.StoreBandwidth) / float64(l.ExpertBytes))
 }
 
-// moveCost returns the reduction of skew over Life that compensates for the
-// slower steps while the weights of one move are loaded.
+// moveCost returns the reduction of skew over MapLifetime that compensates for
+// the slower steps while the weights of one move are loaded.
 func (l Limits) moveCost() float64 {
-	if l.Life <= 0 || l.StoreRate <= 0 {
+	if l.MapLifetime <= 0 || l.StoreBandwidth <= 0 {
 		return 0
 	}
-	load := float64(l.ExpertBytes) / float64(l.StoreRate)
-	return l.Slowdown * load / l.Life.Seconds()
+	load := float64(l.ExpertBytes) / float64(l.StoreBandwidth)
+	return l.LoadingSlowdown * load / l.MapLifetime.Seconds()
 }
 
 // Plan is a proposed change of a map.
 type Plan struct {
-	next      *Map
-	moves     []Move
-	before    float64
-	after     float64
-	plannedAt time.Time
+	next       *Map
+	moves      []Move
+	skewBefore float64
+	skewAfter  float64
+	plannedAt  time.Time
 }
 
 // Next returns the planned map. It is the current map if no change is worth its
@@ -71,35 +73,35 @@
 // Moves returns the replicas that ranks have to load.
 func (p *Plan) Moves() []Move { return p.moves }
 
-// Before returns the expected skew of the current map, averaged over all layers
-// by load.
-func (p *Plan) Before() float64 { return p.before }
+// SkewBefore returns the expected skew of the current map, averaged over all
+// layers by load.
+func (p *Plan) SkewBefore() float64 { return p.skewBefore }
 
-// After returns the expected skew of the planned map, averaged over all layers
-// by load.
-func (p *Plan) After() float64 { return p.after }
+// SkewAfter returns the expected skew of the planned map, averaged over all
+// layers by load.
+func (p *Plan) SkewAfter() float64 { return p.skewAfter }
 
-// At returns the time for which the plan was made.
-func (p *Plan) At() time.Time { return p.plannedAt }
+// PlannedAt returns the time for which the plan was made.
+func (p *Plan) PlannedAt() time.Time { return p.plannedAt }
 
 // NewPlan plans the successor of current for the estimated popularity. Both
 // must have the same number of experts in each layer. It returns ErrNotObserved
-// if a layer has not been observed yet and ErrShape if current and pop differ
-// in their number of layers.
+// if a layer has not been observed yet and ErrInvalidShape if current and pop
+// differ in their number of layers.
 //
 // It is made for steady traffic whose expert popularity drifts over the day.
 // Each step takes as long as its slowest rank, and each replica move uses
 // bandwidth of the weight store. So clients lose time if a rank stays
 // overloaded, and also if replicas are moved for a short-lived change of
-// popularity. Therefore a move has to pay off within Life, the moves of all
-// layers together have to be loaded within StageTime, layers with a higher skew
-// are planned first, and a plan that reduces the skew by less than MinGain is
-// discarded.
-func NewPlan(current *Map, pop *Popularity, limits Limits, now time.Time) (*Plan, error) {
+// popularity. Therefore a move has to pay off within MapLifetime, the moves of
+// all layers together have to be loaded within MaxStagingTime, layers with a
+// higher skew are planned first, and a plan that reduces the skew by less than
+// MinGain is discarded.
+func NewPlan(current *Map, pop *PopularityEstimator, limits Limits, now time.Time) (*Plan, error) {
 	if pop.Layers() != current.Layers() {
-		return nil, eris.Wrapf(ErrShape, "map has %d layers, estimator has %d", current.Layers(), pop.Layers())
+		return nil, eris.Wrapf(ErrInvalidShape, "map has %d layers, estimator has %d", current.Layers(), pop.Layers())
 	}
-	if !pop.Known() {
+	if !pop.Observed() {
 		return nil, ErrNotObserved
 	}
 	plan := &Plan{next: current, plannedAt: now}
@@ -107,8 +109,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if plan.before-plan.after < limits.MinGain {
-		plan.after, plan.moves = plan.before, nil
+	if plan.skewBefore-plan.skewAfter < limits.MinGain {
+		plan.skewAfter, plan.moves = plan.skewBefore, nil
 		return plan, nil
 	}
 	plan.next, err = NewMap(current.version+1, layers)
@@ -117,14 +119,14 @@
 
 // improveLayers returns the improved layers. It records the moves and the
 // skews, averaged by load, in p.
-func (p *Plan) improveLayers(current *Map, pop *Popularity, limits Limits) ([]*Layer, error) {
+func (p *Plan) improveLayers(current *Map, pop *PopularityEstimator, limits Limits) ([]*Layer, error) {
 	layers := make([]*Layer, current.Layers())
 	budget := limits.MaxMoves()
 	totalWeight := 0.0
 	for _, i := range layersBySkew(current, pop) {
 		load := pop.Load(i)
-		risk := Risk{Drift: pop.Drift(i), Draw: limits.Tokens}
-		imp, err := Improve(current.layers[i], load, risk, budget, limits.moveCost(), limits.Goal)
+		variance := LoadVariance{Drift: pop.Drift(i), Poisson: limits.PoissonLoads}
+		imp, err := Improve(current.layers[i], load, variance, budget, limits.moveCost(), limits.SkewTolerance)
 		if err != nil {
 			return nil, err
 		}
@@ -133,20 +135,20 @@
 		p.moves = append(p.moves, movesBetween(i, current.layers[i], imp.layer)...)
 		w := totalLoad(load)
 		totalWeight += w
-		p.before += w * imp.before
-		p.after += w * imp.after
+		p.skewBefore += w * imp.skewBefore
+		p.skewAfter += w * imp.skewAfter
 	}
 	if totalWeight == 0 {
-		p.before, p.after = 1, 1
+		p.skewBefore, p.skewAfter = 1, 1
 		return layers, nil
 	}
-	p.before /= totalWeight
-	p.after /= totalWeight
+	p.skewBefore /= totalWeight
+	p.skewAfter /= totalWeight
 	return layers, nil
 }
 
 // layersBySkew returns the indexes of the layers in descending order of skew.
-func layersBySkew(m *Map, pop *Popularity) []int {
+func layersBySkew(m *Map, pop *PopularityEstimator) []int {
 	order := make([]int, m.Layers())
 	skews := make([]float64, m.Layers())
 	for i := range order {
--- a/internal/rank/expertmap/risk.go
+++ b/internal/rank/expertmap/risk.go
@@ -2,25 +2,25 @@
 
 import "math"
 
-// Risk describes how the expert loads of future steps vary around the loads
-// that a layer is optimized for.
+// LoadVariance describes how the expert loads of future steps vary around the
+// loads that a layer is optimized for.
 //
 // A step takes as long as its slowest rank, so the expected maximum of the rank
 // loads matters, not the maximum of the expected loads: of two ranks with the
 // same mean load, the one with the higher variance causes more slow steps. Each
-// rank's load is therefore increased by a risk margin of as many standard
+// rank's load is therefore increased by a variance margin of as many standard
 // deviations as the expected maximum over all ranks lies above the mean. The
 // standard deviation of a replica's load is proportional to its share. A rank
 // with a few large replicas therefore has a higher standard deviation than one
 // with many small ones, and splitting a popular expert over two ranks halves
 // its standard deviation on each.
-type Risk struct {
+type LoadVariance struct {
 	// Drift is the standard deviation of an expert's load, relative to the
 	// planned load, caused by changes in popularity after planning.
 	Drift float64
-	// Draw says that loads are token counts, whose number in a step has Poisson
-	// variance.
-	Draw bool
+	// Poisson says that loads are token counts, whose number in a step has
+	// Poisson variance.
+	Poisson bool
 }
 
 // maxZScore approximates the expected maximum of n independent standard normal
@@ -31,9 +31,9 @@
 
 // relativeVariance returns the variance of an expert's load divided by the
 // square of the load.
-func (r Risk) relativeVariance(load float64) float64 {
-	v := r.Drift * r.Drift
-	if r.Draw && load > 0 {
+func (lv LoadVariance) relativeVariance(load float64) float64 {
+	v := lv.Drift * lv.Drift
+	if lv.Poisson && load > 0 {
 		v += 1 / load
 	}
 	return v
@@ -62,7 +62,7 @@
 	low, high := 0.0, 0.0
 	for r := range p.rankLoad {
 		low = max(low, p.rankLoad[r])
-		high = max(high, p.adjustedLoad(r)+p.riskMargin[r])
+		high = max(high, p.adjustedLoad(r)+p.varianceMargin[r])
 	}
 	if p.expectedExceedances(low) < exceedancesAtMeanMax {
 		return low / p.meanRankLoad
@@ -83,7 +83,7 @@
 func (p *placement) expectedExceedances(load float64) float64 {
 	sum := 0.0
 	for r, v := range p.rankLoad {
-		switch sd := p.riskMargin[r] / p.maxZScore; {
+		switch sd := p.varianceMargin[r] / p.maxZScore; {
 		case sd > 0:
 			sum += math.Erfc((load-v)/(sd*math.Sqrt2)) / 2
 		case v > load:
--- a/internal/rank/expertmap/solve.go
+++ b/internal/rank/expertmap/solve.go
@@ -3,23 +3,24 @@
 import "sort"
 
 // Solve computes a layer for the given loads from scratch, with shares
-// optimized for the given risk. The length of load must be shape.Experts. Solve
-// returns ErrShape if the dimensions are impossible, and ErrObservation if the
-// length of load is wrong or a load is negative or not finite.
+// optimized for the given variance. The length of load must be shape.Experts.
+// Solve returns ErrInvalidShape if the dimensions are impossible, and
+// ErrInvalidLoad if the length of load is wrong or a load is negative or not
+// finite.
 //
 // Each redundant slot goes to the expert with the highest load per replica at
 // that point. Replicas are then placed in descending order of load, each on the
 // rank with the lowest load that has a free slot and does not hold the expert
 // (longest processing time first, Graham 1969). Finally the shares are
 // balanced.
-func Solve(shape Shape, load []float64, risk Risk) (*Layer, error) {
+func Solve(shape Shape, load []float64, variance LoadVariance) (*Layer, error) {
 	if err := shape.check(); err != nil {
 		return nil, err
 	}
 	if err := checkLoads(shape, load); err != nil {
 		return nil, err
 	}
-	p := newPlacement(shape, load, risk)
+	p := newPlacement(shape, load, variance)
 	p.placeReplicas(replicaCounts(shape, load))
 	p.balance(maxSweeps, balanceTolerance)
 	return p.buildLayer(), nil
--- a/internal/rank/lockstep/leader.go
+++ b/internal/rank/lockstep/leader.go
@@ -30,12 +30,12 @@
 // Leader decides the orders for one group. Set the exported fields before the
 // first call. It is not safe for concurrent use.
 type Leader struct {
-	// Own is the rank on the leader's VM. Holder is the rank to which hold
-	// orders are sent. They differ in a group of more than one rank; see
-	// Rescue.
-	Own, Holder int
-	// Before is the previous leader, or nil when it is not known.
-	Before *Predecessor
+	// OwnRank is the rank on the leader's VM. HoldRank is the rank to which
+	// hold orders are sent. They differ in a group of more than one rank; see
+	// RecoverHeldStep.
+	OwnRank, HoldRank int
+	// Predecessor is the previous leader, or nil when it is not known.
+	Predecessor *Predecessor
 	// Token is the leader's fencing token, which increases with each leader.
 	Token uint64
 
@@ -64,7 +64,8 @@
 	stepDuration time.Duration
 	lastStep     uint64
 	lastStepAt   time.Time
-	// releasedStep is the step for which go was ordered with all ranks armed.
+	// releasedStep is the step for which the release was ordered with all ranks
+	// armed.
 	releasedStep uint64
 	inForce      *Goal
 	// fencedAt is when each rank was first known to have seen the leader's
@@ -108,8 +109,8 @@
 // together.
 func (l *Leader) Holding() bool { return !l.heldSince.IsZero() }
 
-// Current sets the map in force, which the leader must know to abort a step.
-func (l *Leader) Current(version uint64, sets [][][]int) {
+// SetInForce sets the map in force, which the leader must know to abort a step.
+func (l *Leader) SetInForce(version uint64, sets [][][]int) {
 	l.inForce = &Goal{Version: version, Sets: sets}
 }
 
@@ -121,9 +122,9 @@
 	return now.Sub(l.heldSince)
 }
 
-// Awaited returns the ranks that prevent a held step from being released: those
-// that are armed, or have not prepared the no-op version.
-func (l *Leader) Awaited(ranks []State) []int {
+// BlockingRanks returns the ranks that prevent a held step from being released:
+// those that are armed, or have not prepared the no-op version.
+func (l *Leader) BlockingRanks(ranks []State) []int {
 	var out []int
 	for i, r := range ranks {
 		if r.Armed != nil || !r.HasPrepared || r.Prepared != l.noopVersion {
@@ -136,23 +137,23 @@
 // InForce returns the map in force, or nil when it is not known.
 func (l *Leader) InForce() *Goal { return l.inForce }
 
-// Answered records the outcome of an order. The outcome Fenced deposes the
+// RecordOutcome records the outcome of an order. The outcome Fenced deposes the
 // leader.
-func (l *Leader) Answered(d Directive, o Outcome, now time.Time) {
+func (l *Leader) RecordOutcome(ao AddressedOrder, o Outcome, now time.Time) {
 	if o == Fenced {
 		l.deposed = true
 	}
-	if p, ok := d.Order.(Prepare); ok && o == Unfit && p.Version == l.newestVersion {
+	if p, ok := ao.Order.(Prepare); ok && o == Rejected && p.Version == l.newestVersion {
 		l.prepareRefused = true
 	}
-	switch d.Order.(type) {
+	switch ao.Order.(type) {
 	case Hold:
 		l.recordHold(o)
-	case Go:
-		l.recordGo(o, now)
+	case Release:
+		l.recordRelease(o, now)
 	}
-	if o != Unknown && d.Epoch == l.epoch && d.Rank < len(l.fencedAt) && l.fencedAt[d.Rank].IsZero() {
-		l.fencedAt[d.Rank] = now
+	if o != Unknown && ao.Epoch == l.epoch && ao.Rank < len(l.fencedAt) && l.fencedAt[ao.Rank].IsZero() {
+		l.fencedAt[ao.Rank] = now
 	}
 }
 
@@ -165,25 +166,25 @@
 // kept its old map for 0.4 s.
 func (l *Leader) recordHold(o Outcome) {
 	switch o {
-	case Unfit:
+	case Rejected:
 		l.extraSteps = min(l.extraSteps+1, maxExtraSteps)
-	case Begun, Already:
+	case Accepted, NoChange:
 		l.extraSteps = 0
 	}
 }
 
-// recordGo records how long a change took, measured from its hold.
-func (l *Leader) recordGo(o Outcome, now time.Time) {
-	if o == Begun || o == Already {
+// recordRelease records how long a change took, measured from its hold.
+func (l *Leader) recordRelease(o Outcome, now time.Time) {
+	if o == Accepted || o == NoChange {
 		l.leadTime.end(now)
 	}
 }
 
-// Changed returns the timing of the last change that was released with all
+// TakeChange returns the timing of the last change that was released with all
 // ranks armed. It returns each change once.
-func (l *Leader) Changed() (Change, bool) {
+func (l *Leader) TakeChange() (Change, bool) {
 	c := l.leadTime.change
-	if !l.leadTime.holdOrderedAt.IsZero() || c.Took == 0 {
+	if !l.leadTime.holdOrderedAt.IsZero() || c.Duration == 0 {
 		return Change{}, false
 	}
 	l.leadTime.change = Change{}
@@ -193,14 +194,14 @@
 // Deposed reports whether a rank has seen the token of a newer leader.
 func (l *Leader) Deposed() bool { return l.deposed }
 
-// Decide returns the orders to send now. The slice ranks holds the state of
+// NextOrders returns the orders to send now. The slice ranks holds the state of
 // every rank by its number, all observed just now, after every earlier order
 // was answered or its call timed out. A rank that cannot be observed may be
-// armed; for that case see Rescue. If begin is false, Decide only completes
-// what is held or armed, because a leader that is about to stop must not leave
-// the group held.
-func (l *Leader) Decide(ranks []State, begin bool, now time.Time) []Directive {
-	if l.deposed || !l.sameOpenGroup(ranks) {
+// armed; for that case see RecoverHeldStep. If begin is false, NextOrders only
+// completes what is held or armed, because a leader that is about to stop must
+// not leave the group held.
+func (l *Leader) NextOrders(ranks []State, begin bool, now time.Time) []AddressedOrder {
+	if l.deposed || !l.sameAcceptingGroup(ranks) {
 		return nil
 	}
 	l.observe(ranks, now)
@@ -239,25 +240,25 @@
 // have not seen it: all of them, or those for which seen is true. A decision
 // requires an observation made after the last of these orders, so no other
 // order is sent along with them.
-func (l *Leader) fence(ranks []State, seen []bool) []Directive {
-	var out []Directive
+func (l *Leader) fence(ranks []State, seen []bool) []AddressedOrder {
+	var out []AddressedOrder
 	for i := range ranks {
 		if l.fencedAt[i].IsZero() && (seen == nil || seen[i]) {
-			out = append(out, newDirective(ranks, i, Fence{}))
+			out = append(out, newAddressedOrder(ranks, i, Fence{}))
 		}
 	}
 	return out
 }
 
-// newDirective returns an order for rank i, valid for the state in which the
-// rank was observed.
-func newDirective(ranks []State, i int, o Order) Directive {
-	return Directive{Rank: i, Epoch: ranks[i].Epoch, Sequence: ranks[i].Sequence, Order: o}
+// newAddressedOrder returns an order for rank i, valid for the state in which
+// the rank was observed.
+func newAddressedOrder(ranks []State, i int, o Order) AddressedOrder {
+	return AddressedOrder{Rank: i, Epoch: ranks[i].Epoch, Sequence: ranks[i].Sequence, Order: o}
 }
 
 // prepareAndHold works towards the goal while no step is held: it prepares the
 // goal on all ranks and then orders a hold.
-func (l *Leader) prepareAndHold(ranks []State, armed int, now time.Time) []Directive {
+func (l *Leader) prepareAndHold(ranks []State, armed int, now time.Time) []AddressedOrder {
 	if l.goal == nil || armed > 0 {
 		return nil
 	}
@@ -265,7 +266,7 @@
 		l.goal = nil
 		return nil
 	}
-	var out []Directive
+	var out []AddressedOrder
 	ready := true
 	for i, r := range ranks {
 		if r.HasPrepared && r.Prepared == l.goal.Version {
@@ -278,7 +279,7 @@
 			return nil
 		}
 		if !r.Busy {
-			out = append(out, newDirective(ranks, i, Prepare{Version: l.goal.Version, Sets: l.goal.Sets}))
+			out = append(out, newAddressedOrder(ranks, i, Prepare{Version: l.goal.Version, Sets: l.goal.Sets}))
 		}
 	}
 	if !ready {
@@ -288,8 +289,8 @@
 	ahead := l.extraSteps + stepsAhead(expected, l.stepDuration)
 	step := l.latestStep(ranks) + ahead
 	l.holdStep = step
-	l.leadTime.begin(Change{Step: step, Ahead: ahead, Expected: expected, StepTime: l.stepDuration}, now)
-	return []Directive{newDirective(ranks, l.Holder, Hold{Step: step})}
+	l.leadTime.begin(Change{Step: step, StepsAhead: ahead, ExpectedDuration: expected, StepDuration: l.stepDuration}, now)
+	return []AddressedOrder{newAddressedOrder(ranks, l.HoldRank, Hold{Step: step})}
 }
 
 // targetVersion returns the version for which the step is held: that of the
@@ -310,27 +311,27 @@
 
 // armNext returns the orders that arm the next ranks: first those other than
 // the leader's own and the holder, then the holder, and the leader's own last.
-// Rescue depends on the leader's own rank being last. Arming the holder
-// separately covers a leader that fails just after its hold, while its first
-// arm orders are still in transit: the holder's is not among them, so the
+// RecoverHeldStep depends on the leader's own rank being last. Arming the
+// holder separately covers a leader that fails just after its hold, while its
+// first arm orders are still in transit: the holder's is not among them, so the
 // successor finds a rank that is not armed. It costs a few milliseconds per
 // change.
-func (l *Leader) armNext(ranks []State, h heldStep) []Directive {
+func (l *Leader) armNext(ranks []State, h heldStep) []AddressedOrder {
 	armed, _ := countArmed(ranks)
 	version, _ := l.targetVersion(ranks, armed)
-	arm := func(i int) Directive { return newDirective(ranks, i, Arm{Version: version, Step: h.step}) }
-	var out []Directive
+	arm := func(i int) AddressedOrder { return newAddressedOrder(ranks, i, Arm{Version: version, Step: h.step}) }
+	var out []AddressedOrder
 	for i, r := range ranks {
-		if r.Armed == nil && i != l.Own && i != l.Holder {
+		if r.Armed == nil && i != l.OwnRank && i != l.HoldRank {
 			out = append(out, arm(i))
 		}
 	}
 	switch {
 	case len(out) > 0:
 		return out
-	case ranks[l.Holder].Armed == nil && l.Holder != l.Own:
-		return []Directive{arm(l.Holder)}
+	case ranks[l.HoldRank].Armed == nil && l.HoldRank != l.OwnRank:
+		return []AddressedOrder{arm(l.HoldRank)}
 	default:
-		return []Directive{arm(l.Own)}
+		return []AddressedOrder{arm(l.OwnRank)}
 	}
 }
--- a/internal/rank/lockstep/state.go
+++ b/internal/rank/lockstep/state.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Arming is a map version and the step at which a rank switches to it.
-type Arming struct {
+// ArmedMap is a map version and the step at which a rank switches to it.
+type ArmedMap struct {
 	Step, Version uint64
 }
 
@@ -19,8 +19,8 @@
 	// Rank is the rank's number in the group, from 0, and Size the number of
 	// ranks.
 	Rank, Size int
-	// Open reports whether the group accepts requests.
-	Open bool
+	// Accepting reports whether the group accepts requests.
+	Accepting bool
 	// Step is the last step that has begun.
 	Step uint64
 	// Sequence is the number of orders that the rank has accepted. Busy reports
@@ -32,18 +32,18 @@
 	Map, Prepared uint64
 	HasPrepared   bool
 	// Armed is nil when the rank is not armed.
-	Armed *Arming
+	Armed *ArmedMap
 	// Held is the step that the rank holds, or nil.
 	Held *uint64
 	// Running and Queued are the numbers of running and queued requests of the
 	// rank.
 	Running, Queued int
-	// Born is the start time of the engine, in milliseconds since the Unix
-	// epoch.
-	Born uint64
-	// Pace is the ratio of the engine's current step time to its usual one; a
-	// value above 1 is slower.
-	Pace float64
+	// StartMillis is the start time of the engine, in milliseconds since the
+	// Unix epoch.
+	StartMillis uint64
+	// Slowdown is the ratio of the engine's current step time to its usual one;
+	// a value above 1 is slower.
+	Slowdown float64
 	// AsOf is a time on the leader's clock at or before the moment that the
 	// report describes. A report obtained through the agent describes the rank
 	// after it was requested; an engine reports its current state only to
@@ -69,7 +69,7 @@
 	return text
 }
 
-// Order is an order to one rank: Fence, Prepare, Arm, Disarm, Hold or Go.
+// Order is an order to one rank: Fence, Prepare, Arm, Disarm, Hold or Release.
 type Order interface{ isOrder() }
 
 // Fence changes nothing but the highest token that the rank has seen, so that
@@ -89,18 +89,18 @@
 // Disarm cancels an Arm.
 type Disarm struct{ Version uint64 }
 
-// Hold prevents the group from beginning Step until Go.
+// Hold prevents the group from beginning Step until Release.
 type Hold struct{ Step uint64 }
 
-// Go releases a held step.
-type Go struct{ Step uint64 }
+// Release releases a held step.
+type Release struct{ Step uint64 }
 
 func (Fence) isOrder()   {}
 func (Prepare) isOrder() {}
 func (Arm) isOrder()     {}
 func (Disarm) isOrder()  {}
 func (Hold) isOrder()    {}
-func (Go) isOrder()      {}
+func (Release) isOrder() {}
 
 // Outcome is the result of an order.
 type Outcome int
@@ -109,13 +109,13 @@
 const (
 	// Unknown means that no reply arrived: the order may be executed later.
 	Unknown Outcome = iota
-	// Begun means that the rank has accepted the order.
-	Begun
-	// Already means that the rank was already in the ordered state.
-	Already
-	// Unfit means that the rank rejected the order because it does not fit the
-	// rank's state.
-	Unfit
+	// Accepted means that the rank has accepted the order.
+	Accepted
+	// NoChange means that the rank was already in the ordered state.
+	NoChange
+	// Rejected means that the rank rejected the order because it does not fit
+	// the rank's state.
+	Rejected
 	// Fenced means that the rank has seen the token of a newer leader.
 	Fenced
 )
@@ -125,9 +125,9 @@
 	return [...]string{"unknown", "begun", "already", "unfit", "fenced"}[o]
 }
 
-// Directive is an order for one rank, valid for the epoch and sequence number
-// at which the rank was observed.
-type Directive struct {
+// AddressedOrder is an order for one rank, valid for the epoch and sequence
+// number at which the rank was observed.
+type AddressedOrder struct {
 	Rank            int
 	Epoch, Sequence uint64
 	Order           Order
@@ -139,7 +139,7 @@
 func Apply(s *State, o Order) bool {
 	switch o := o.(type) {
 	case Arm:
-		s.Armed = &Arming{Step: o.Step, Version: o.Version}
+		s.Armed = &ArmedMap{Step: o.Step, Version: o.Version}
 	case Disarm:
 		s.Armed = nil
 	case Hold:
--- a/internal/rank/naming/name.go
+++ b/internal/rank/naming/name.go
@@ -14,9 +14,9 @@
 	return Ref{Version: m.Version(), Digest: m.Digest()}
 }
 
-// Name is an activation: a map and the first step that uses it. The zero Name
+// Activation is a map and the first step that uses it. The zero Activation
 // means no activation.
-type Name struct {
+type Activation struct {
 	// Token is the fencing token of the leader that chose the step.
 	Token uint64
 	// Step is the first step that uses the map.
@@ -28,14 +28,15 @@
 type Record struct {
 	// Token is the fencing token of the leader that wrote last.
 	Token uint64
-	// Name is the last committed activation.
-	Name Name
+	// Activation is the last committed activation.
+	Activation Activation
 }
 
-// Entry is an entry of a schedule: a map and the first step that uses it.
-type Entry struct {
-	From uint64
-	Map  Ref
+// ScheduleEntry is an entry of a schedule: a map and the first step that uses
+// it.
+type ScheduleEntry struct {
+	FirstStep uint64
+	Map       Ref
 }
 
 // maxEntries is the number of schedule entries kept. Members are at most one
@@ -46,36 +47,38 @@
 
 // MapAt returns the map that a schedule has for a step, and false if it has
 // none. The entries may be in any order.
-func MapAt(schedule []Entry, step uint64) (Ref, bool) {
-	best, found := Entry{}, false
+func MapAt(schedule []ScheduleEntry, step uint64) (Ref, bool) {
+	best, found := ScheduleEntry{}, false
 	for _, e := range schedule {
-		if e.From <= step && (!found || e.From > best.From) {
+		if e.FirstStep <= step && (!found || e.FirstStep > best.FirstStep) {
 			best, found = e, true
 		}
 	}
 	return best.Map, found
 }
 
-// After returns the entries of a schedule that begin later than the given step.
-func After(schedule []Entry, step uint64) []Entry {
-	var out []Entry
+// EntriesAfter returns the entries of a schedule that begin later than the
+// given step.
+func EntriesAfter(schedule []ScheduleEntry, step uint64) []ScheduleEntry {
+	var out []ScheduleEntry
 	for _, e := range schedule {
-		if e.From > step {
+		if e.FirstStep > step {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// latestEntry returns the newest entry of a schedule, or the zero Entry.
-func latestEntry(schedule []Entry) Entry {
+// latestEntry returns the newest entry of a schedule, or the zero
+// ScheduleEntry.
+func latestEntry(schedule []ScheduleEntry) ScheduleEntry {
 	if len(schedule) == 0 {
-		return Entry{}
+		return ScheduleEntry{}
 	}
 	return schedule[len(schedule)-1]
 }
 
-func containsEntry(schedule []Entry, e Entry) bool {
+func containsEntry(schedule []ScheduleEntry, e ScheduleEntry) bool {
 	for _, other := range schedule {
 		if other == e {
 			return true
--- a/internal/rank/naming/tick.go
+++ b/internal/rank/naming/tick.go
@@ -16,7 +16,7 @@
 	if orders := m.activateOrders(); len(orders) > 0 {
 		return orders
 	}
-	return m.allowOrders()
+	return m.stepLimitOrders()
 }
 
 // observe records the engine's state. The first state shows the step limit that
@@ -26,7 +26,7 @@
 		m.reset(m.Incarnation + 1)
 	}
 	m.engine = e
-	m.stepLimit = max(m.stepLimit, e.Allowed)
+	m.stepLimit = max(m.stepLimit, e.StepLimit)
 }
 
 // stageOrders gives the engine the maps in use, that of the pending activation
@@ -54,9 +54,9 @@
 
 // entriesInUse returns the entries of the schedule that apply to the ranks'
 // next step or a later one.
-func (m *Member) entriesInUse() []Entry {
+func (m *Member) entriesInUse() []ScheduleEntry {
 	for i := len(m.schedule) - 1; i > 0; i-- {
-		if m.schedule[i].From <= m.engine.Begun+1 {
+		if m.schedule[i].FirstStep <= m.engine.LastStep+1 {
 			return m.schedule[i:]
 		}
 	}
@@ -87,32 +87,32 @@
 	for i := len(entries) - 1; i >= 0; i-- {
 		e := entries[i]
 		if !containsEntry(m.engine.Schedule, e) {
-			restart := i == 0 && e.From > m.engine.Begun+1
+			restart := i == 0 && e.FirstStep > m.engine.LastStep+1
 			return []EngineOrder{EngineActivate{Entry: e, Restart: restart}}
 		}
 	}
 	return nil
 }
 
-// allowOrders raises the engine's step limit once the engine has all maps of
-// the schedule, to at most Lookahead steps beyond the last one begun and never
-// to the step of a pending activation (see hold).
+// stepLimitOrders raises the engine's step limit once the engine has all maps
+// of the schedule, to at most Lookahead steps beyond the last one begun and
+// never to the step of a pending activation (see hold).
 //
 // Ranks begin a step every 10 to 20 ms. If the limit is too close, the group
 // stops between two ticks; if it is too far, a new map is delayed by as many
 // steps. The limit is raised once half of it is used, so that an order is sent
 // every Lookahead/2 steps and not on each tick.
-func (m *Member) allowOrders() []EngineOrder {
-	limit := m.engine.Begun + m.Lookahead
-	if m.pending != (Name{}) {
+func (m *Member) stepLimitOrders() []EngineOrder {
+	limit := m.engine.LastStep + m.Lookahead
+	if m.pending != (Activation{}) {
 		limit = min(limit, m.pending.Step-1)
 	}
-	if limit <= m.engine.Allowed {
+	if limit <= m.engine.StepLimit {
 		return nil
 	}
-	if m.engine.Allowed > m.engine.Begun+m.Lookahead/2 {
+	if m.engine.StepLimit > m.engine.LastStep+m.Lookahead/2 {
 		return nil
 	}
 	m.stepLimit = max(m.stepLimit, limit)
-	return []EngineOrder{EngineAllow{Step: limit}}
+	return []EngineOrder{EngineSetStepLimit{Step: limit}}
 }
--- a/internal/rank/planner.go
+++ b/internal/rank/planner.go
@@ -15,7 +15,7 @@
 	// gathering reports whether a call that gathers counts and plans is in
 	// progress.
 	gathering  bool
-	popularity *expertmap.Popularity
+	popularity *expertmap.PopularityEstimator
 }
 
 // step proposes the initial map to a group without a map, and starts a plan
@@ -25,11 +25,11 @@
 	r := p.runner
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if t.leader.Lost() {
+	if t.leader.AllMapsLost() {
 		t.leader.Propose(r.Initial.WithVersion(nextVersion(t.leader.Token, r.Initial)))
 		return
 	}
-	ref, ok := t.leader.Current()
+	ref, ok := t.leader.CurrentMap()
 	if !ok || p.gathering || r.PlanEvery <= 0 || now.Before(p.nextPlanAt) {
 		return
 	}
@@ -60,7 +60,7 @@
 	if err != nil || next == nil {
 		return
 	}
-	if ref, ok := t.leader.Current(); ok && ref == naming.RefOf(current) {
+	if ref, ok := t.leader.CurrentMap(); ok && ref == naming.RefOf(current) {
 		t.leader.Propose(next.WithVersion(nextVersion(t.leader.Token, current)))
 	}
 }
@@ -74,7 +74,7 @@
 	}
 	now := time.Now()
 	if p.popularity == nil || p.popularity.Layers() != current.Layers() {
-		p.popularity = expertmap.NewPopularity(current.Layers(), current.Layer(0).Shape().Experts, r.Memory)
+		p.popularity = expertmap.NewPopularityEstimator(current.Layers(), current.Layer(0).Shape().Experts, r.PopularityWindow)
 	}
 	for i, c := range counts {
 		if err := p.popularity.Observe(i, c, now); err != nil {
@@ -85,8 +85,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r.stats.skewBefore.Update(plan.Before())
-	r.stats.skewPlanned.Update(plan.After())
+	r.stats.skewBefore.Update(plan.SkewBefore())
+	r.stats.skewPlanned.Update(plan.SkewAfter())
 	if plan.Next() == current {
 		return nil, nil
 	}
@@ -97,7 +97,7 @@
 
 // memberCounts is the result of a request for the counts of one member.
 type memberCounts struct {
-	counts []Count
+	counts []ExpertLoad
 	err    error
 }
 
@@ -128,7 +128,7 @@
 	return sums, first
 }
 
-func addCounts(sums [][]float64, counts []Count) {
+func addCounts(sums [][]float64, counts []ExpertLoad) {
 	for _, c := range counts {
 		if c.Layer >= 0 && c.Layer < len(sums) && c.Expert >= 0 && c.Expert < len(sums[c.Layer]) {
 			sums[c.Layer][c.Expert] += c.Tokens
--- a/internal/ranker/loads.go
+++ b/internal/ranker/loads.go
@@ -39,7 +39,7 @@
 	return loadReporter{tree: fanout.Tree{MaxDirect: fanout.MaxDirectEntries, MaxSize: fanout.MaxSubgroupEntries}}
 }
 
-// due reports whether a report is due now. A change between open and closed is
+// due reports whether a report is due now. A change between accepting and closed is
 // reported at once, because requests wait for it.
 func (r *loadReporter) due(closed bool, now time.Time) bool {
 	if now.Sub(r.lastSent) < loadReportInterval && closed == r.lastClosed {
@@ -60,8 +60,8 @@
 		req.Targets = append(req.Targets, &fleetpb.Target{Endpoint: report.address})
 		req.Running = append(req.Running, uint32(report.state.Running))
 		req.Queued = append(req.Queued, uint32(report.state.Queued))
-		req.Pace = append(req.Pace, uint32(100*report.state.Pace))
-		slow = slow || report.state.Pace > 1
+		req.Pace = append(req.Pace, uint32(100*report.state.Slowdown))
+		slow = slow || report.state.Slowdown > 1
 	}
 	if !slow {
 		req.Pace = nil
@@ -71,7 +71,7 @@
 }
 
 func isClosed(reports []rankReport) bool {
-	return slices.ContainsFunc(reports, func(report rankReport) bool { return !report.state.Open })
+	return slices.ContainsFunc(reports, func(report rankReport) bool { return !report.state.Accepting })
 }
 
 // reportLoads sends entries the engines' loads and whether their group accepts
--- a/internal/ranker/ranker.go
+++ b/internal/ranker/ranker.go
@@ -99,7 +99,7 @@
 
 // counters holds the agent's metrics.
 type counters struct {
-	orders, unanswered, unfit, changes, copies, terms metrics.Counter
+	orders, unanswered, rejected, changes, copies, terms metrics.Counter
 }
 
 // Listen opens the process's listening addresses.
@@ -113,7 +113,7 @@
 	}
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("rank."+name, r.Registry) }
 	r.counters = counters{
-		orders: counter("orders"), unanswered: counter("ordersUnanswered"), unfit: counter("ordersUnfit"),
+		orders: counter("orders"), unanswered: counter("ordersUnanswered"), rejected: counter("ordersUnfit"),
 		changes: counter("mapChanges"), copies: counter("expertCopies"), terms: counter("terms"),
 	}
 	r.agents, r.entries = map[string]fleet.Member{}, map[string]fleet.Member{}
@@ -247,7 +247,7 @@
 	defer r.leading.Store(false)
 	t := newTerm(r, lease, s, token, until)
 	if known && previous.name != r.Settings.Name {
-		t.leader.Before = &previous.Predecessor
+		t.leader.Predecessor = &previous.Predecessor
 		t.poller.expectSilent(previous.name, now)
 		t.tree.NoteFailure(previous.name, now)
 	}
@@ -260,7 +260,7 @@
 // leaseIsFree reports whether no agent holds the group's lease. It records the holder
 // if there is one.
 func (r *Ranker) leaseIsFree(ctx context.Context, lease *rank.KVLease) bool {
-	held, ok, err := lease.Held(ctx)
+	held, ok, err := lease.CurrentHolder(ctx)
 	if err != nil {
 		r.logStoreFailure(err)
 		return false
--- a/internal/ranker/tries.go
+++ b/internal/ranker/tries.go
@@ -29,24 +29,24 @@
 //
 // When a leader froze with a step held, on engines that lose four in ten orders,
 // single attempts of 150 ms, each followed by a poll that waits for the frozen VM,
-// lost the successor's go order three times in a row. The step stayed held for 2.6 s
-// instead of 1.4 s, and callers leave after 2 s without an event.
+// lost the successor's release order three times in a row. The step stayed held for
+// 2.6 s instead of 1.4 s, and callers leave after 2 s without an event.
 var remoteRetries = retryPolicy{attempts: 5, timeout: 20 * time.Millisecond, lastTimeout: engineTimeout - 4*20*time.Millisecond}
 
 // giveWithRetries gives an order until it is answered, or the attempts are used up.
 // Orders state the wanted result, so carrying one out twice has the same effect as
 // once.
-func giveWithRetries(ctx context.Context, e *platform.Engine, token uint64, d lockstep.Directive, retries retryPolicy) (lockstep.Outcome, error) {
+func giveWithRetries(ctx context.Context, e *platform.Engine, token uint64, ao lockstep.AddressedOrder, retries retryPolicy) (lockstep.Outcome, error) {
 	for range retries.attempts - 1 {
-		if o, err := giveOnce(ctx, e, token, d, retries.timeout); o != lockstep.Unknown {
+		if o, err := giveOnce(ctx, e, token, ao, retries.timeout); o != lockstep.Unknown {
 			return o, err
 		}
 	}
-	return giveOnce(ctx, e, token, d, retries.lastTimeout)
+	return giveOnce(ctx, e, token, ao, retries.lastTimeout)
 }
 
-func giveOnce(ctx context.Context, e *platform.Engine, token uint64, d lockstep.Directive, timeout time.Duration) (lockstep.Outcome, error) {
+func giveOnce(ctx context.Context, e *platform.Engine, token uint64, ao lockstep.AddressedOrder, timeout time.Duration) (lockstep.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return e.Give(ctx, token, d)
+	return e.Give(ctx, token, ao)
 }
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -68,7 +68,7 @@
 }
 
 // countResult counts a request by its result, and its latencies by service and by the route's
-// Repeat.
+// RetrySemantics.
 func (m *Metrics) countResult(code result.Code, kind, service string, first, whole time.Duration) {
 	metrics.GetOrRegisterCounter("relay.results."+code.String(), m.registry).Inc(1)
 	if service == "" || code != result.OK {
@@ -92,7 +92,7 @@
 func (j *job) log(code result.Code, status int, now time.Time, cause error) {
 	service, kind := "", ""
 	if j.service != nil {
-		service, kind = j.service.Name, j.route.Repeat.String()
+		service, kind = j.service.Name, j.route.RetrySemantics.String()
 	}
 	j.relay.Metrics.countResult(code, kind, service, sinceOrZero(j.firstPartAt, j.raw.At), now.Sub(j.raw.At))
 	f := logrus.Fields{
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -101,7 +101,7 @@
 	if s == nil || s.Engine == nil || slowdown < minSlowdownToMove || now.Sub(st.loads[ep.ID].At) >= maxLoadAge {
 		return 0
 	}
-	supported := batch.MostAtPace(s.Engine, st.maxPauses[ep.Service], slowdown)
+	supported := batch.MaxBatchAtSlowdown(s.Engine, st.maxPauses[ep.Service], slowdown)
 	running, _ := st.running(ep, now)
 	if running <= supported || running <= 0 {
 		return 0
@@ -175,5 +175,5 @@
 // mayMove reports whether the request may continue at another endpoint once more.
 func (j *job) mayMove() bool {
 	r := j.route
-	return r.Repeat == routing.Stream && r.Resumable && j.attempts.Sent+1 < r.MaxAttempts
+	return r.RetrySemantics == routing.Stream && r.Resumable && j.attempts.Sent+1 < r.MaxAttempts
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -28,8 +28,8 @@
 	defaultTimeout = time.Minute
 )
 
-// Relay forwards requests to endpoints. It implements caller.Passer. Set the exported fields before
-// the first request.
+// Relay forwards requests to endpoints. It implements caller.Forwarder. Set the exported fields
+// before the first request.
 type Relay struct {
 	State       *State
 	Client      *direct.Client
@@ -86,7 +86,7 @@
 	pauseEndedAt time.Time
 }
 
-// Forward implements caller.Passer.
+// Forward implements caller.Forwarder.
 func (r *Relay) Forward(ctx context.Context, raw *caller.Raw, w *caller.Reply) {
 	r.State.AwaitReady(ctx, r.Now())
 	now := r.Now()
@@ -203,7 +203,7 @@
 			continue
 		}
 		budget := func() bool { return j.allowRetry(o, now) }
-		if NextStep(j.route, j.attempts, o, left, budget) == End {
+		if NextDecision(j.route, j.attempts, o, left, budget) == End {
 			j.finish(o, nil, now)
 			return
 		}
