--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,5 +1,5 @@
-// Package fleet implements the discovery of the product's own processes where
-// entries call endpoints directly. Each process writes one key into the platform's
-// store, attached to a lease that it renews, and finds the others in its copy of the
-// store.
+// Package fleet lets the product's own processes discover each other in deployments
+// where entries call endpoints directly. Each process writes one key into the
+// platform's store, which is its key-value service, attached to a lease that the
+// process renews. It finds the other processes in its copy of the store.
 package fleet
--- a/internal/fleet/document/holder.go
+++ b/internal/fleet/document/holder.go
@@ -16,13 +16,15 @@
 	// maxBytes bounds the memory for decoding a value. The store accepts values of up
 	// to a megabyte.
 	maxBytes = 8 << 20
-	// minWindowBytes is the smallest window in which the compressor searches for
-	// matches.
+	// minWindowBytes is the smallest window, in bytes, in which the compressor
+	// searches for matches.
 	minWindowBytes = 64 << 10
-	// maxFastestBaseBytes is the size of the largest base in which the fastest
-	// compression level still finds what it has in common with a value.
+	// maxFastestBaseBytes is the size of the largest base for which the fastest
+	// compression level is used. In a larger base that level no longer finds what the
+	// base has in common with a value.
 	maxFastestBaseBytes = 1 << 20
-	// dictionaryID is the ID of the base as a zstd dictionary. Any number but 0 will do.
+	// dictionaryID is the ID of the base as a zstd dictionary. It may be any number but
+	// 0.
 	dictionaryID = 1
 )
 
@@ -47,7 +49,7 @@
 	// versions are sorted by revision.
 	versions []Version
 	// encodedByBase caches the encodings of the newest version by the revision of the
-	// base.
+	// base, which is 0 for the full value.
 	encodedByBase map[int64]Encoded
 }
 
@@ -128,7 +130,7 @@
 	return Version{Revision: e.Revision, Value: value}, nil
 }
 
-// pack compresses a value with base as its dictionary, if that isn't empty, and adds a
+// pack compresses a value, with base as the dictionary unless base is empty, and adds a
 // checksum.
 func pack(value, base []byte) ([]byte, error) {
 	options := []zstd.EOption{
@@ -164,8 +166,8 @@
 	return r.DecodeAll(packed, nil)
 }
 
-// windowSize returns the smallest power of two that is at least n and minWindowBytes.
-// For this, n counts as no more than maxBytes.
+// windowSize returns the smallest power of two that is at least n, but no less than
+// minWindowBytes and no more than maxBytes.
 func windowSize(n int) int {
 	return max(minWindowBytes, 1<<bits.Len(uint(min(n, maxBytes)-1)))
 }
--- a/internal/fleet/document/holder_test.go
+++ b/internal/fleet/document/holder_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	if want := from.Newest(); v.Revision != want.Revision || !bytes.Equal(v.Value, want.Value) {
-		t.Fatalf("revision %d of %d bytes arrives as %d of %d bytes", want.Revision, len(want.Value), v.Revision, len(v.Value))
+		t.Fatalf("revision %d of %d bytes arrives as revision %d of %d bytes", want.Revision, len(want.Value), v.Revision, len(v.Value))
 	}
 	to.Put(v)
 	return len(e.Bytes)
@@ -64,7 +64,7 @@
 }
 
 // The sender doesn't have the version that the receiver holds: it is no longer kept, or
-// was never there. Guards against a difference that the receiver can't decode.
+// the sender never had it. Guards against a difference that the receiver can't decode.
 func TestReceiverFarBehindGetsFullVersion(t *testing.T) {
 	from, to := &Versions{}, &Versions{}
 	from.Put(Version{Revision: 1, Value: document(50, 1)})
@@ -81,7 +81,7 @@
 	}
 }
 
-// Guards against a difference that is decoded with another value than its base.
+// Guards against decoding a difference with another value than its base.
 func TestUnpackNeedsTheBase(t *testing.T) {
 	from, to := &Versions{}, &Versions{}
 	from.Put(Version{Revision: 1, Value: document(200, 1)})
@@ -138,7 +138,8 @@
 	}
 }
 
-// Bytes are corrupted in transfer. Guards against a configuration that was never written.
+// Bytes are corrupted in transfer. Guards against accepting a configuration that nobody
+// wrote.
 func TestUnpackRejectsCorruptedData(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 5))
 	from := &Versions{}
--- a/internal/fleet/document/pace.go
+++ b/internal/fleet/document/pace.go
@@ -17,7 +17,7 @@
 	BytesPerSecond float64
 
 	mu     sync.Mutex // guards freeAt
-	freeAt time.Time  // end of the transmission of all admitted copies
+	freeAt time.Time  // end of the time reserved for copies
 }
 
 // Delay returns the delay that Reserve would return for the next copy.
--- a/internal/fleet/document/sender.go
+++ b/internal/fleet/document/sender.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// maxQueueDelay is the longest delay of a copy while another process could send it
-	// instead.
+	// maxQueueDelay is the longest delay with which a copy is sent while another process
+	// could send it instead.
 	maxQueueDelay = 50 * time.Millisecond
-	// maxRecipients is the number of recipients that are recorded for redirects.
+	// maxRecipients is the largest number of recipients that are recorded for redirects.
 	maxRecipients = 64
 )
 
@@ -22,8 +22,8 @@
 	Delay   time.Duration
 }
 
-// Redirect redirects a request to the address of a process that was sent the newest
-// version.
+// Redirect refers the requesting process to the address of a process that was sent the
+// newest version.
 type Redirect struct{ Address string }
 
 func (Copy) isAnswer()     {}
@@ -32,8 +32,8 @@
 // Sender answers requests for the newest version with a copy or a redirect. Set the
 // exported fields before the first call. It is safe for concurrent use.
 //
-// If sixty entries of a data centre requested a value that takes 0.1 s of a link from
-// one entry, the last of them would wait for sixty copies. A request that would have to
+// If sixty entries of a data centre requested from one entry a value that occupies its
+// link for 0.1 s, the last of them would wait for sixty copies. A request that would have to
 // wait is redirected to a process that was already sent a copy, so that the number of
 // possible sources doubles with each transmission time of a copy.
 type Sender struct {
@@ -41,11 +41,11 @@
 	Pacer    *Pacer
 
 	mu sync.Mutex // guards all below
-	// recipients are the addresses to which the version at revision was sent, and next
-	// is the index of the one named in the last redirect.
-	recipients []string
-	next       int
-	revision   int64
+	// recipients are the addresses to which the version at revision was sent, and
+	// lastRedirect is the index of the one named in the last redirect.
+	recipients   []string
+	lastRedirect int
+	revision     int64
 }
 
 // Answer answers a request from the process at addr, which holds the version at the
@@ -61,11 +61,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e.Revision != s.revision {
-		s.revision, s.recipients, s.next = e.Revision, nil, 0
+		s.revision, s.recipients, s.lastRedirect = e.Revision, nil, 0
 	}
 	if len(s.recipients) > 0 && s.Pacer.Delay(now) > maxQueueDelay {
-		s.next = (s.next + 1) % len(s.recipients)
-		return Redirect{Address: s.recipients[s.next]}, nil
+		s.lastRedirect = (s.lastRedirect + 1) % len(s.recipients)
+		return Redirect{Address: s.recipients[s.lastRedirect]}, nil
 	}
 	if len(s.recipients) < maxRecipients {
 		s.recipients = append(s.recipients, addr)
--- a/internal/fleet/document/sender_test.go
+++ b/internal/fleet/document/sender_test.go
@@ -12,12 +12,12 @@
 	// linkFraction the fraction of it that is available to copies.
 	linkRate     = 40e6 / 8
 	linkFraction = 0.5
-	// hopLatency is the latency between two entries, and retryDelay the delay of an
-	// entry that was redirected to one which has no copy yet.
+	// hopLatency is the latency between two entries, and retryDelay the delay after
+	// which an entry retries if the one that it was redirected to has no copy yet.
 	hopLatency = time.Millisecond
 	retryDelay = 50 * time.Millisecond
 	tick       = time.Millisecond
-	// urgentBytes is the size of a message about the removal of an endpoint.
+	// urgentBytes is the size of a message that reports the removal of an endpoint.
 	urgentBytes = 400
 )
 
@@ -70,8 +70,8 @@
 	return m
 }
 
-// step lets all entries without the new version request it when their time has come,
-// and advances the clock by a tick.
+// step lets each entry that doesn't have the new version request it if its nextRequest
+// has come, and advances the clock by a tick.
 func (m *model) step(t *testing.T) {
 	t.Helper()
 	for i, n := range m.nodes {
@@ -125,8 +125,9 @@
 }
 
 // A configuration grows while endpoints are removed, and all entries of a data centre
-// receive both over the link of one entry. Guards against a removal that is known seconds
-// late, and against a configuration that reaches the last entry too late.
+// receive the configuration and the removals over the link of one entry. Guards against a
+// removal that is known seconds late, and against a configuration that reaches the last
+// entry too late.
 func TestUrgentWordPassesALargeValue(t *testing.T) {
 	const (
 		maxUrgent = 150 * time.Millisecond
@@ -143,7 +144,7 @@
 				last, urgent := m.run(t)
 				t.Logf("%d routes, %d entries, grows %v: last copy after %v, slowest urgent message %v", routes, entries, grows, last, urgent)
 				if last > maxLast || urgent > maxUrgent {
-					t.Errorf("%d routes, %d entries: last copy after %v, urgent message after %v", routes, entries, last, urgent)
+					t.Errorf("%d routes, %d entries: last copy after %v, slowest urgent message %v", routes, entries, last, urgent)
 				}
 			}
 		}
@@ -157,8 +158,8 @@
 	vs := &Versions{}
 	vs.Put(Version{Revision: 1, Value: document(1500, 1)})
 	s := &Sender{Versions: vs, Pacer: &Pacer{BytesPerSecond: 100e3}}
-	ask := func(asker string) Answer {
-		a, err := s.Answer(asker, 0, now)
+	ask := func(addr string) Answer {
+		a, err := s.Answer(addr, 0, now)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/fanout/tree.go
+++ b/internal/fleet/fanout/tree.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	// MaxDirectEntries is the largest number of entries to which loads, and the
-	// entries' reports of their work, are sent directly.
+	// MaxDirectEntries is the largest number of entries in a fleet in which loads, and
+	// the entries' reports of their work, are sent to each entry directly.
 	MaxDirectEntries = 10
 	// MaxSubgroupEntries is the largest size of a subgroup of entries in a larger
-	// fleet, in which one entry forwards these messages within its data centre.
+	// fleet. One entry of each subgroup, whose entries are in one data centre, forwards
+	// these messages to the others.
 	MaxSubgroupEntries = 64
 )
 
@@ -30,13 +31,14 @@
 	// MaxSize is the largest size of a subgroup.
 	MaxSize int
 
-	mu       sync.Mutex // guards failed
+	mu       sync.Mutex // guards failedAt
 	failedAt map[string]time.Time
 }
 
-// Subgroups splits processes into subgroups, each within one data centre and those of
-// a data centre of about equal sizes. Up to MaxDirect processes become subgroups of
-// one. The result doesn't depend on the order of the processes.
+// Subgroups splits processes into subgroups. Each is within one data centre, and the
+// sizes of those of one data centre differ by at most one. If there are at most
+// MaxDirect processes, each becomes a subgroup of its own. The result doesn't depend on
+// the order of the processes.
 func (t *Tree) Subgroups(processes []fleet.Member) []Subgroup {
 	sorted := slices.SortedFunc(slices.Values(processes), func(a, b fleet.Member) int {
 		return cmp.Or(cmp.Compare(a.DataCentre, b.DataCentre), cmp.Compare(a.Name, b.Name))
@@ -68,12 +70,12 @@
 }
 
 // Delegate returns the member through which a subgroup is reached: the first that
-// never failed, or else the one whose last failure is the longest ago. The subgroup
-// must not be empty.
+// never failed or, if all have failed, the one whose last failure is the longest ago.
+// The subgroup must not be empty.
 //
 // A delegate that froze or was unreachable for some seconds is used again only after
-// all others have failed. Were it retried after a fixed time, its whole subgroup would
-// be unreachable with each retry that fails.
+// all others have failed. If it were retried after a fixed time, its whole subgroup
+// would be unreachable during each retry that fails.
 func (t *Tree) Delegate(s Subgroup) fleet.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/fleet/fanout/tree_test.go
+++ b/internal/fleet/fanout/tree_test.go
@@ -33,7 +33,7 @@
 		}
 		for _, m := range s {
 			if seen[m.Name] || dataCentreOf[m.Name] != dataCentreOf[s[0].Name] {
-				t.Errorf("%s of %s is in the subgroup %v, before: %v", m.Name, dataCentreOf[m.Name], s, seen[m.Name])
+				t.Errorf("%s of %s is in subgroup %v, already in a subgroup: %v", m.Name, dataCentreOf[m.Name], s, seen[m.Name])
 			}
 			seen[m.Name] = true
 		}
@@ -43,8 +43,8 @@
 	}
 }
 
-// Guards against a process in no subgroup, which is never reached, or in two
-// subgroups, for which two delegates answer, at any size of a group.
+// Guards against a process that is in no subgroup, and so never reached, or in two, so
+// that two delegates answer for it, at any number of processes.
 func TestEachProcessIsInOneSubgroup(t *testing.T) {
 	tree := &Tree{MaxDirect: 16, MaxSize: 13}
 	for _, c := range []struct{ processes, dataCentres, maxSize, subgroups int }{
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -9,34 +9,35 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/fleet/fleetpb"
 )
 
-// maxLists is the number of lists of targets that a process caches: those of the
-// groups that send to it, before and after their members changed.
+// maxLists is the largest number of lists of targets that a process caches: those of
+// the groups whose messages it receives, before and after their members changed.
 const maxLists = 16
 
-// TargetLists caches lists of targets by name, so that messages sent several times a
+// TargetLists caches lists of targets by hash, so that messages sent several times a
 // second need not contain them. It is safe for concurrent use.
 type TargetLists struct {
 	mu     sync.Mutex
-	byName map[uint64][]*fleetpb.Target
+	byHash map[uint64][]*fleetpb.Target
 }
 
-// Resolve returns the targets of a message that names its list by id. Targets
-// contained in the message are cached under id; a message without targets gets those
-// cached under id, or nil if there are none.
-func (l *TargetLists) Resolve(id uint64, targets []*fleetpb.Target) []*fleetpb.Target {
+// Resolve returns the targets of a message that identifies its list by hash. If the
+// message contains targets, Resolve caches and returns them. Otherwise it returns the
+// list cached under hash, or nil if there is none.
+func (l *TargetLists) Resolve(hash uint64, targets []*fleetpb.Target) []*fleetpb.Target {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(targets) == 0 {
-		return l.byName[id]
+		return l.byHash[hash]
 	}
-	if l.byName == nil || len(l.byName) >= maxLists {
-		l.byName = map[uint64][]*fleetpb.Target{}
+	if l.byHash == nil || len(l.byHash) >= maxLists {
+		l.byHash = map[uint64][]*fleetpb.Target{}
 	}
-	l.byName[id] = targets
+	l.byHash[hash] = targets
 	return targets
 }
 
-// TargetListHash returns a hash of the targets, in their order, which names the list.
+// TargetListHash returns a hash of the targets in their order, which identifies the
+// list.
 func TargetListHash(targets []*fleetpb.Target) uint64 {
 	h := xxhash.New()
 	writeString := func(s string) {
@@ -54,24 +55,24 @@
 	return h.Sum64()
 }
 
-// SentLists records the list that was last sent to each process. It is safe for
+// SentLists records the hash of the list that was last sent to each process. It is safe for
 // concurrent use.
 type SentLists struct {
 	mu    sync.Mutex
 	lists map[string]uint64
 }
 
-// MarkSent reports whether the list was the last one sent to a process, and records it
-// as sent.
-func (s *SentLists) MarkSent(process string, list uint64) bool {
+// MarkSent records that the list with the hash is sent to a process, and reports
+// whether it already was the last one sent to it.
+func (s *SentLists) MarkSent(process string, hash uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lists == nil {
 		s.lists = map[string]uint64{}
 	}
 	known, ok := s.lists[process]
-	s.lists[process] = list
-	return ok && known == list
+	s.lists[process] = hash
+	return ok && known == hash
 }
 
 // Forget records that a process may not have the list that was sent to it.
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -69,7 +69,7 @@
 	return Kind(kind), name, true
 }
 
-// Store is the part of the key-value service that a Registrar uses.
+// Store is the part of the platform's store that a Registrar uses.
 type Store interface {
 	Txn(ctx context.Context, t platform.Txn) (platform.TxnReply, error)
 	Grant(ctx context.Context, ttl time.Duration) (platform.LeaseID, error)
@@ -82,8 +82,8 @@
 	// counts as gone. A dead process that is still listed does little harm, so the
 	// time is long and renewals cost few calls.
 	LeaseTTL = 9 * time.Second
-	// minRetryDelay is the delay after a failed call. It doubles with each further
-	// failure, up to maxRetryDelay.
+	// minRetryDelay is the delay after the first failed call. It doubles with each
+	// further failure, up to maxRetryDelay.
 	minRetryDelay = 500 * time.Millisecond
 	maxRetryDelay = 2 * time.Second
 	// revokeTimeout bounds the call that revokes the lease when the process ends.
@@ -99,22 +99,22 @@
 	OnError func(error)
 	// OnRecovered, if set, is called when a call succeeds after others failed.
 	OnRecovered func()
-	// RenewNow is raised when leases may have expired; the lease is then renewed at
-	// once.
+	// RenewNow makes Run renew the lease at once. Raise it when leases may have
+	// expired. It must not be nil.
 	RenewNow *wake.Signal
 }
 
 // Run keeps the key registered until ctx ends, and then revokes its lease. It always
 // returns nil.
 //
-// All leases expire in an outage of the store. A process notices the loss of its own
-// only when it renews it, up to a third of LeaseTTL later, and is invisible to the
-// others until then. A process that sees a key of the fleet vanish therefore raises
+// All leases expire in an outage of the store. A process notices that its own lease has
+// expired only at the next renewal, up to a third of LeaseTTL later, and is invisible to
+// the others until then. A process that sees a key of the fleet vanish therefore raises
 // RenewNow to renew its own lease at once.
 //
 // The delay between retries grows because in an outage hundreds of processes would
-// otherwise each call the store twice a second, and use up its capacity as it
-// recovers.
+// otherwise each call the store twice a second, and use up the capacity that it has
+// while it recovers.
 func (r *Registrar) Run(ctx context.Context) error {
 	var lease platform.LeaseID
 	failed, retryDelay := false, minRetryDelay
--- a/internal/fleet/member_test.go
+++ b/internal/fleet/member_test.go
@@ -15,13 +15,13 @@
 // it can be made unreachable.
 type fakeStore struct {
 	writes      atomic.Int64
-	lapsed      atomic.Bool
+	expired     atomic.Bool
 	unreachable atomic.Bool
 }
 
 func (s *fakeStore) Txn(context.Context, platform.Txn) (platform.TxnReply, error) {
 	s.writes.Add(1)
-	s.lapsed.Store(false)
+	s.expired.Store(false)
 	return platform.NewTxnReply(1, true), nil
 }
 
@@ -33,7 +33,7 @@
 }
 
 func (s *fakeStore) KeepAlive(context.Context, platform.LeaseID) (time.Duration, error) {
-	if s.lapsed.Load() {
+	if s.expired.Load() {
 		return 0, platform.Refused("no such lease", true)
 	}
 	return LeaseTTL, nil
@@ -41,7 +41,8 @@
 
 func (s *fakeStore) Revoke(context.Context, platform.LeaseID) error { return nil }
 
-// All leases expire in an outage of the store. After one, the leader of a group did not
+// All leases expire in an outage of the store. Guards against a key that is written
+// again only at the next regular renewal: after an outage, the leader of a group did not
 // see several ranks for 3 s, because their agents had not yet renewed their leases, and
 // a held step stayed held for as long.
 func TestLapsedKeyIsWrittenAgainAtOnce(t *testing.T) {
@@ -52,7 +53,7 @@
 	done := make(chan error, 1)
 	go func() { done <- r.Run(ctx) }()
 	eventually(t, func() bool { return store.writes.Load() == 1 })
-	store.lapsed.Store(true)
+	store.expired.Store(true)
 	renewNow.Raise()
 	eventually(t, func() bool { return store.writes.Load() == 2 })
 	cancel()
@@ -62,11 +63,11 @@
 }
 
 // The store is unreachable and recovers. Checks that OnRecovered is called: the process
-// can't rely on its polls to notice, which may hang for long.
+// can't rely on its polls to notice the recovery, because they may hang for a long time.
 func TestStoreRecoveryIsReported(t *testing.T) {
 	t.Parallel()
 	store, recovered := &fakeStore{}, make(chan struct{}, 1)
-	store.lapsed.Store(true)
+	store.expired.Store(true)
 	store.unreachable.Store(true)
 	r := &Registrar{
 		Store: store, Member: Member{Kind: Agent, Name: "a"}, RenewNow: &wake.Signal{},
@@ -82,13 +83,13 @@
 	}
 }
 
-// The store answers no call for eight seconds. Guards against continuous retries
-// meanwhile, and against a key that is written again only long after the recovery.
+// The store answers no call for 8 s. Guards against continuous retries in this time, and
+// against a key that is written only long after the recovery.
 func TestOutageIsAskedIntoSeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const outage, maxCalls = 8 * time.Second, 7
 		store := &fakeStore{}
-		store.lapsed.Store(true)
+		store.expired.Store(true)
 		store.unreachable.Store(true)
 		calls := 0
 		r := &Registrar{
@@ -122,7 +123,7 @@
 	t.Helper()
 	for end := time.Now().Add(LeaseTTL / 3); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the key was not written in time")
+			t.Fatal("the key was not written within a third of LeaseTTL")
 		}
 	}
 }
--- a/internal/fleet/readers/basis.go
+++ b/internal/fleet/readers/basis.go
@@ -6,8 +6,8 @@
 )
 
 // PollSlack is the time by which a poll of the store may exceed its wait before it counts
-// as unanswered. The store answers in milliseconds; 500 ms is more than its slow answers
-// take within the time limit for a change of the configuration.
+// as unanswered. The store answers in milliseconds. 500 ms is more than its slow answers
+// take, and fits within the time limit for a change of the configuration.
 const PollSlack = 500 * time.Millisecond
 
 const (
@@ -17,8 +17,8 @@
 	waitFraction = 0.35
 	maxWait      = 1500 * time.Millisecond
 	// lateMargin is the time after the end of its wait from which a poll is late. The
-	// store's slow answers take less. A late poll stays pending while other processes
-	// try the store.
+	// store's slow answers take less time than that. A late poll stays pending while
+	// other processes poll the store.
 	lateMargin = 250 * time.Millisecond
 )
 
@@ -38,8 +38,8 @@
 // may be served to others.
 const ageMargin = 400 * time.Millisecond
 
-// Freshness tracks where the state of a process comes from and whether it is current, and
-// thereby whether others may get updates from the process. Set the exported fields
+// Freshness tracks where the state of a process comes from and whether it is current. This
+// decides whether other processes may get updates from it. Set the exported fields
 // before the first call. It is safe for concurrent use.
 type Freshness struct {
 	// Self is the name of the process.
@@ -49,7 +49,7 @@
 
 	mu        sync.Mutex // guards all below
 	storeLost bool
-	// origin is the process that got this one's state from the store itself.
+	// origin is the name of the process that got this one's state from the store itself.
 	origin string
 	// lateAt is the time from which the pending call to the store is late.
 	lateAt time.Time
@@ -76,14 +76,14 @@
 	return !late.IsZero() && !now.Before(late)
 }
 
-// NoteFailure records that the store did not answer the process. It reports whether the
-// process had not lost the store before.
+// NoteFailure records that the store did not answer the process. It reports whether this
+// is new: the process had not lost the store before.
 func (f *Freshness) NoteFailure() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	was := f.storeLost
+	wasLost := f.storeLost
 	f.storeLost, f.lateAt = true, time.Time{}
-	return !was
+	return !wasLost
 }
 
 // NoteUpdate records an update that origin, the process itself or another one, got from
@@ -91,39 +91,41 @@
 func (f *Freshness) NoteUpdate(origin string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	was := f.storeLost
+	wasLost := f.storeLost
 	f.storeLost, f.origin, f.lateAt = false, origin, time.Time{}
-	return was
+	return wasLost
 }
 
-// Origin returns the process that got the state of this one from the store itself.
+// Origin returns the name of the process that got the state of this one from the store
+// itself.
 func (f *Freshness) Origin() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.origin
 }
 
-// Lost reports whether the process gets no updates since the store did not answer it.
+// Lost reports whether the store did not answer the process and the process has got no
+// update since, from the store or from another process.
 func (f *Freshness) Lost() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.storeLost
 }
 
-// Answer returns the answer to a request of the process asker, given that this process
-// knows all changes made before the time asked.
+// Answer returns the answer to a request of the process requester, given that this
+// process knows all changes made before knownAt.
 //
 // Two processes that get their updates from each other would both stop polling the
 // store, and each would take the lack of updates from the other as proof that nothing
 // has changed. A late poll proves nothing either: the connection to the store may be
 // dead for this process alone.
-func (f *Freshness) Answer(asker string, asked, now time.Time) Answer {
+func (f *Freshness) Answer(requester string, knownAt, now time.Time) Answer {
 	switch {
 	case f.Lost():
 		return StoreLost
-	case f.Origin() == asker:
+	case f.Origin() == requester:
 		return OwnState
-	case f.isLate(now), now.Sub(asked) > 2*f.Wait+ageMargin:
+	case f.isLate(now), now.Sub(knownAt) > 2*f.Wait+ageMargin:
 		return NotCurrent
 	default:
 		return Fresh
--- a/internal/fleet/readers/choice.go
+++ b/internal/fleet/readers/choice.go
@@ -11,8 +11,8 @@
 const (
 	// maxReaders is the number of processes of a data centre that may poll the store
 	// while it answers none of them: enough that one of them reaches a store which
-	// rejects one in three VMs. As many after them may poll it when these have no
-	// updates.
+	// rejects one in three VMs. As many of the processes after them may poll it when
+	// these have no updates.
 	maxReaders = 3
 	// notCurrentBackoff is the time for which a process without updates is skipped, and
 	// noAnswerBackoff that for one which did not answer: each attempt to reach it takes
@@ -20,17 +20,18 @@
 	notCurrentBackoff = time.Second
 	noAnswerBackoff   = 3 * time.Second
 	// ownStateBackoff is the time for which a process is skipped whose state comes from
-	// this process. It answers so at once.
+	// this process. It answers OwnState at once.
 	ownStateBackoff = 2 * time.Second
 	// storeLostBackoff is the time for which a process is skipped that the store
-	// doesn't answer. It retries the store every second or two, and a process that
-	// returns to it meanwhile waits until that call is late.
+	// doesn't answer. It retries the store every second or two, and a request to it
+	// during a retry waits until the retry is late.
 	storeLostBackoff = 8 * time.Second
-	// leavingBackoff is the time for which a process is skipped that is shutting down:
-	// longer than it takes to stop and restart.
-	leavingBackoff = 12 * time.Second
-	// directPollInterval is the interval between two polls of the store by a process
-	// whose sources don't reach it. Account keys are accepted for twice as long.
+	// shuttingDownBackoff is the time for which a process is skipped that is shutting
+	// down: longer than it takes to stop and restart.
+	shuttingDownBackoff = 12 * time.Second
+	// directPollInterval is the interval between two polls of the store by a process that
+	// is not a reader and whose sources don't reach the store. Account keys are accepted
+	// for twice as long.
 	directPollInterval = 2500 * time.Millisecond
 )
 
@@ -47,7 +48,7 @@
 	StoreLost
 	// OwnState means that the state of the process comes from the requesting process.
 	OwnState
-	// ShuttingDown means that the process is shutting down. It answers so at once.
+	// ShuttingDown means that the process is shutting down. It answers this at once.
 	ShuttingDown
 	// Fresh means that the process served the current state or its changes.
 	Fresh
@@ -61,8 +62,8 @@
 
 	lastAnswers map[string]pastAnswer
 	// lastDirectPoll is the time of the last poll of the store that was made because
-	// no source reached it. storeFailedAt is the time at which the store did not answer
-	// this process, or zero if it answered the last call.
+	// no source reached it. storeFailedAt is the time at which the last call to the
+	// store failed, or zero if the store answered it.
 	lastDirectPoll, storeFailedAt time.Time
 	// uninformed reports that the last request to another process brought no update,
 	// for another reason than ShuttingDown, and the store has not been called since.
@@ -87,7 +88,7 @@
 	case OwnState:
 		return now.Sub(p.at) >= ownStateBackoff
 	case ShuttingDown:
-		return now.Sub(p.at) >= leavingBackoff
+		return now.Sub(p.at) >= shuttingDownBackoff
 	default:
 		return now.Sub(p.at) >= noAnswerBackoff
 	}
@@ -96,10 +97,11 @@
 // Source returns the name of the process to request updates from, or "" for the store.
 // others are the names of all processes of the data centre, with or without Self.
 //
-// Processes that recently had no updates are replaced as readers by as many of those
-// after them, at most maxReaders: that three can't reach the store doesn't show whether
-// it answers the others. A process that may poll the store does so once if its last
-// request brought no update, as the next source may be cut off from the store as well.
+// Processes that recently had no updates are replaced as readers by as many of the
+// processes after them, at most maxReaders: if three can't reach the store, it may still
+// answer the others. A process that may poll the store does so once if its last request
+// to another process brought no update, because the next source may be cut off from the
+// store as well.
 func (s *SourceSelector) Source(others []string, now time.Time) string {
 	order := s.takeoverOrder(others, now)
 	ownIndex := slices.Index(order, s.Self)
@@ -131,8 +133,8 @@
 	return ""
 }
 
-// usable returns those of the first 2*maxReaders processes, which may become readers,
-// that may have updates. It keeps their order.
+// usable returns the processes that may have updates among the first 2*maxReaders, which
+// are those that may become readers. It keeps their order.
 func (s *SourceSelector) usable(all []string, now time.Time) []string {
 	var out []string
 	for _, name := range all[:min(len(all), 2*maxReaders)] {
--- a/internal/fleet/readers/choice_test.go
+++ b/internal/fleet/readers/choice_test.go
@@ -38,13 +38,13 @@
 
 // One reader, or all three, shut down and spend eight seconds on their last requests.
 // Guards against processes that return to them every second, or get no updates because
-// the leaving readers have none, and against all others polling the store.
+// these readers have none, and against all others polling the store.
 func TestThoseThatLeaveAreNotAskedAgain(t *testing.T) {
-	for _, n := range []int{1, maxReaders} { // each reader that leaves costs a request
+	for _, n := range []int{1, maxReaders} { // each reader that shuts down costs a request
 		s := newSimulation(12)
 		s.run(time.Second)
 		for _, name := range s.selectors["entry0"].takeoverOrder(s.names, s.now)[:n] {
-			s.leaving[name] = true
+			s.shuttingDown[name] = true
 		}
 		clear(s.switches)
 		calls := 0
@@ -52,18 +52,18 @@
 		for range ticks {
 			calls += s.run(tick)
 			for _, name := range s.names {
-				if age := s.now.Sub(s.knownAt[name]); !s.leaving[name] && age > time.Duration(4+n)*tick {
-					t.Fatalf("%d leave: the state of %s is %v old", n, name, age)
+				if age := s.now.Sub(s.knownAt[name]); !s.shuttingDown[name] && age > time.Duration(4+n)*tick {
+					t.Fatalf("%d shut down: the state of %s is %v old", n, name, age)
 				}
 			}
 		}
 		for name, switches := range s.switches {
 			if switches > n+1 {
-				t.Errorf("%d leave: %s changed its source %d times", n, name, switches)
+				t.Errorf("%d shut down: %s changed its source %d times", n, name, switches)
 			}
 		}
 		if maxCalls := ticks + n; calls > maxCalls {
-			t.Errorf("%d leave: %d calls, want at most %d", n, calls, maxCalls)
+			t.Errorf("%d shut down: %d calls, want at most %d", n, calls, maxCalls)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 			}
 		}
 		if fraction := float64(fresh) / float64(ticks); fraction < minFresh {
-			t.Errorf("%d processes: the state of the others is current in %.2f of the time", n, fraction)
+			t.Errorf("%d processes: the state of the others is current in a fraction %.2f of the time", n, fraction)
 		}
 	}
 }
@@ -148,8 +148,8 @@
 	}
 }
 
-// The store rejects all calls for eight seconds. Guards against all processes polling it
-// continuously in an outage.
+// The store rejects all calls for eight seconds. Guards against an outage in which all
+// processes poll it continuously.
 func TestOutageCostsFewCalls(t *testing.T) {
 	s := newSimulation(31)
 	s.run(time.Second)
--- a/internal/fleet/readers/world_test.go
+++ b/internal/fleet/readers/world_test.go
@@ -9,17 +9,18 @@
 
 var start = time.Unix(1000, 0)
 
-// simulation is a data centre whose processes each send a request to the store or to
-// one another every tick.
+// simulation is a data centre in which each process, every tick, sends a request to the
+// store or to another process, unless it waits for an answer.
 type simulation struct {
 	names     []string
 	selectors map[string]*SourceSelector
-	// dead processes don't run, and calls of rejected ones fail at once at the store.
+	// dead processes don't run. The store rejects the calls of rejected ones at once.
 	dead, rejected map[string]bool
-	// leaving processes are shutting down, and neither send requests nor serve others.
-	leaving map[string]bool
+	// shuttingDown processes are shutting down, and neither send requests nor serve others.
+	shuttingDown map[string]bool
 	// Calls of partitioned processes to the store time out. timedOut holds those of
-	// them that have had such a call, and callEnds the end of the pending one.
+	// them that have had such a call, and callEnds the time at which the pending one
+	// times out.
 	partitioned, timedOut map[string]bool
 	callEnds              map[string]time.Time
 	// waiting holds the pending request of each process to another one.
@@ -42,14 +43,15 @@
 
 const (
 	tick = 100 * time.Millisecond
-	// retryPollWait is the wait of a poll if the store did not answer the last one.
+	// retryPollWait is the wait of a poll if the store did not answer the last one, or
+	// if the state of the process comes from another one.
 	retryPollWait = 50 * time.Millisecond
 )
 
 func newSimulation(n int) *simulation {
 	s := &simulation{
 		selectors: map[string]*SourceSelector{}, dead: map[string]bool{}, rejected: map[string]bool{},
-		leaving: map[string]bool{}, partitioned: map[string]bool{}, timedOut: map[string]bool{}, callEnds: map[string]time.Time{},
+		shuttingDown: map[string]bool{}, partitioned: map[string]bool{}, timedOut: map[string]bool{}, callEnds: map[string]time.Time{},
 		waiting:   map[string]pendingRequest{},
 		freshness: map[string]*Freshness{}, switches: map[string]int{}, lastSource: map[string]string{},
 		knownAt: map[string]time.Time{}, now: start,
@@ -64,8 +66,8 @@
 	return s
 }
 
-// newLongPollSimulation returns a simulation with the poll waits for changes that have to
-// be in force within the time change. It has already run for a second.
+// newLongPollSimulation returns a simulation whose polls wait as long as they do where
+// changes have to be in force within the time change. It has already run for a second.
 func newLongPollSimulation(n int, change time.Duration) *simulation {
 	s := newSimulation(n)
 	for _, f := range s.freshness {
@@ -80,7 +82,7 @@
 	s.calls = 0
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(tick) {
 		for _, name := range s.names {
-			if !s.dead[name] && !s.leaving[name] {
+			if !s.dead[name] && !s.shuttingDown[name] {
 				s.step(name)
 			}
 		}
@@ -88,7 +90,7 @@
 	return s.calls
 }
 
-// step lets a process send a request, or continues its pending one.
+// step makes a process send a request, or continues its pending one.
 func (s *simulation) step(name string) {
 	selector := s.selectors[name]
 	if until, ok := s.callEnds[name]; ok {
@@ -131,7 +133,7 @@
 }
 
 // running reports whether a process runs and isn't shutting down.
-func (s *simulation) running(name string) bool { return !s.dead[name] && !s.leaving[name] }
+func (s *simulation) running(name string) bool { return !s.dead[name] && !s.shuttingDown[name] }
 
 // answer returns the answer of source to a request of the process name.
 func (s *simulation) answer(name, source string) Answer {
@@ -150,7 +152,7 @@
 	s.receive(name, q.source)
 }
 
-// sendUnansweredPoll lets a process send a poll to the store that will time out.
+// sendUnansweredPoll makes a process send a poll to the store that will time out.
 func (s *simulation) sendUnansweredPoll(name string) {
 	due := s.now.Add(s.freshness[name].Wait)
 	if s.timedOut[name] || s.freshness[name].Origin() != name {
@@ -164,7 +166,7 @@
 func (s *simulation) receive(name, source string) {
 	a := NoAnswer
 	switch {
-	case s.leaving[source]:
+	case s.shuttingDown[source]:
 		a = ShuttingDown
 	case !s.dead[source]:
 		a = s.answer(name, source)
@@ -176,8 +178,8 @@
 	}
 }
 
-// checkFresh verifies that the state of no process, unless it is dead, is older than
-// within.
+// checkFresh verifies that the state of each process that isn't dead is at most within
+// old.
 func (s *simulation) checkFresh(t *testing.T, within time.Duration) {
 	t.Helper()
 	for _, name := range s.names {
@@ -187,8 +189,8 @@
 	}
 }
 
-// maxAge advances the simulation by d and returns the greatest age that the state of a
-// process had, except for some processes.
+// maxAge advances the simulation by d and returns the greatest age that the state of any
+// process had in that time, other than those in except.
 func (s *simulation) maxAge(d time.Duration, except ...string) time.Duration {
 	var age time.Duration
 	for end := s.now.Add(d); s.now.Before(end); {
