--- a/internal/platform/mirror/copy.go
+++ b/internal/platform/mirror/copy.go
@@ -32,7 +32,7 @@
 	// separateRevision is the revision of the value of SeparateKey that the process
 	// holds.
 	separateRevision int64
-	// updated, unless nil, is closed by the next update.
+	// updated, unless nil, is closed by the next call of Apply or Advance.
 	updated chan struct{}
 }
 
--- a/internal/platform/mirror/copy_test.go
+++ b/internal/platform/mirror/copy_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Processes get updates from the service and from each other in random order, also
-// from processes that are behind or ahead. Guards against a change that is lost or
+// Processes get updates from the service and from each other in random order, and some
+// of them are behind or ahead of others. Guards against a change that is lost or
 // undone, and against a knownAt later than the last change that is known.
 func TestCopiesTellWhatTheServiceTold(t *testing.T) {
 	for seed := range uint64(300) {
@@ -148,10 +148,10 @@
 		t.Errorf("%d changes are kept", len(c.events))
 	}
 	if u, ok := c.Since(1, true); !ok || !u.Complete || len(u.KVs) != 7 {
-		t.Errorf("a reader far behind gets whole %v, %d items", u.Complete, len(u.KVs))
+		t.Errorf("a reader far behind gets complete %v, %d items", u.Complete, len(u.KVs))
 	}
 	if u, ok := c.Since(3*maxEvents-2, true); !ok || u.Complete || len(u.KVs) != 1 {
-		t.Errorf("a reader that lacks one change gets whole %v, %d items", u.Complete, len(u.KVs))
+		t.Errorf("a reader that lacks one change gets complete %v, %d items", u.Complete, len(u.KVs))
 	}
 }
 
@@ -171,8 +171,8 @@
 }
 
 // A process starts to read the service in place of another while its own state is old.
-// Guards against account keys that are no longer accepted because the first poll waits
-// for a change.
+// Guards against account keys that are no longer accepted while the first poll waits for
+// a change.
 func TestPollWaitShrinksWithAge(t *testing.T) {
 	m := &Mirror{Wait: time.Second}
 	ages := []time.Duration{0, time.Second, 1700 * time.Millisecond, 2 * time.Second, 3 * time.Second, time.Hour}
@@ -199,7 +199,7 @@
 	follower
 
 	separateMissing bool
-	pendingKnownAt  time.Time // of the update that announced pendingRevision
+	pendingKnownAt  time.Time // RequestedAt of the update that announced pendingRevision
 	pendingRevision int64
 	heldRevision    int64
 }
@@ -236,7 +236,7 @@
 }
 
 // A large value is transferred separately and later, also by processes that are behind.
-// Guards against a process whose knownAt is later than a value that it lacks: an
+// Guards against a process that lacks a value which was in force before its knownAt: an
 // account key that the value revokes would be accepted for longer.
 func TestWhatIsToldApartIsNotClaimed(t *testing.T) {
 	for seed := range uint64(300) {
@@ -276,8 +276,8 @@
 	}
 }
 
-// checkSeparate verifies that the follower holds the value that was in force at its
-// knownAt.
+// checkSeparate verifies that the follower holds the value of key0 that was in force at
+// its knownAt, or a later one.
 func (f *separateFollower) checkSeparate(t *testing.T, seed uint64, h *history) {
 	t.Helper()
 	inForce := int64(0)
@@ -295,9 +295,9 @@
 	}
 }
 
-// A peer announces a large value, and the process polls the service before the
-// value was transferred. Guards against a poll from after the announcement, which would
-// never return the value.
+// A peer announces a large value, and the process polls the service before the value has
+// been transferred. Guards against a poll from the revision of the announcement, which
+// would never return the value.
 func TestServiceIsAskedFromWhereNothingLacked(t *testing.T) {
 	var polled []int64
 	updates := []Update{
--- a/internal/platform/mirror/mirror.go
+++ b/internal/platform/mirror/mirror.go
@@ -28,9 +28,9 @@
 	// pageLimit is the number of keys requested per call of List.
 	pageLimit = 500
 	// minRetryDelay and maxRetryDelay bound the delay after a failed call, which
-	// doubles with each further failure. The recovery of the service is noticed
-	// within the second that the configuration allows for it, and an outage of
-	// 10 s costs each process about 25 calls.
+	// doubles with each further failure. With these bounds, the recovery of the
+	// service is noticed within the second that the configuration allows for it, and
+	// an outage of 10 s costs each process about 25 calls.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 450 * time.Millisecond
 )
@@ -52,10 +52,10 @@
 	FromPeer bool
 	// SeparateRevision is the revision of the value of Copy.SeparateKey, which is
 	// transferred separately: the revision that the process holds or, in an update
-	// from a peer, that the peer holds.
+	// from a peer, the one that the peer holds.
 	SeparateRevision int64
-	// SeparateMissing reports that the process doesn't hold that value yet. Only
-	// once it does, it knows every change made before RequestedAt.
+	// SeparateMissing reports that the process doesn't hold that value yet. Until
+	// it does, it may lack a change made before RequestedAt.
 	SeparateMissing bool
 }
 
@@ -76,7 +76,7 @@
 	Reader Reader
 	Prefix string
 	// Wait is the longest time that a poll waits for a change. It bounds the age
-	// of the process's knowledge while nothing changes.
+	// of the known state while nothing changes.
 	Wait time.Duration
 	// Settle is the pause after an answer of the service with changes. Changes
 	// come in bursts, as when a fleet starts or a data centre recovers, and calls
@@ -87,22 +87,22 @@
 	// answer with changes, during the first StartupPeriod of Run. If it is 0, the
 	// pause is always Settle.
 	MaxSettle, StartupPeriod time.Duration
-	// Repoll, if set, aborts the pending poll and sends it again when raised. Raise
+	// Repoll, if set, makes the Mirror abort the pending poll and send it again. Raise
 	// it when other calls show that the service is reachable again.
 	//
 	// A poll that was pending when the service became unreachable may never be
 	// answered. Where few keys change under the prefix, this shows only at the end
-	// of its wait: after an outage of 6 s a group of ranks had no leader for 5 s
-	// more, since no process saw that the last leader's lease had expired.
+	// of its wait: after an outage of 6 s a group of ranks had no leader for another
+	// 5 s, since no process saw that the last leader's lease had expired.
 	Repoll *wake.Signal
 	// Peer, if set, is called before the service. It returns the changes that
 	// another process received from the service after a revision, or the complete
 	// state if known is false, and sets Recovered of the update itself. If it
 	// returns false, the service is called instead.
 	//
-	// The service is polled from the last update that wasn't SeparateMissing.
-	// Otherwise a value that a peer announced but did not transfer would never
-	// arrive.
+	// The service is polled from the revision of the last update without
+	// SeparateMissing. Otherwise a value that a peer announced but did not transfer
+	// would never arrive.
 	Peer func(ctx context.Context, revision int64, known bool) (Update, bool)
 	// OnRequest, if set, is called before each call to the service with the time at
 	// which the answer is due.
@@ -118,14 +118,14 @@
 // Run follows the prefix until ctx ends. It always returns nil.
 func (m *Mirror) Run(ctx context.Context) error {
 	retryDelay, settle := minRetryDelay, m.Settle
-	// received includes the updates from peers, complete only those updates
-	// after which the process lacked no value.
+	// received is advanced by all updates, also those from peers, complete only by
+	// those without SeparateMissing.
 	received, complete, failed := position{}, position{}, false
 	// knownAt is the time before which all changes are known. unconfirmed reports
 	// that the service did not answer the last call, or that the last update came
 	// from a peer.
 	knownAt, unconfirmed := time.Time{}, false
-	startEnd := m.Now().Add(m.StartupPeriod)
+	startupEnd := m.Now().Add(m.StartupPeriod)
 	for ctx.Err() == nil {
 		u, err := m.fetch(ctx, received, complete, m.pollWait(m.Now().Sub(knownAt), unconfirmed))
 		switch {
@@ -152,7 +152,7 @@
 				continue
 			}
 			pause.For(ctx, settle)
-			if settle = max(settle, min(2*settle, m.MaxSettle)); m.Now().After(startEnd) {
+			if settle = max(settle, min(2*settle, m.MaxSettle)); m.Now().After(startupEnd) {
 				settle = m.Settle
 			}
 		case errors.Is(err, ErrCompacted):
@@ -212,8 +212,8 @@
 	if err != nil {
 		return Update{}, err
 	}
-	// A reordered answer carries an older revision, and polling from there would
-	// repeat changes.
+	// An answer that arrives out of order carries an older revision, and polling
+	// from there would repeat changes.
 	return Update{KVs: c.KVs, Deleted: c.Deleted, Revision: max(c.Revision, complete.revision), RequestedAt: sentAt}, nil
 }
 
--- a/internal/platform/mirror/mirror_test.go
+++ b/internal/platform/mirror/mirror_test.go
@@ -21,7 +21,8 @@
 	pollCount                int
 }
 
-// changeFor makes keys change for a duration, starting now at a revision.
+// changeFor makes the key change for a duration from now on, where from is the revision
+// now.
 func (s *changingService) changeFor(from int64, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,9 +67,9 @@
 	return c, ctx.Err()
 }
 
-// A fleet of a hundred processes starts, and the store changes twenty times a second
-// for five seconds. With a fixed pause after each answer a process made 21 calls in
-// that time and the fleet 900. Checks that the pause grows while changes come, that
+// A fleet of a hundred processes starts, and keys change twenty times a second for five
+// seconds. With a fixed pause after each answer a process made 21 calls in that time and
+// the fleet 900. Checks that the pause grows while changes come, that
 // no change is delayed by more than the pause, and that later on a single change is
 // received at once.
 func TestPauseGrowsWhileChangesCome(t *testing.T) {
@@ -95,8 +96,8 @@
 			t.Errorf("%d calls in 5 s", n)
 		}
 		time.Sleep(5 * time.Second)
-		// After the start-up phase the removal of an endpoint must be received at once,
-		// whatever else changes.
+		// After StartupPeriod the removal of an endpoint must be received at once, however
+		// many other changes there are.
 		s.changeFor(s.revision(), 3*time.Second)
 		before := s.polls()
 		time.Sleep(3 * time.Second)
@@ -135,9 +136,9 @@
 	return c, nil
 }
 
-// The lease of a group's leader expires during an outage of the store of 6 s. The poll
-// that was pending at its beginning is never answered, and nothing else changes under
-// the prefix, so that the group had no leader for 5 s more. Checks that raising Repoll,
+// The lease of a group's leader expires during an outage of the service of 6 s. The poll
+// that was pending when the outage began is never answered, and nothing else changes
+// under the prefix, so that the group had no leader for another 5 s. Checks that raising Repoll,
 // as a process does when its lease renewals are answered again, repeats the poll.
 func TestDoubtedPollIsAskedAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
