--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -16,11 +16,11 @@
 	// its data centre.
 	Service, Address, DataCentre string
 	// Slots is the number of requests that the endpoint runs concurrently, or zero if
-	// it does not state one.
+	// the entry does not state it.
 	Slots int
 	// Draining reports that the endpoint is shutting down.
 	Draining bool
-	// Cold is the cold start time that was left when the endpoint wrote the entry.
+	// Cold is how much longer the endpoint was cold when it wrote the entry.
 	Cold time.Duration
 }
 
@@ -60,8 +60,9 @@
 	// unavailable are retained after its recovery. Running endpoints write their
 	// entries again within this time.
 	RetentionAfterOutage time.Duration
-	// ColdStart returns the cold start time of a service's endpoints; nil means none.
-	// An endpoint in unknown state counts as just started.
+	// ColdStart returns the duration of the cold start of a service's endpoints; nil
+	// means that they have none. An endpoint of which it isn't known whether it is cold
+	// counts as just started.
 	ColdStart func(service string) time.Duration
 
 	entries      map[string]*record
@@ -71,8 +72,8 @@
 	// nextExpiry is when the first retention of a vanished entry ends; zero if no entry
 	// is retained.
 	nextExpiry time.Time
-	// listed reports that the first full listing has been applied: endpoints that
-	// appear later started while this process ran.
+	// listed reports that the first full listing has been applied. Endpoints that
+	// appear later have started while this process ran.
 	listed bool
 }
 
@@ -80,7 +81,7 @@
 func (d *Directory) StoreRecovered(now time.Time) { d.storeRecovered = now }
 
 // Put adds or updates an endpoint from its current store entry. It ignores an entry
-// of an earlier start.
+// of an earlier start than the one known.
 func (d *Directory) Put(e Entry, now time.Time) {
 	d.initMaps()
 	rec := d.entries[e.ID]
@@ -120,8 +121,8 @@
 	}
 }
 
-// MarkMisdirected records that another endpoint answered at the address of an endpoint:
-// the one that started at born is gone.
+// MarkMisdirected records that another endpoint answered at the address of the endpoint
+// with the ID that started at startMillis, which is therefore gone.
 func (d *Directory) MarkMisdirected(id string, startMillis uint64) {
 	if rec := d.entries[id]; rec != nil && rec.endpoint.StartMillis == startMillis {
 		rec.replaced = true
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// Guards against refusing all callers after an outage of the store: leases expired
+// Guards against refusing all callers after an outage of the store: leases expire
 // during the outage, the store reports the vanished entries when it recovers, and the
 // endpoints need two seconds to write them again.
 func TestLapsedEntriesHoldAfterAnOutage(t *testing.T) {
@@ -59,8 +59,8 @@
 	wantIDs(t, d, start)
 }
 
-// Guards against retaining the entry of a draining endpoint that vanished in an
-// outage as if it had merely expired.
+// Guards against sending requests to a draining endpoint, and against retaining its
+// entry when it vanishes in an outage, as if it had merely expired.
 func TestDrainingEndpointIsNotUsable(t *testing.T) {
 	d := newDirectory()
 	e := entry("x", 1, "1:1")
@@ -76,7 +76,7 @@
 
 // After a power loss, engines start under new IDs at their previous addresses, and
 // the old entries remain for some seconds. Guards against sending requests for the
-// old ones: they are answered as misdirected until callers run out of attempts.
+// old IDs: they are answered as misdirected until they run out of attempts.
 func TestLaterStartAtAnAddressEndsTheEarlierOne(t *testing.T) {
 	for _, order := range [][]Entry{
 		{entry("old", 1, "1:1"), entry("new", 2, "1:1")},
