--- a/internal/frontend/apply.go
+++ b/internal/frontend/apply.go
@@ -15,10 +15,10 @@
 )
 
 // peerOutageRecoveryAge is the assumed age of the store's recovery when this entry
-// starts to poll the store because another entry had lost it. The store may have
-// refused only that entry, and then an endpoint whose entry vanishes has really left:
-// if it were retained any longer, it would receive requests after the time at which
-// it must receive none.
+// starts to poll the store because the store did not answer another entry. The store
+// may have refused only that entry, and then an endpoint whose store entry vanishes has
+// really left: if it were retained any longer, it would receive requests after the
+// time at which it must receive none.
 const peerOutageRecoveryAge = 500 * time.Millisecond
 
 // storeFailed records that the store did not answer a read.
@@ -71,6 +71,7 @@
 		f.applyListing(facts, now)
 	}
 	missing := missingDocument{entry: f.source, address: f.sourceAddress, revision: u.SeparateRevision, asOf: u.RequestedAt}
+	// The copy announces to other entries only the configuration that this one holds.
 	u.SeparateRevision = f.documents.Newest().Revision
 	f.storeCopy.Apply(u, recovered)
 	if u.SeparateMissing {
@@ -82,7 +83,7 @@
 	f.advanceFreshness(u.RequestedAt, now)
 }
 
-// origin returns the entry that received an update from the store itself.
+// origin returns the entry that received an update directly from the store.
 func (f *Frontend) origin(u mirror.Update) string {
 	if u.FromPeer {
 		return f.sourceOrigin
@@ -159,7 +160,8 @@
 	}
 }
 
-// applyListing applies a full listing of the store, which contains nothing but facts.
+// applyListing applies a full listing of the store: entries, endpoints and orders to
+// take a data centre out of service that are not among facts no longer exist.
 func (f *Frontend) applyListing(facts []platform.Fact, now time.Time) {
 	ids := map[string]bool{}
 	outOfService := map[string]bool{}
--- a/internal/frontend/document.go
+++ b/internal/frontend/document.go
@@ -24,7 +24,8 @@
 	// documentTimeout limits one request for a copy. It is several times what a
 	// compressed megabyte takes on a slow line.
 	documentTimeout = 750 * time.Millisecond
-	// documentRetryDelay is the mean delay after a request that returned nothing newer.
+	// documentRetryDelay is the mean delay after a request that failed or returned
+	// nothing newer.
 	documentRetryDelay = 50 * time.Millisecond
 	// maxDocumentRedirects is the maximum number of entries asked in turn, each named
 	// by the previous one.
@@ -40,8 +41,8 @@
 	asOf time.Time
 }
 
-// missingTracker holds the configuration that this entry is missing and signals its
-// changes.
+// missingTracker holds the configuration that this entry is missing, and signals when
+// one is set.
 type missingTracker struct {
 	changed wake.Signal
 
--- a/internal/frontend/document_test.go
+++ b/internal/frontend/document_test.go
@@ -18,11 +18,12 @@
 	return []byte(strings.Replace(string(config(version, keys)), `"routes":[`, `"routes":[`+b.String(), 1))
 }
 
-// The configuration grows by 1,500 routes, an endpoint leaves and a key is revoked
-// right after, and the line of the entry that polls the store is slow. Guards against
-// entries that abandon that reader, and learn of the removal seconds later, because
-// all of them are sent the large value at once.
-func TestLeavingIsNotBehindALargeConfiguration(t *testing.T) {
+// The configuration grows by 1,500 routes, an endpoint starts to drain and a key is
+// revoked right after, while all connections between the entries share one slow line.
+// Guards against entries that abandon the entry that polls the store, and learn of the
+// draining endpoint seconds later, because all of them are sent the large value at
+// once.
+func TestLargeConfigurationDoesNotDelayUpdates(t *testing.T) {
 	const routes = 1500
 	s := newSystem(t, 2)
 	s.dial = (&line.Narrow{BytesPerSecond: 500e3}).Dial
@@ -40,7 +41,7 @@
 	}
 	for _, e := range entries {
 		if e.log.Has("entry did not return store updates") {
-			t.Errorf("%s abandoned its reader", e.Settings.Name)
+			t.Errorf("%s abandoned the entry that polls the store", e.Settings.Name)
 		}
 	}
 }
--- a/internal/frontend/follow.go
+++ b/internal/frontend/follow.go
@@ -19,12 +19,14 @@
 	// as unresponsive.
 	followTimeoutMargin = 250 * time.Millisecond
 	// unavailableRetryDelay is the delay before the next request to an entry that had
-	// nothing to report, which it says immediately.
+	// nothing to report. Such an entry answers immediately, so requests without a delay
+	// would form a busy loop.
 	unavailableRetryDelay = 200 * time.Millisecond
 )
 
-// followPeer requests store updates from another entry of the data centre in place of
-// the store. It returns false if the store is to be polled.
+// followPeer requests the store updates after a revision, or the complete state if
+// known is false, from another entry of the data centre in place of the store. It
+// returns false if the store is to be polled.
 func (f *Frontend) followPeer(ctx context.Context, revision int64, known bool) (mirror.Update, bool) {
 	// unavailable holds the entries that had nothing to report.
 	unavailable := map[string]bool{}
@@ -82,7 +84,8 @@
 	}
 	f.sourceOrigin = p.GetOrigin()
 	held := f.documents.Newest().Revision
-	// The other entry counts from the arrival of the request, which is after sent.
+	// The other entry counts from the arrival of the request, which is after sent, so
+	// RequestedAt is not too late.
 	u := mirror.Update{
 		Complete: p.GetWhole(), Deleted: p.GetRemoved(), Revision: p.GetRevision(),
 		RequestedAt:      sent.Add(time.Duration(p.GetAskedMicros()) * time.Microsecond),
@@ -123,7 +126,7 @@
 }
 
 // recoveryValidity is how long a recovery of the store matters to entries that learn
-// of it: as long as entries of endpoints that vanished in the outage are retained.
+// of it: as long as endpoints whose store entries vanished in the outage are retained.
 const recoveryValidity = 2 * time.Second
 
 // Follow implements fleetpb.EntryServer.
@@ -153,7 +156,7 @@
 }
 
 // awaitUpdate waits until updated is closed, at most for wait, and not beyond the
-// time at which the store's answer is late. It returns the error of ctx.
+// time from which the pending call to the store is late. It returns the error of ctx.
 func (f *Frontend) awaitUpdate(ctx context.Context, updated <-chan struct{}, wait time.Duration, now time.Time) error {
 	if late := f.storeStatus.LateAt(); !late.IsZero() {
 		wait = min(wait, late.Sub(now))
@@ -168,8 +171,8 @@
 	return ctx.Err()
 }
 
-// hasChanges reports whether an update contains more for the asking entry than a
-// newer time of validity.
+// hasChanges reports whether an update contains anything for the asking entry besides
+// a later RequestedAt.
 func hasChanges(u mirror.Update, q *fleetpb.FollowRequest) bool {
 	return u.Complete || len(u.KVs)+len(u.Deleted) > 0 || u.SeparateRevision > q.GetDocumentRevision()
 }
--- a/internal/frontend/follow_test.go
+++ b/internal/frontend/follow_test.go
@@ -109,10 +109,10 @@
 func TestReaderFailover(t *testing.T) {
 	s := newSystem(t, 1)
 	entries := s.startEntries(4)
-	first := (&readers.SourceSelector{Self: "entry0"}).Source(names(entries[0].members.all()), boottime.Now())
+	reader := (&readers.SourceSelector{Self: "entry0"}).Source(names(entries[0].members.all()), boottime.Now())
 	remaining := make([]*entry, 0, len(entries))
 	for i, e := range entries {
-		if name := fmt.Sprint("entry", i); name == first || first == "" && i == 0 {
+		if name := fmt.Sprint("entry", i); name == reader || reader == "" && i == 0 {
 			e.stop()
 			continue
 		}
@@ -141,7 +141,7 @@
 
 // A key is revoked while no entry reaches the store. Guards against entries that
 // confirm outdated knowledge to each other in a circle.
-func TestEntriesDoNotFreshenEachOther(t *testing.T) {
+func TestEntriesDoNotConfirmOutdatedKeys(t *testing.T) {
 	s := newSystem(t, 1)
 	entries := s.startEntries(4)
 	s.store.SetFault(standin.Busy)
@@ -172,8 +172,8 @@
 }
 
 // An entry starts to poll the store after another one has lost it, and the store has
-// recovered by then. Guards against dropping endpoints at once whose entries expired
-// in the outage: they are written again within two seconds.
+// recovered by then. Guards against dropping at once the endpoints whose store entries
+// expired in the outage: these are written again within two seconds.
 func TestOutageSeenByAnotherEntryRetainsEndpoints(t *testing.T) {
 	// An endpoint that leaves while the store refuses only one entry must receive no
 	// new request after two seconds, including the delay for batching changes and the
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -68,6 +68,7 @@
 type Frontend struct {
 	Settings *settings.Relay
 	Log      *process.BoundedLog
+	// Registry receives the metrics; nil means a new registry.
 	Registry metrics.Registry
 	// Output receives the log lines; nil means standard output.
 	Output io.Writer
@@ -102,8 +103,8 @@
 	// mirror's goroutine uses sourceSelector and the fields from source to
 	// storeLostByPeer. Once hasSource is set, source and sourceAddress identify the
 	// entry asked last; an empty source is the store. sourceOrigin is the entry that
-	// received the source's updates from the store itself. storeRecovered is the last
-	// recovery of the store that other entries reported.
+	// received the source's updates directly from the store. storeRecovered is the time
+	// of the last recovery of the store that other entries reported.
 	storeCopy      mirror.Copy
 	sourceSelector readers.SourceSelector
 	sourceMetrics  sourceMetrics
@@ -113,9 +114,10 @@
 	hasSource      bool
 	storeRecovered time.Time
 	// storeLostByPeer reports that the store did not answer another entry; the store's
-	// next answer to this entry then counts as its recovery. Entries of endpoints that
-	// expired in an outage are retained for a while after it, but an entry that starts
-	// to poll the store because another one lost it has not seen the outage itself.
+	// next answer to this entry then counts as its recovery. Endpoints whose store
+	// entries expired in an outage are retained for a while after it, but an entry that
+	// starts to poll the store because another one lost it has not seen the outage
+	// itself.
 	storeLostByPeer bool
 	// targetLists holds the lists of engines to which load reports refer.
 	targetLists fleet.TargetLists
@@ -205,7 +207,7 @@
 	parts := []process.Part{
 		f.mirror.Run, registrar.Run, f.workReporter.run, f.forwardWork, f.refreshFromPeers, f.fetchDocuments, f.watchSettings, f.peerServer.Run, f.relay.CloseIdleConns,
 		func(ctx context.Context) error { return f.Log.Run(ctx, f.Output) },
-		f.runServers,
+		f.stopServers,
 	}
 	parts = append(parts, process.MetricsParts(f.Settings.MetricsAddress, f.Registry)...)
 	f.Log.WithField("callers", f.callerServer.Address()).Info("relay started")
@@ -215,8 +217,9 @@
 	})
 }
 
-// runServers stops the servers after the drain, when no request is running.
-func (f *Frontend) runServers(ctx context.Context) error {
+// stopServers waits until ctx is done, which is after the drain, and stops the servers
+// for callers and for readiness checks.
+func (f *Frontend) stopServers(ctx context.Context) error {
 	<-ctx.Done()
 	stopped, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -243,8 +246,8 @@
 	}
 }
 
-// isReady reports whether callers are served better here than elsewhere: they are not
-// by an entry that has no configuration yet, is about to stop, or would refuse all
+// isReady reports whether callers should connect to this entry. Others serve them
+// better if it has no configuration yet, is about to stop, or would refuse all account
 // keys because it is cut off from the store.
 func (f *Frontend) isReady(now time.Time) bool {
 	if f.stopping.Load() || !f.state.Ready() {
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -83,8 +83,8 @@
 	return s
 }
 
-func (s *system) put(e *standin.Endpoint, zone, state string) {
-	key, value := e.Entry("s", zone, state)
+func (s *system) put(e *standin.Endpoint, dataCentre, state string) {
+	key, value := e.Entry("s", dataCentre, state)
 	s.store.Put(key, value)
 }
 
@@ -141,7 +141,7 @@
 }
 
 // eventually waits until cond holds. The time limit only ends a test that hangs; it
-// is no measurement.
+// does not check how long cond takes.
 func (s *system) eventually(what string, cond func() bool) {
 	s.t.Helper()
 	end := time.Now().Add(20 * time.Second)
@@ -245,8 +245,8 @@
 	t.Parallel()
 	s := newSystem(t, 2)
 	e := s.start("entry1", s.store.Addr())
-	for _, one := range s.endpoints {
-		one.Behave(standin.Resets)
+	for _, ep := range s.endpoints {
+		ep.Behave(standin.Resets)
 	}
 	s.wantStatus(e.request(context.Background(), "/order/1", "o1", "k1"), http.StatusBadGateway)
 	if n := s.runs("o1"); n != 1 {
@@ -260,8 +260,8 @@
 	t.Parallel()
 	s := newSystem(t, 2)
 	e := s.start("entry1", s.store.Addr())
-	for _, one := range s.endpoints {
-		one.Behave(standin.Refuses)
+	for _, ep := range s.endpoints {
+		ep.Behave(standin.Refuses)
 	}
 	a := e.request(context.Background(), "/order/1", "o1", "k1")
 	s.wantStatus(a, http.StatusServiceUnavailable)
@@ -321,23 +321,23 @@
 func TestDataCentreIsCutOffAndTakenOut(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, 1)
-	far := standin.StartEndpoint("i-far", 9)
-	t.Cleanup(far.Close)
-	s.endpoints = append(s.endpoints, far)
-	s.put(far, "b", "ready")
+	remote := standin.StartEndpoint("i-far", 9)
+	t.Cleanup(remote.Close)
+	s.endpoints = append(s.endpoints, remote)
+	s.put(remote, "b", "ready")
 	e := s.start("entry1", s.store.Addr())
-	far.Behave(standin.Resets)
+	remote.Behave(standin.Resets)
 	for i := range 4 {
 		s.wantStatus(e.request(context.Background(), "/look/1", fmt.Sprint("l", i), "k1"), http.StatusOK)
 	}
-	far.Behave(standin.Answers)
+	remote.Behave(standin.Answers)
 	s.store.Put("op/evacuate/b", []byte("{}"))
 	s.eventually("the data centre order is in force", func() bool { return e.log.Has("data centre order in force") })
-	before := far.Runs("x")
+	before := remote.Runs("x")
 	for range 20 {
 		s.wantStatus(e.request(context.Background(), "/look/1", "x", "k1"), http.StatusOK)
 	}
-	if far.Runs("x") != before {
+	if remote.Runs("x") != before {
 		t.Fatal("an endpoint of a data centre out of service received work")
 	}
 }
@@ -397,13 +397,13 @@
 
 // An entry is stopped while it serves a stream and callers send new requests. Guards
 // against interrupting any of them.
-func TestStopCutsNothing(t *testing.T) {
+func TestDrainInterruptsNoRequest(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, 1)
 	s.endpoints[0].Events, s.endpoints[0].Pause = 40, 50*time.Millisecond
 	e := s.start("entry1", s.store.Addr())
-	results := make(chan response, 20)
-	go func() { results <- e.request(context.Background(), "/stream/1", "s1", "k1") }()
+	responses := make(chan response, 20)
+	go func() { responses <- e.request(context.Background(), "/stream/1", "s1", "k1") }()
 	s.eventually("the stream runs", func() bool { return s.runs("s1") == 1 })
 	stopped := make(chan struct{})
 	go func() {
@@ -416,6 +416,6 @@
 	if !a.close {
 		t.Fatal("the caller is not asked to connect elsewhere")
 	}
-	s.wantWholeStream(<-results, 40)
+	s.wantWholeStream(<-responses, 40)
 	<-stopped
 }
--- a/internal/frontend/hub.go
+++ b/internal/frontend/hub.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// forwardIntervalPerEntry, times the number of entries in the own data centre, is
+	// forwardIntervalPerEntry, times the number of entries in the hub's data centre, is
 	// the minimum interval between two rounds of messages to them. It limits the rate
 	// to what one core of a hub handles.
 	forwardIntervalPerEntry = 5 * time.Millisecond
@@ -39,8 +39,8 @@
 	changed wake.Signal
 
 	mu sync.Mutex // guards local and remote
-	// local and remote hold what is still to be sent to the own and to the other data
-	// centres: the newest report of each entry, by its name.
+	// local and remote hold what is still to be sent to the hub's data centre and to the
+	// other ones: the newest report of each entry, by its name.
 	local, remote map[string]queuedWork
 }
 
@@ -50,7 +50,7 @@
 	asOf time.Time
 }
 
-// add queues a report for the receivers that to names.
+// add queues a report for forwarding to the receivers selected by to.
 func (h *hub) add(w *fleetpb.EntryWork, to fleetpb.Passing, now time.Time) {
 	if to == fleetpb.Passing_NOBODY {
 		return
@@ -83,9 +83,10 @@
 	return cmp.Or(cmp.Compare(a.GetBorn(), b.GetBorn()), cmp.Compare(a.GetNumber(), b.GetNumber())) > 0
 }
 
-// takeLocal removes and returns what is to be sent to the own data centre, and
-// takeRemote what is to be sent to the others.
-func (h *hub) takeLocal(now time.Time) []*fleetpb.EntryWork  { return h.take(&h.local, now) }
+// takeLocal removes and returns the reports for the hub's data centre.
+func (h *hub) takeLocal(now time.Time) []*fleetpb.EntryWork { return h.take(&h.local, now) }
+
+// takeRemote removes and returns the reports for the other data centres.
 func (h *hub) takeRemote(now time.Time) []*fleetpb.EntryWork { return h.take(&h.remote, now) }
 
 // take empties local or remote and returns its reports.
@@ -120,7 +121,7 @@
 }
 
 // forwardInterval returns the interval between two rounds of messages to the given
-// number of entries of the own data centre.
+// number of entries of the hub's data centre.
 func forwardInterval(entries int) time.Duration {
 	return max(minReportInterval, time.Duration(entries)*forwardIntervalPerEntry)
 }
--- a/internal/frontend/leave.go
+++ b/internal/frontend/leave.go
@@ -12,8 +12,8 @@
 	drainAcceptTime = 2800 * time.Millisecond
 	// minIdleTime is the minimum time without any request before the process ends.
 	minIdleTime = 500 * time.Millisecond
-	// graceMargin is reserved of the time that the platform allows before it kills the
-	// process.
+	// graceMargin is the part, at the end of the time that the platform allows before it
+	// kills the process, that the drain leaves unused.
 	graceMargin       = 600 * time.Millisecond
 	drainPollInterval = 50 * time.Millisecond
 )
--- a/internal/frontend/limits_test.go
+++ b/internal/frontend/limits_test.go
@@ -17,7 +17,7 @@
 // An endpoint reports a limit to one entry and later reports none. Guards against
 // another entry that learns of neither: it would send an additional request to find
 // out, or keep to the limit for too long.
-func TestOtherEntriesHearOfALimitAndOfItsEnd(t *testing.T) {
+func TestLimitAndItsEndReachOtherEntries(t *testing.T) {
 	s := newSystem(t, 1)
 	entries := s.startEntries(2)
 	for i, c := range []struct {
@@ -40,7 +40,7 @@
 
 // A thousand endpoints report limits to one entry within a second. Guards against
 // messages to the other entries that grow with the number of endpoints.
-func TestFewBytesTellOfManyLimits(t *testing.T) {
+func TestSizeOfManyLimitsIsBounded(t *testing.T) {
 	const endpoints, mostBytes = 1000, 16 * 48
 	now := boottime.Now()
 	f := &Frontend{state: &relay.State{Name: "entry0"}}
--- a/internal/frontend/loads.go
+++ b/internal/frontend/loads.go
@@ -21,7 +21,7 @@
 		return &fleetpb.LoadsReply{UnknownList: true}, nil
 	}
 	if q.GetForward() {
-		// The caller's context ends with the answer, before the report is forwarded.
+		// ctx ends with the reply to this call, before the report is forwarded.
 		f.forwardLoads(context.WithoutCancel(ctx), q, targets)
 	}
 	f.state.SetLoads(loadsFrom(q, targets, now), now)
@@ -51,7 +51,8 @@
 	return list[i]
 }
 
-// forwardLoads forwards a load report to the other entries of the own data centre.
+// forwardLoads forwards a load report to the other entries of this entry's data
+// centre.
 func (f *Frontend) forwardLoads(ctx context.Context, q *fleetpb.LoadsRequest, targets []*fleetpb.Target) {
 	received := boottime.Now()
 	for name, m := range f.members.inDataCentre(f.Settings.DataCentre) {
@@ -61,8 +62,9 @@
 	}
 }
 
-// forwardLoad forwards a load report to one entry, and repeats it with the targets if
-// the entry does not know the list.
+// forwardLoad forwards a load report to one entry. The report refers to its engines by
+// the id of a list of targets; if the entry does not know the list, the report is
+// repeated with the targets.
 func (f *Frontend) forwardLoad(ctx context.Context, m fleet.Member, q *fleetpb.LoadsRequest, targets []*fleetpb.Target, received time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -82,7 +84,7 @@
 }
 
 // sendLoads sends a load report to one entry and reports whether the entry knows the
-// list.
+// list of targets to which it refers.
 func (f *Frontend) sendLoads(ctx context.Context, addr string, q *fleetpb.LoadsRequest) (known bool, err error) {
 	conn, err := f.peerConns.Get(addr)
 	if err != nil {
--- a/internal/frontend/prove.go
+++ b/internal/frontend/prove.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// freshnessQueryMargin is added to twice the wait of a poll. While the store
-	// answers, knowledge is no older than two waits; from their sum with the margin on,
-	// this entry queries others.
+	// freshnessQueryMargin is added to twice the wait of a poll, which is the greatest
+	// age of this entry's knowledge while the store answers. The entry queries others
+	// when its knowledge is older than the sum.
 	freshnessQueryMargin = 300 * time.Millisecond
 	// freshnessQueryInterval is the time between two rounds of queries and the timeout
-	// of each query. It allows several rounds before keys would be refused.
+	// of each query. It allows several rounds before account keys would be refused.
 	freshnessQueryInterval = 400 * time.Millisecond
 	// freshnessQueryFanout is the number of entries queried per round: with a third of
 	// the fleet cut off, one of four nearly always has a newer answer.
 	freshnessQueryFanout = 4
 )
 
-// refreshFromPeers keeps this entry's knowledge of the keys fresh from that of other
-// entries while the store does not answer this one.
+// refreshFromPeers keeps this entry's knowledge of the account keys fresh by querying
+// other entries while the store does not answer this one.
 //
 // A store, or the network to it, may refuse some entries and serve the others.
-// Without these queries the refused ones would reject all keys after some seconds,
-// although other entries know that none was revoked.
+// Without these queries the refused ones would reject all account keys after some
+// seconds, although other entries know that none was revoked.
 func (f *Frontend) refreshFromPeers(ctx context.Context) error {
 	t := time.NewTicker(freshnessQueryInterval)
 	defer t.Stop()
@@ -46,7 +46,7 @@
 	}
 }
 
-// queryPeers queries some of the other entries, different ones in each round.
+// queryPeers queries some of the other entries, selected at random in each round.
 func (f *Frontend) queryPeers(ctx context.Context, round int) {
 	queried := 0
 	for name, m := range f.members.all() {
@@ -54,7 +54,7 @@
 			continue
 		}
 		if queried++; queried > freshnessQueryFanout {
-			return // map iteration is random, so each round queries different entries
+			return // the order of map iteration is random
 		}
 		go f.queryFreshness(ctx, name, m.Address, round)
 	}
--- a/internal/frontend/reload.go
+++ b/internal/frontend/reload.go
@@ -16,7 +16,8 @@
 const reloadInterval = 5 * time.Second
 
 // watchSettings applies changed settings while the process serves. Only the bounds
-// can change at run time; addresses, names and changeApply require a restart.
+// except changeApply can change at run time; changeApply, addresses and names require
+// a restart.
 func (f *Frontend) watchSettings(ctx context.Context) error {
 	t := time.NewTicker(reloadInterval)
 	defer t.Stop()
--- a/internal/frontend/streams_test.go
+++ b/internal/frontend/streams_test.go
@@ -14,19 +14,19 @@
 )
 
 // wantWholeStream checks that each event arrived exactly once.
-func (s *system) wantWholeStream(a response, events int) {
+func (s *system) wantWholeStream(resp response, events int) {
 	s.t.Helper()
-	s.wantStatus(a, http.StatusOK)
+	s.wantStatus(resp, http.StatusOK)
 	for i := 1; i <= events; i++ {
-		if n := strings.Count(a.body, fmt.Sprintf("id: %d\n", i)); n != 1 {
-			s.t.Fatalf("event %d arrived %d times:\n%s", i, n, a.body)
+		if n := strings.Count(resp.body, fmt.Sprintf("id: %d\n", i)); n != 1 {
+			s.t.Fatalf("event %d arrived %d times:\n%s", i, n, resp.body)
 		}
 	}
 }
 
 // An engine crashes in the middle of an event. The caller's stream must continue at
 // another engine, with each event once and the seal of the first engine.
-func TestTornStreamGoesOnElsewhere(t *testing.T) {
+func TestInterruptedStreamContinuesElsewhere(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, 2)
 	e := s.start("entry1", s.store.Addr())
@@ -50,7 +50,8 @@
 
 // One of two engines becomes twelve times slower in the middle of a stream, and
 // delays its whole group for as long as it writes. The stream must continue at the
-// other engine, and its caller must receive each event once and no second start.
+// other engine, and its caller must receive each event once, without a second start
+// of the stream.
 func TestStreamIsMovedOffASlowEngine(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, 2)
@@ -60,8 +61,8 @@
 		ep.Pause = 200 * time.Millisecond
 	}
 	e := s.start("entry1", s.store.Addr())
-	answers := make(chan response, 1)
-	go func() { answers <- e.request(context.Background(), "/stream/1", "s1", "k1") }()
+	responses := make(chan response, 1)
+	go func() { responses <- e.request(context.Background(), "/stream/1", "s1", "k1") }()
 	s.eventually("an engine serves the stream", func() bool { return s.runs("s1") == 1 })
 	q := &fleetpb.LoadsRequest{List: 1}
 	for _, ep := range s.endpoints {
@@ -79,7 +80,7 @@
 		}
 		return s.endpoints[0].Runs("s1") == 1 && s.endpoints[1].Runs("s1") == 1
 	})
-	s.wantWholeStream(<-answers, 5)
+	s.wantWholeStream(<-responses, 5)
 	s.eventually("the move is logged", func() bool { return e.log.Has(`"outcome":"moved"`) })
 }
 
--- a/internal/frontend/work.go
+++ b/internal/frontend/work.go
@@ -7,8 +7,6 @@
 	"sync"
 	"time"
 
-	"github.com/hyssoprelay/hyssoprelay/internal/pause"
-
 	"github.com/sirupsen/logrus"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
@@ -17,13 +15,14 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/fleet"
 	"github.com/hyssoprelay/hyssoprelay/internal/fleet/fanout"
 	"github.com/hyssoprelay/hyssoprelay/internal/fleet/fleetpb"
+	"github.com/hyssoprelay/hyssoprelay/internal/pause"
 	"github.com/hyssoprelay/hyssoprelay/internal/wake"
 )
 
 const (
 	// minReportInterval is the minimum time between two messages to one entry. A
-	// request takes about a second; the whole fleet places one or two within this
-	// interval.
+	// request takes about a second; within this interval the whole fleet assigns one
+	// or two requests to endpoints.
 	minReportInterval = 20 * time.Millisecond
 	// maxReportInterval is the maximum time between them: the next message makes up for
 	// a lost one, and shows the others that this entry is alive.
@@ -79,7 +78,8 @@
 	return nil
 }
 
-// ownWork returns the report of this entry's work. Only run calls it.
+// ownWork returns the report of this entry's work. It is called only from the goroutine
+// of run.
 func (r *workReporter) ownWork(now time.Time) *fleetpb.EntryWork {
 	f := r.frontend
 	r.sequence++
@@ -107,7 +107,7 @@
 	r.send(ctx, hub, &fleetpb.WorkRequest{Entries: []*fleetpb.EntryWork{own}, To: fleetpb.Passing_ALL})
 }
 
-// hub returns the entry of the own data centre that forwards messages.
+// hub returns the hub of this entry's data centre: the entry that forwards reports.
 func (r *workReporter) hub() fleet.Member {
 	f := r.frontend
 	local := f.members.inDataCentre(f.Settings.DataCentre)
@@ -115,8 +115,8 @@
 	return r.tree.Delegate(r.tree.Subgroups(slices.Collect(maps.Values(local)))[0])
 }
 
-// send delivers a message to one entry in the background, unless another one to it is
-// in flight.
+// send delivers a message to one entry in the background, unless another message to
+// that entry is in flight.
 func (r *workReporter) send(ctx context.Context, m fleet.Member, q *fleetpb.WorkRequest) {
 	if m.Name != r.frontend.Settings.Name && r.markInFlight(m.Name) {
 		go r.deliver(ctx, m, q)
--- a/internal/frontend/work_test.go
+++ b/internal/frontend/work_test.go
@@ -22,9 +22,9 @@
 // whatever the number of entries, and to one entry of each other data centre a
 // quarter as often.
 func TestHubMessageRateIsBounded(t *testing.T) {
-	for near, want := range map[int]float64{0: 0, 2: 100, 9: 200, 29: 200, 63: 200} {
-		if perSecond := float64(near) / forwardInterval(near).Seconds(); perSecond > want+1 {
-			t.Errorf("a hub sends %.0f messages per second to %d entries, want at most %.0f", perSecond, near, want)
+	for entries, want := range map[int]float64{0: 0, 2: 100, 9: 200, 29: 200, 63: 200} {
+		if perSecond := float64(entries) / forwardInterval(entries).Seconds(); perSecond > want+1 {
+			t.Errorf("a hub sends %.0f messages per second to %d entries, want at most %.0f", perSecond, entries, want)
 		}
 	}
 	if forwardInterval(fanout.MaxSubgroupEntries) > maxReportInterval {
@@ -51,7 +51,7 @@
 
 // Guards against reports that are forwarded twice, in the wrong order, back to the
 // data centre from which they came, or as newer than they are.
-func TestHubPassesOnTheNewest(t *testing.T) {
+func TestHubForwardsNewestReports(t *testing.T) {
 	h, now := &hub{}, time.Unix(1000, 0)
 	h.add(newWork("a", 2), fleetpb.Passing_ALL, now)
 	h.add(newWork("a", 1), fleetpb.Passing_ALL, now)
@@ -63,12 +63,12 @@
 	if !h.hasRemote() {
 		t.Error("the last report is not queued for other data centres")
 	}
-	far := h.takeRemote(now)
-	checkForwarded(t, "far", far, 2)
-	if far[0].GetAgeMicros() != 30_000 || h.hasRemote() {
-		t.Errorf("forwarded with an age of %d µs, more reports queued: %v", far[0].GetAgeMicros(), h.hasRemote())
+	remote := h.takeRemote(now)
+	checkForwarded(t, "far", remote, 2)
+	if remote[0].GetAgeMicros() != 30_000 || h.hasRemote() {
+		t.Errorf("forwarded with an age of %d µs, more reports queued: %v", remote[0].GetAgeMicros(), h.hasRemote())
 	}
-	h.add(far[0], fleetpb.Passing_DATA_CENTRE, now)
+	h.add(remote[0], fleetpb.Passing_DATA_CENTRE, now)
 	if age := h.takeLocal(now.Add(time.Millisecond))[0].GetAgeMicros(); age != 31_000 {
 		t.Errorf("forwarded twice with an age of %d µs", age)
 	}
@@ -78,7 +78,7 @@
 // vanished, and the others read a full listing. Guards against keeping the dead entry
 // for as long as they run: they would send it work reports and count it when they
 // divide the capacity of cold endpoints.
-func TestEntryThatVanishedUnseenIsForgotten(t *testing.T) {
+func TestEntryMissingFromListingIsRemoved(t *testing.T) {
 	f := &Frontend{
 		Settings: &settings.Relay{Process: settings.Process{
 			Name: "a", PlatformAddresses: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")},
