--- a/internal/ranker/counts.go
+++ b/internal/ranker/counts.go
@@ -32,7 +32,8 @@
 }
 
 // encode adds counts to a reply: as differences from the snapshot with the given id
-// if that is kept and the engine has not restarted since, or else in full.
+// if that snapshot is still kept and the engine has not restarted since, or else in
+// full.
 func (h *countHistory) encode(resp *fleetpb.LookReply, counts []uint64, id uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/ranker/delegate.go
+++ b/internal/ranker/delegate.go
@@ -22,9 +22,9 @@
 	delegateEngineTimeout = unresponsiveTimeout
 )
 
-// delegate polls the ranks of a subgroup for the leader. It caches no rank's state:
-// each poll by the leader polls all ranks, so that no report dates from before the
-// leader's call.
+// delegate polls the ranks of a subgroup and delivers orders to them for the leader.
+// It caches no rank's state: each poll by the leader polls all ranks, so that no
+// report dates from before the leader's call.
 type delegate struct {
 	poller poller
 	// targetLists holds the target lists that leaders have sent.
@@ -72,7 +72,7 @@
 }
 
 // forward delivers one of the leader's orders to the agent or engine that it is for,
-// within half of the leader's timeout.
+// within half of the time for which the leader waits.
 func (s *service) forward(ctx context.Context, req *fleetpb.SpreadRequest, addressed *fleetpb.Addressed) *fleetpb.GiveReply {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout(req.GetPrepare() != nil)/2)
 	defer cancel()
--- a/internal/ranker/gather.go
+++ b/internal/ranker/gather.go
@@ -18,8 +18,8 @@
 //
 // When more than half of the delegates fail at once, the likely cause is that the
 // leader's own link is congested or cut. Other delegates would not be reached either,
-// and each of them needs new connections first, so these failures are not held
-// against any delegate.
+// and each of them needs new connections first. The poll is not repeated then, and no
+// delegate is recorded as failed.
 func (t *term) pollSubgroups(ctx context.Context, subgroups []fanout.Subgroup, opts []pollOptions) []rankReport {
 	reports := make([][]rankReport, len(subgroups))
 	errs := make([]error, len(subgroups))
--- a/internal/ranker/lease.go
+++ b/internal/ranker/lease.go
@@ -31,7 +31,7 @@
 }
 
 // announceEnd tells the agents that are first in the order of succession that the
-// term has ended.
+// term has ended. The message is a poll, whose result is ignored.
 func (t *term) announceEnd(ctx context.Context) {
 	agents, _ := t.ranker.members(t.group)
 	var recipients []fleet.Member
--- a/internal/ranker/led.go
+++ b/internal/ranker/led.go
@@ -12,17 +12,18 @@
 	// leaderTimeout is how long an agent goes without a poll by the leader before it
 	// assumes that the group has none. Leaders poll ten times a second.
 	leaderTimeout = 600 * time.Millisecond
-	// firstCandidates is how many agents then ask the store, in the order of their
-	// ranks after the leader's. The others wait for lateLeaderTimeout, in case all
-	// the first candidates were lost together with the leader.
+	// firstCandidates is how many agents ask the store after leaderTimeout, in the
+	// order of their ranks after the leader's. The others ask after
+	// lateLeaderTimeout, in case all the first candidates were lost together with
+	// the leader.
 	firstCandidates   = 6
 	lateLeaderTimeout = 2500 * time.Millisecond
-	// askStagger is the delay between two successive candidates, so that few ask at
-	// once.
+	// askStagger is the delay between the queries of two successive candidates, so
+	// that few ask at once.
 	askStagger = 15 * time.Millisecond
-	// askInterval is the time between two queries by the same first candidate: a
-	// lease ends a second after its leader fails. lateAskInterval is that of the
-	// other agents.
+	// askInterval is the time between two queries by the same first candidate, which
+	// asks repeatedly because a lease lapses only a second after its leader fails.
+	// lateAskInterval is that of the other agents.
 	askInterval     = 150 * time.Millisecond
 	lateAskInterval = time.Second
 )
@@ -55,7 +56,7 @@
 }
 
 // setHolder records that an agent holds the group's lease according to the store.
-// Such an agent may still have failed, so the time at which a leader was last seen
+// Such an agent may have failed since, so the time at which a leader was last seen
 // stays the same.
 func (l *leaderTracker) setHolder(holder leaderInfo) {
 	l.mu.Lock()
@@ -65,9 +66,9 @@
 	}
 }
 
-// ended records that the term with the given token has ended. It reports false unless
-// the recorded leader has that token.
-func (l *leaderTracker) ended(token uint64) bool {
+// recordEnd records that the term with the given token has ended. It reports false
+// unless the recorded leader has that token.
+func (l *leaderTracker) recordEnd(token uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.known || l.leader.Token != token {
@@ -100,7 +101,8 @@
 	}
 	timeout += time.Duration(distance) * askStagger
 	if l.lastSeen.IsZero() {
-		// No agent leads, so there is no silence to wait for.
+		// No leader has been seen, or its term has ended, so leaderTimeout counts as
+		// elapsed.
 		l.lastSeen = now.Add(-leaderTimeout)
 	}
 	if now.Sub(l.lastSeen) < timeout || now.Sub(l.lastAsked) < interval {
@@ -115,13 +117,13 @@
 	return leaderInfo{name: msg.GetAgent(), Predecessor: lockstep.Predecessor{Token: msg.GetToken(), Rank: int(msg.GetRank())}}
 }
 
-// noteLeader records what a poll's message says about the leader; msg may be nil.
+// noteLeader records what a poll request says about the leader; msg may be nil.
 func (r *Ranker) noteLeader(msg *fleetpb.Leader, now time.Time) {
 	switch {
 	case msg == nil:
 	case !msg.GetEnded():
 		r.leader.observe(leaderFromProto(msg), now)
-	case r.leader.ended(msg.GetToken()):
+	case r.leader.recordEnd(msg.GetToken()):
 		r.leaderGone.Raise()
 	}
 }
--- a/internal/ranker/led_test.go
+++ b/internal/ranker/led_test.go
@@ -33,13 +33,13 @@
 	for _, size := range []int{3, 12, 129, 258} {
 		lost := countAsks(1400*time.Millisecond, size, func(l *leaderTracker) { l.observe(leaderAt(1, 5), start) })
 		if most := firstCandidates * 6; lost > most || lost == 0 {
-			t.Errorf("%d of %d agents ask after the loss, want 1 to %d", lost, size, most)
+			t.Errorf("%d queries by %d agents after the loss of the leader, want 1 to %d", lost, size, most)
 		}
 		if n := countAsks(500*time.Millisecond, size, func(l *leaderTracker) { l.observe(leaderAt(1, 5), start) }); n != 0 {
-			t.Errorf("%d ask before the leader has timed out", n)
+			t.Errorf("%d queries before the leader has timed out", n)
 		}
 		if n := countAsks(500*time.Millisecond, size, func(*leaderTracker) {}); n == 0 || n > firstCandidates*4 {
-			t.Errorf("%d of %d agents ask at their start", n, size)
+			t.Errorf("%d queries by %d agents at their start", n, size)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 	if leader, ok := l.last(); !ok || leader.Token != 7 || leader.Rank != 2 {
 		t.Errorf("the last leader is %v", leader)
 	}
-	if l.ended(5) || !l.ended(7) {
+	if l.recordEnd(5) || !l.recordEnd(7) {
 		t.Error("the end of an earlier term was accepted, or that of the current one was not")
 	}
 	if !l.shouldAsk(3, 12, start) {
--- a/internal/ranker/loads.go
+++ b/internal/ranker/loads.go
@@ -50,7 +50,8 @@
 }
 
 // loadsRequestProto encodes the engines' loads, ordered by rank. complete means that
-// no rank is missing.
+// no rank is missing; a closed group that is complete is about to accept requests and
+// is reported as forming.
 func loadsRequestProto(reports []rankReport, complete bool) *fleetpb.LoadsRequest {
 	sorted := slices.SortedFunc(slices.Values(reports), func(a, b rankReport) int { return a.state.Rank - b.state.Rank })
 	closed := isClosed(reports)
--- a/internal/ranker/loads_test.go
+++ b/internal/ranker/loads_test.go
@@ -22,11 +22,11 @@
 }
 
 // Guards against loads that are assigned to the wrong engines, and against sending
-// the list of engines repeatedly because its name changes.
+// the list of engines repeatedly because its hash changes.
 func TestLoadsAreOrderedByRank(t *testing.T) {
 	req, again := loadsRequestProto(testReports(5), true), loadsRequestProto(testReports(5), true)
 	if req.GetList() != again.GetList() || req.GetList() == loadsRequestProto(testReports(4), true).GetList() {
-		t.Error("the name of a list does not follow from its addresses")
+		t.Error("the hash of a list is not determined by its addresses")
 	}
 	for i, n := range req.GetRunning() {
 		if int(n) != i || req.GetTargets()[i].GetEndpoint() != "10.1.64.140:8029"+string(rune('a'+i)) {
@@ -34,12 +34,12 @@
 		}
 	}
 	if len(req.GetPace()) != 0 || req.GetClosed() {
-		t.Error("paces are reported although no engine is slow, or the group is reported as closed")
+		t.Error("slowdowns are reported although no engine is slow, or the group is reported as closed")
 	}
 	slow := testReports(3)
 	slow[0].state.Slowdown, slow[1].state.Accepting = 2, false
 	if req := loadsRequestProto(slow, true); len(req.GetPace()) != 3 || req.GetPace()[2] != 200 || !req.GetClosed() || !req.GetForming() {
-		t.Errorf("paces %v, closed %v, forming %v", req.GetPace(), req.GetClosed(), req.GetForming())
+		t.Errorf("slowdowns %v in percent, closed %v, forming %v", req.GetPace(), req.GetClosed(), req.GetForming())
 	}
 	if loadsRequestProto(slow, false).GetForming() {
 		t.Error("a group with a missing rank is reported as forming")
--- a/internal/ranker/looker.go
+++ b/internal/ranker/looker.go
@@ -33,8 +33,8 @@
 type agentFailure struct {
 	// retryAt is when the agent may be asked again.
 	retryAt time.Time
-	// engineSilent reports that the agent's engine did not answer either.
-	engineSilent bool
+	// engineFailed reports that the agent's engine did not answer either.
+	engineFailed bool
 }
 
 // pollOptions selects what a poll returns besides the state.
@@ -177,11 +177,11 @@
 		p.backOff(m, cause)
 	}
 	timeout := p.EngineTimeout
-	if p.failureOf(m.Name).engineSilent {
+	if p.failureOf(m.Name).engineFailed {
 		timeout = unresponsiveTimeout
 	}
 	report, err := p.pollEngine(ctx, m, opts.lists, timeout)
-	p.setEngineSilent(m.Name, err != nil)
+	p.setEngineFailed(m.Name, err != nil)
 	return pollResult{rankReport: report, err: err}
 }
 
@@ -220,22 +220,22 @@
 	return p.failures[agent]
 }
 
-// setEngineSilent records whether the engine of a failed agent also failed to answer.
-func (p *poller) setEngineSilent(agent string, silent bool) {
+// setEngineFailed records whether the engine of a failed agent also failed to answer.
+func (p *poller) setEngineFailed(agent string, failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	failure := p.failures[agent]
-	failure.engineSilent = silent
+	failure.engineFailed = failed
 	p.failures[agent] = failure
 }
 
-// expectSilent records an agent and its engine as failed in advance. It is called for
+// expectFailure records an agent and its engine as failed in advance. It is called for
 // a previous leader that did not release its lease: its VM is most likely
 // unreachable, and the first polls of the new term need not wait for it.
-func (p *poller) expectSilent(agent string, now time.Time) {
+func (p *poller) expectFailure(agent string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.failures[agent] = agentFailure{retryAt: now.Add(agentBackoff), engineSilent: true}
+	p.failures[agent] = agentFailure{retryAt: now.Add(agentBackoff), engineFailed: true}
 }
 
 func (p *poller) backOff(m *fleet.Member, err error) {
--- a/internal/ranker/looks.go
+++ b/internal/ranker/looks.go
@@ -56,7 +56,7 @@
 }
 
 // pollGroup polls the engines of all agents. If that yields fewer reports than the
-// group has ranks, it also polls the engines of agents whose keys have lapsed.
+// group has ranks, it also polls the engines of agents whose keys have vanished.
 func (t *term) pollGroup(ctx context.Context, agents []fleet.Member, opts pollOptions) []rankReport {
 	now := boottime.Now()
 	var own *fleet.Member
@@ -141,7 +141,7 @@
 	return append(reports, local...)
 }
 
-// pollLapsed polls the engines of agents whose keys have lapsed.
+// pollLapsed polls the engines of agents whose keys have vanished.
 func (t *term) pollLapsed(ctx context.Context, now time.Time, lists bool) []rankReport {
 	lapsed := t.ranker.lapsedMembers(t.group, now)
 	members := make([]*fleet.Member, 0, len(lapsed))
--- a/internal/ranker/maps.go
+++ b/internal/ranker/maps.go
@@ -76,7 +76,8 @@
 }
 
 // setPlaces applies changes to a map in place. It reports false for changes that do
-// not fit the map.
+// not fit the map. A place is one rank's list of experts in one set; places are
+// numbered set by set and encoded as differences from the previous one.
 func setPlaces(sets [][][]int, changes *fleetpb.Changes) bool {
 	counts, experts := changes.GetCounts(), changes.GetExperts()
 	if len(sets) == 0 || len(counts) != len(changes.GetPlaces()) {
@@ -95,12 +96,13 @@
 	return len(experts) == 0
 }
 
-// maxExperts bounds the size of a map that is encoded by its shape alone, so that a
-// malformed message cannot exhaust memory.
+// maxExperts bounds the number of experts, over all sets, of a map that is encoded by
+// its shape alone, so that a malformed message cannot exhaust memory.
 const maxExperts = 1 << 20
 
 // roundRobinMap returns the map of a shape in which each expert is on one rank,
-// assigned to the ranks in round-robin order. It reports false for an invalid shape.
+// assigned to the ranks in round-robin order. It reports false for an invalid shape
+// or one with more than maxExperts.
 func roundRobinMap(shape *fleetpb.InTurn) ([][][]int, bool) {
 	sets, ranks, experts := int(shape.GetSets()), int(shape.GetRanks()), int(shape.GetExperts())
 	if ranks == 0 || experts == 0 || sets == 0 || experts > maxExperts/sets || ranks > experts {
@@ -134,8 +136,9 @@
 }
 
 // prepareProto encodes the order to prepare a map: as changes to the map in force, or
-// in full if that is not known. The map with which a group begins was never sent to
-// any agent, but follows from its shape.
+// in full if that is not known or has another shape. The map with which a group
+// begins, version 0, was never sent to any agent, but follows from its shape if it is
+// a round-robin map.
 //
 // For 63 to 72 ranks behind an 8 Mbit/s link, full maps for all agents take 250 to
 // 500 kB, which is a quarter to half a second for which the group waits; changes of
@@ -184,7 +187,7 @@
 		var b [4]byte
 		binary.LittleEndian.PutUint32(b[:], uint32(n))
 		if _, err := h.Write(b[:]); err != nil {
-			panic(err) // hashes never fail
+			panic(err) // xxhash never returns an error
 		}
 	}
 	writeInt(len(sets))
--- a/internal/ranker/members.go
+++ b/internal/ranker/members.go
@@ -24,13 +24,13 @@
 	lapsedAt time.Time
 }
 
-// markLapsed remembers an agent whose key has vanished. The caller holds mu.
+// markLapsed remembers an agent whose key has vanished. r.mu must be held.
 //
 // A key vanishes when its agent is restarted, or when its lease lapses during an
-// outage of the store. The agent's engine still belongs to the group and keeps what
-// it holds or is armed for. A leader that forgot the engine together with the agent
-// would not see that rank and would give no orders to any rank; steps stayed held for
-// 5 s that way while agents were restarted in turn.
+// outage of the store. The agent's engine still belongs to the group and keeps the
+// step that it holds and the map with which it is armed. A leader that forgot the
+// engine together with the agent would not see that rank and would give no orders to
+// any rank; steps stayed held for 5 s that way while agents were restarted in turn.
 func (r *Ranker) markLapsed(name string, now time.Time) {
 	if m, ok := r.agents[name]; ok {
 		r.lapsed[name] = lapsedMember{member: m, lapsedAt: now}
@@ -88,6 +88,7 @@
 		r.removeMember(key, now)
 	}
 	if _, lapsed := r.lapsed[r.Settings.Name]; lapsed {
+		// The key of this agent itself has vanished: its lease may have lapsed.
 		delete(r.lapsed, r.Settings.Name)
 		r.leaseInDoubt.Raise()
 	}
--- a/internal/ranker/orders.go
+++ b/internal/ranker/orders.go
@@ -13,7 +13,7 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// maxFollowUps bounds how many rounds of orders are given without a poll in between:
+// maxFollowUps bounds how many batches of orders are given without a poll in between:
 // hold, arm in three parts, release.
 const maxFollowUps = 5
 
@@ -21,8 +21,9 @@
 const prepareTimeout = 600 * time.Millisecond
 
 // giveAndContinue delivers orders to their ranks, then those that next returns, as
-// long as every order is answered as already carried out. The ranks' states are then
-// known without another poll, and a held step is released some milliseconds sooner.
+// long as every order is answered as carried out, which is the outcome NoChange. The
+// ranks' states are then known without another poll, and a held step is released some
+// milliseconds sooner.
 func (t *term) giveAndContinue(
 	ctx context.Context, orders []lockstep.AddressedOrder, ranks []lockstep.State, byRank []rankReport,
 	next func(now time.Time) []lockstep.AddressedOrder,
--- a/internal/ranker/planner.go
+++ b/internal/ranker/planner.go
@@ -29,8 +29,8 @@
 type planner struct {
 	engine *routing.Engine
 	ranks  int
-	// maxGap is the shortest of the longest pauses between events that the service's
-	// routes allow, or 0 for a service without streams.
+	// maxGap is the longest acceptable pause between events of a stream: the smallest
+	// value of the service's routes, or 0 if none of them sets one.
 	maxGap time.Duration
 }
 
@@ -42,18 +42,18 @@
 	skewBefore, skewAfter float64
 }
 
-// plan returns the next map, or nil when no map is worth a change. loads holds the
-// experts' shares by set, slowdowns each rank's slowdown factor, and maxRunning is
-// the largest number of requests that a rank runs.
+// plan returns the next map, or nil when no map is worth a change. shares holds the
+// experts' shares of all choices by set, slowdowns each rank's slowdown factor, and
+// maxRunning is the largest number of requests that a rank runs.
 //
 // A lightly loaded group has short passes whatever the skew, whereas near the group's
 // limit each hundredth of skew delays streams. The required gain therefore depends on
 // the length of a pass: copies are charged for and lengthen passes while they last.
-func (p *planner) plan(current [][][]int, loads [][]float64, slowdowns []float64, maxRunning int) (*proposal, error) {
+func (p *planner) plan(inForce [][][]int, shares [][]float64, slowdowns []float64, maxRunning int) (*proposal, error) {
 	experts := p.engine.Experts
 	shape := evenmap.Shape{Ranks: p.ranks, Slots: experts.Slots, Experts: experts.Count}
-	sets := make([]*evenmap.Placement, 0, len(current))
-	for _, ranks := range current {
+	sets := make([]*evenmap.Placement, 0, len(inForce))
+	for _, ranks := range inForce {
 		s, err := evenmap.NewPlacement(shape, ranks)
 		if err != nil {
 			return nil, err
@@ -62,11 +62,11 @@
 	}
 	limits := evenmap.Limits{CopiesPerRank: p.copiesPerRank(), CopiesPerSet: experts.SpareSlots, Slowdown: slowdowns, MinGain: minCopyGain}
 	minGain := minMapGain
-	if p.hasShortPasses(sets, loads, maxRunning) {
+	if p.hasShortPasses(sets, shares, maxRunning) {
 		limits.MinGain *= shortPassGainFactor
 		minGain *= shortPassGainFactor
 	}
-	plan := evenmap.NewPlan(sets, loads, limits)
+	plan := evenmap.NewPlan(sets, shares, limits)
 	if plan.SkewBefore()-plan.SkewAfter() < minGain {
 		return nil, nil
 	}
@@ -93,15 +93,15 @@
 	return max(1, int(float64(copyBudget)/copyTime))
 }
 
-// hasShortPasses reports whether passes with the current map are short, see
+// hasShortPasses reports whether passes with the map in force are short, see
 // shortPassShare.
-func (p *planner) hasShortPasses(sets []*evenmap.Placement, loads [][]float64, maxRunning int) bool {
+func (p *planner) hasShortPasses(sets []*evenmap.Placement, shares [][]float64, maxRunning int) bool {
 	if p.maxGap <= 0 {
 		return false
 	}
 	skew := 0.0
 	for i, s := range sets {
-		skew += s.Skew(loads[i]) / float64(len(sets))
+		skew += s.Skew(shares[i]) / float64(len(sets))
 	}
 	return float64(batch.PassDuration(p.engine, maxRunning, skew)) < shortPassShare*float64(p.maxGap)
 }
--- a/internal/ranker/planner_test.go
+++ b/internal/ranker/planner_test.go
@@ -28,16 +28,16 @@
 	p := planner{ranks: ranks, engine: &routing.Engine{Experts: routing.Experts{
 		Sets: sets, Count: experts, Slots: 3, SpareSlots: 2, Bytes: 150e6, LinkRate: 22.5e9,
 	}}}
-	current := make([][][]int, sets)
-	loads := make([][]float64, sets)
-	for s := range current {
-		current[s] = make([][]int, ranks)
+	inForce := make([][][]int, sets)
+	shares := make([][]float64, sets)
+	for s := range inForce {
+		inForce[s] = make([][]int, ranks)
 		for e := range experts {
-			current[s][e%ranks] = append(current[s][e%ranks], e)
+			inForce[s][e%ranks] = append(inForce[s][e%ranks], e)
 		}
-		loads[s] = newChoiceSource(uint64(s), experts).shares
+		shares[s] = newChoiceSource(uint64(s), experts).shares
 	}
-	plan, err := p.plan(current, loads, nil, 6)
+	plan, err := p.plan(inForce, shares, nil, 6)
 	if err != nil || plan == nil {
 		t.Fatal("no map was planned", err)
 	}
--- a/internal/ranker/popularity.go
+++ b/internal/ranker/popularity.go
@@ -17,8 +17,8 @@
 	// maxJumpDistance.
 	jumpDistance    = 0.3
 	maxJumpDistance = 0.8
-	// partialJumpDistance is the distance from which an observation may have begun
-	// before a jump and ended after it.
+	// partialJumpDistance is the distance from which an observation that does not
+	// count as a jump may nevertheless have begun before one and ended after it.
 	partialJumpDistance = 0.2
 	// minCountsPerExpert is how many choices per expert of a set an observation needs
 	// to be distinguished from noise.
@@ -90,8 +90,8 @@
 // the old and the new popularity. A map planned from them balances neither, and
 // copying its experts for half a second delays the right one. An observation that
 // shows a jump is therefore not used for planning, but the next one is. If the
-// observation before the jump was seen was already that mixture (see
-// partialJumpDistance), the one that shows the jump is used.
+// observation before it was already such a mixture (see partialJumpDistance), the one
+// that shows the jump is used.
 func (e *estimate) update(counts []float64, now time.Time) bool {
 	n := 0.0
 	for i, c := range e.pending {
--- a/internal/ranker/popularity_test.go
+++ b/internal/ranker/popularity_test.go
@@ -179,8 +179,8 @@
 		{ranks: 63, sets: 8, experts: 252, want: 14},
 		{ranks: 128, sets: 100, experts: 128, want: 2},
 	} {
-		lead := &term{engine: &routing.Engine{Experts: routing.Experts{Sets: c.sets, Count: c.experts}}}
-		if n := lead.maxCountedAgents(c.ranks); n != c.want {
+		term := &term{engine: &routing.Engine{Experts: routing.Experts{Sets: c.sets, Count: c.experts}}}
+		if n := term.maxCountedAgents(c.ranks); n != c.want {
 			t.Errorf("%d of %d ranks are asked, want %d", n, c.ranks, c.want)
 		}
 	}
--- a/internal/ranker/propose.go
+++ b/internal/ranker/propose.go
@@ -15,12 +15,12 @@
 	for _, report := range byRank {
 		reports = append(reports, report.engineReport)
 	}
-	t.jumped = t.pop.observe(reports, t.drainSums(), now) || t.jumped
-	current := t.leader.InForce()
-	if current == nil || !t.pop.known() {
+	t.jumped = t.popularity.observe(reports, t.drainSums(), now) || t.jumped
+	inForce := t.leader.InForce()
+	if inForce == nil || !t.popularity.known() {
 		return
 	}
-	p, err := t.planner.plan(current.Sets, t.pop.shares(), slowdowns(byRank), maxRunning(byRank))
+	p, err := t.planner.plan(inForce.Sets, t.popularity.shares(), slowdowns(byRank), maxRunning(byRank))
 	if err != nil {
 		t.ranker.Log.WithField("cause", err.Error()).Error("cannot plan expert map")
 		return
--- a/internal/ranker/ranker.go
+++ b/internal/ranker/ranker.go
@@ -135,7 +135,7 @@
 	return r.peers.Listen()
 }
 
-// Run serves until ctx ends or a part of the process does. A leader resigns before
+// Run serves until ctx ends or a part of the process returns. A leader resigns before
 // Run returns.
 func (r *Ranker) Run(ctx context.Context) error {
 	parts := []process.Part{
@@ -143,7 +143,7 @@
 		func(ctx context.Context) error { return r.Log.Run(ctx, r.Output) },
 	}
 	parts = append(parts, process.MetricsParts(r.Settings.MetricsAddress, r.Registry)...)
-	r.Log.WithField("endpoint", r.Settings.EndpointAddress.String()).Info("ranker serves")
+	r.Log.WithField("endpoint", r.Settings.EndpointAddress.String()).Info("ranker started")
 	return process.RunParts(ctx, parts, func(error) error {
 		r.resign()
 		return nil
@@ -158,7 +158,7 @@
 	for r.leading.Load() && time.Now().Before(deadline) {
 		time.Sleep(resignCheckInterval)
 	}
-	r.Log.Info("ranker stops")
+	r.Log.Info("ranker stopping")
 }
 
 func (r *Ranker) logStoreFailure(err error) {
@@ -240,6 +240,8 @@
 	}
 	own := leaderInfo{name: r.Settings.Name, Predecessor: lockstep.Predecessor{Token: token, Rank: s.Rank}}
 	r.leader.observe(own, now)
+	// The own term counts as seen until its end, so that this agent waits as long as
+	// the others before it asks the store again.
 	defer func() { r.leader.observe(own, boottime.Now()) }()
 	r.counters.terms.Inc(1)
 	r.Log.WithFields(logrus.Fields{"group": s.Group, "token": token, "epoch": s.Epoch}).Info("group leadership acquired")
@@ -248,7 +250,7 @@
 	t := newTerm(r, lease, s, token, until)
 	if known && previous.name != r.Settings.Name {
 		t.leader.Predecessor = &previous.Predecessor
-		t.poller.expectSilent(previous.name, now)
+		t.poller.expectFailure(previous.name, now)
 		t.tree.NoteFailure(previous.name, now)
 	}
 	stopMembers := r.watchMembers(ctx)
--- a/internal/ranker/ranker_test.go
+++ b/internal/ranker/ranker_test.go
@@ -89,7 +89,7 @@
 	deadline := time.Now().Add(30 * time.Second)
 	for !cond() {
 		if time.Now().After(deadline) {
-			g.t.Fatalf("timed out: %s (map %d, step %d)", what, g.group.Version(), g.group.Step())
+			g.t.Fatalf("timed out waiting until %s (map %d, step %d)", what, g.group.Version(), g.group.Step())
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/internal/ranker/round.go
+++ b/internal/ranker/round.go
@@ -28,7 +28,7 @@
 	if t.engine == nil {
 		return pollInterval
 	}
-	t.learnCurrentMap(byRank)
+	t.learnMapInForce(byRank)
 	t.logSlowdowns(slowdowns(byRank))
 	if t.countsPolled {
 		t.plan(byRank, now)
@@ -81,8 +81,8 @@
 }
 
 // recoverHeldStep releases a step that the previous leader left held, provided that
-// leader's rank is the only one not polled. It returns how long to wait before the
-// next round.
+// the rank of that leader is the only one without a report. It returns how long to
+// wait before the next round.
 func (t *term) recoverHeldStep(ctx context.Context, ranks []lockstep.State, byRank []rankReport, seen []bool) time.Duration {
 	orders := t.leader.RecoverHeldStep(ranks, seen)
 	if len(orders) == 0 {
@@ -92,9 +92,9 @@
 	return 0
 }
 
-// learnCurrentMap derives the map in force from the ranks' expert lists, if all ranks
+// learnMapInForce derives the map in force from the ranks' expert lists, if all ranks
 // report the same version.
-func (t *term) learnCurrentMap(byRank []rankReport) {
+func (t *term) learnMapInForce(byRank []rankReport) {
 	if t.leader.InForce() != nil {
 		return
 	}
--- a/internal/ranker/service.go
+++ b/internal/ranker/service.go
@@ -189,7 +189,7 @@
 	case *fleetpb.GiveRequest_Fence:
 		ao.Order = lockstep.Fence{}
 	case *fleetpb.GiveRequest_Prepare:
-		// The caller decodes the map, which may be encoded as changes.
+		// decodeOrder decodes the map, which may be encoded as changes.
 	case *fleetpb.GiveRequest_Arm:
 		ao.Order = lockstep.Arm{Version: o.Arm.GetVersion(), Step: o.Arm.GetStep()}
 	case *fleetpb.GiveRequest_Disarm:
--- a/internal/ranker/sums.go
+++ b/internal/ranker/sums.go
@@ -62,10 +62,10 @@
 // safe for concurrent use.
 //
 // With 129 ranks and 16 sets of 258 experts behind 6 Mbit/s links, the counts of all
-// ranks ten times a second take seven times the leader's link. With the counts of
-// only a few ranks, which run six requests each, the subjects of these requests are
-// mistaken for popularity. Encoded as sums, the counts of thirteen ranks take 27 kB
-// on their delegate's link and 4 kB on the leader's.
+// ranks ten times a second take seven times the capacity of the leader's link. With
+// the counts of only a few ranks, which run six requests each, the subjects of these
+// requests are mistaken for popularity. Encoded as sums, the counts of thirteen ranks
+// take 27 kB on their delegate's link and 4 kB on the leader's.
 type recentCounts struct {
 	mu         sync.Mutex // guards all below
 	increments incrementTracker
--- a/internal/ranker/sums_test.go
+++ b/internal/ranker/sums_test.go
@@ -46,7 +46,7 @@
 	now = now.Add(2 * maxCountAge)
 	checkCounts(t, "counts too old", r.sinceLast(reportWithCounts(0, 2, 90, 90), now))
 	sum := addCounts(addCounts(nil, []float64{1, 2}), []float64{3, 4})
-	checkCounts(t, "of two ranks", addCounts(sum, []float64{1}), 4, 6)
+	checkCounts(t, "sum of two ranks", addCounts(sum, []float64{1}), 4, 6)
 }
 
 // Ten delegates report the sums of twelve ranks each. Guards against a rounding
@@ -186,47 +186,47 @@
 	const sets, experts = 16, 258
 	for _, ranks := range []int{16, 72, 129, 258} {
 		b.Run(fmt.Sprint(ranks), func(b *testing.B) {
-			lead := &term{
+			term := &term{
 				ranker: &Ranker{}, group: "g", size: ranks, rankByAgent: map[string]int{},
-				engine: &routing.Engine{Experts: routing.Experts{Sets: sets, Count: experts}},
-				pop:    newPopularity(sets, experts),
+				engine:     &routing.Engine{Experts: routing.Experts{Sets: sets, Count: experts}},
+				popularity: newPopularity(sets, experts),
 			}
 			sums, err := proto.Marshal(&fleetpb.GatherReply{Sums: sumsProto(slices.Repeat([]float64{9}, sets*experts), experts, subgroupLevelBits)})
 			if err != nil {
 				b.Fatal(err)
 			}
 			subgroups := (ranks + maxSubgroupAgents - 1) / maxSubgroupAgents
-			summed, _ := sumBudget(lead.engine.Experts, subgroups)
+			summed, _ := sumBudget(term.engine.Experts, subgroups)
 			now := start
 			for b.Loop() {
 				var reports []rankReport
 				for first := 0; first < ranks; first += maxSubgroupAgents {
-					reports = append(reports, benchSubgroup(lead, first, min(maxSubgroupAgents, ranks-first), now)...)
+					reports = append(reports, benchSubgroup(term, first, min(maxSubgroupAgents, ranks-first), now)...)
 				}
 				for range summed {
 					resp := &fleetpb.GatherReply{}
 					if err := proto.Unmarshal(sums, resp); err != nil {
 						b.Fatal(err)
 					}
-					lead.addSums(resp.GetSums())
+					term.addSums(resp.GetSums())
 				}
 				now = now.Add(pollInterval)
-				lead.indexByRank(reports)
-				lead.pop.observe(nil, lead.drainSums(), now)
+				term.indexByRank(reports)
+				term.popularity.observe(nil, term.drainSums(), now)
 			}
 		})
 	}
 }
 
 // benchSubgroup decodes the reports of n ranks from a delegate.
-func benchSubgroup(lead *term, first, n int, now time.Time) []rankReport {
+func benchSubgroup(t *term, first, n int, now time.Time) []rankReport {
 	members := make(fanout.Subgroup, 0, n)
 	resp := &fleetpb.GatherReply{}
 	for i := range n {
 		members = append(members, fleet.Member{Name: "agent", Endpoint: "10.1.64.140:8029"})
 		resp.Gathered = append(resp.Gathered, &fleetpb.Gathered{Target: uint32(i), Look: lookReplyProto(engineReport{state: lockstep.State{
-			Group: "g", Rank: first + i, Size: lead.size, Accepting: true,
+			Group: "g", Rank: first + i, Size: t.size, Accepting: true,
 		}})})
 	}
-	return lead.reportsFromDelegate(&members[0], members, resp, now)
+	return t.reportsFromDelegate(&members[0], members, resp, now)
 }
--- a/internal/ranker/term.go
+++ b/internal/ranker/term.go
@@ -42,11 +42,11 @@
 	// leaseLost reports that the store has ended the lease.
 	leaseLost bool
 
-	leader  lockstep.Leader
-	engine  *routing.Engine
-	pop     *popularity
-	planner planner
-	poller  poller
+	leader     lockstep.Leader
+	engine     *routing.Engine
+	popularity *popularity
+	planner    planner
+	poller     poller
 	// tree selects the delegates through which agents are reached.
 	tree fanout.Tree
 	// sentLists records which target lists delegates have received.
@@ -151,6 +151,6 @@
 		return
 	}
 	t.engine = s.Engine
-	t.pop = newPopularity(s.Engine.Experts.Sets, s.Engine.Experts.Count)
+	t.popularity = newPopularity(s.Engine.Experts.Sets, s.Engine.Experts.Count)
 	t.planner = planner{engine: s.Engine, ranks: t.size, maxGap: table.MaxGaps()[s.Name]}
 }
--- a/internal/ranker/tries.go
+++ b/internal/ranker/tries.go
@@ -23,13 +23,13 @@
 // step would be held for several rounds.
 var localRetries = retryPolicy{attempts: 4, timeout: 8 * time.Millisecond, lastTimeout: 8 * time.Millisecond}
 
-// remoteRetries applies to an engine on another VM, some milliseconds away, and as
-// long again for a new connection. All attempts together take no longer than
+// remoteRetries applies to an engine on another VM, which is some milliseconds away; a
+// new connection takes as long again. All attempts together take no longer than
 // engineTimeout.
 //
-// When a leader froze with a step held, on engines that lose four in ten orders,
-// single attempts of 150 ms, each followed by a poll that waits for the frozen VM,
-// lost the successor's release order three times in a row. The step stayed held for
+// A leader froze with a step held, on engines that lose four in ten orders. With
+// single attempts of 150 ms, each followed by a poll that waits for the frozen VM, the
+// successor's release order was lost three times in a row. The step stayed held for
 // 2.6 s instead of 1.4 s, and callers leave after 2 s without an event.
 var remoteRetries = retryPolicy{attempts: 5, timeout: 20 * time.Millisecond, lastTimeout: engineTimeout - 4*20*time.Millisecond}
 
--- a/internal/ranker/tries_test.go
+++ b/internal/ranker/tries_test.go
@@ -20,8 +20,8 @@
 	if term.retries != remoteRetries || time.Duration(remoteRetries.attempts-1)*remoteRetries.timeout+remoteRetries.lastTimeout > engineTimeout {
 		t.Fatalf("got %+v, want %+v within %v", term.retries, remoteRetries, engineTimeout)
 	}
-	// The attempt then ends when its order is lost, never because the machine is
-	// slow.
+	// With these timeouts, an attempt ends only when its order is lost, never because
+	// the machine is slow.
 	term.retries.timeout, term.retries.lastTimeout = time.Minute, time.Minute
 	const ahead = 1_000_000
 	for _, o := range []lockstep.Order{lockstep.Hold{Step: ahead}, lockstep.Release{Step: ahead}} {
