--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -242,8 +242,8 @@
 	return out
 }
 
-// MaxGaps returns the smallest MaxGap of all routes to each service. Services whose routes set no
-// MaxGap are absent.
+// MaxGaps returns, by service, the smallest MaxGap of the routes to it. Services whose routes set
+// no MaxGap are absent.
 func (t *Table) MaxGaps() map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for _, routes := range t.hosts {
