--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -20,8 +20,8 @@
 	maxWaiting = 64
 )
 
-// waiter is a request that asks to be assigned to an endpoint. A request is late if its answer can
-// no longer meet the latency target.
+// waiter is a request to be assigned to an endpoint. A request is late if its answer can no longer
+// meet the latency target.
 type waiter struct {
 	req AdmitRequest
 	// done receives one value when a queued request has been assigned to an endpoint (nil) or has
@@ -29,12 +29,12 @@
 	done chan *result.Error
 
 	// State.mu guards the fields below. queued means that the request is in the queue, and late
-	// that it can no longer meet its target.
+	// that its answer can no longer meet the target.
 	queued, late bool
 	assigned     Assignment
-	// placeErr is why the request could not be assigned on the last try, and refusal why it is
+	// assignErr is why the request could not be assigned on the last try, and refusal why it is
 	// refused for good.
-	placeErr, refusal *result.Error
+	assignErr, refusal *result.Error
 }
 
 // AdmitRequest is a request to be assigned to an endpoint.
@@ -55,16 +55,17 @@
 	// AbandonAt is when the caller gives up if no part of the answer has arrived; zero means at
 	// Deadline.
 	AbandonAt time.Time
-	Priority  int
+	// Priority orders the requests of one account; 0 is the highest priority.
+	Priority int
 }
 
 // Admit assigns a request to an endpoint, after waiting in the queue if necessary, or returns why
-// it can't be assigned. The caller must call Release with each place that it gets.
+// it can't be assigned. Each assignment must be given back with Release.
 //
 // Under overload, a request waits for as long as its answer can meet its target, and then behind
 // all other requests for as long as it is expected to be assigned before the caller's deadline.
-// Otherwise it is refused with a retry time: holding it longer would make the requests behind it
-// late as well.
+// Otherwise it is refused with a Retry-After time: holding it longer would make the requests behind
+// it late as well.
 func (st *State) Admit(ctx context.Context, req AdmitRequest, clock func() time.Time) (Assignment, *result.Error) {
 	w := &waiter{req: req, done: make(chan *result.Error, 1)}
 	waits, e := st.submit(w, clock())
@@ -86,7 +87,8 @@
 	}
 }
 
-// submit passes the request to the queue and reports whether it waits there.
+// submit assigns or refuses the request at once or leaves it in the queue, and reports whether it
+// waits there.
 func (st *State) submit(w *waiter, now time.Time) (bool, *result.Error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -103,9 +105,9 @@
 		return false, e
 	}
 	st.waiters[w.req.ID] = w
-	placed := st.enqueue(w, now)
+	started := st.enqueue(w, now)
 	st.recordArrival(w, now)
-	if placed {
+	if started {
 		return false, nil
 	}
 	if w.refusal != nil {
@@ -127,10 +129,10 @@
 			return true
 		case admission.Wait:
 			st.handleRefusals(d.Displaced, now)
-			if !isTransient(w.placeErr) {
+			if !isTransient(w.assignErr) {
 				// Waiting can't resolve the reason.
 				st.queue.Cancel(w.req.ID)
-				w.refusal = w.placeErr
+				w.refusal = w.assignErr
 			}
 			return false
 		case admission.Refused:
@@ -221,11 +223,11 @@
 		w := st.waiters[r.ID]
 		service := w.req.Service
 		if w.late && st.lateRunning[service.Name] >= st.lateSlots(service, now) {
-			w.placeErr = result.New(result.EndpointBusy, "").WithRetryAfter(retryAfterBusy)
+			w.assignErr = result.New(result.EndpointBusy, "").WithRetryAfter(retryAfterBusy)
 			return false
 		}
 		assigned, e := st.choose(service, w.req.Query, now)
-		w.assigned, w.placeErr = assigned, e
+		w.assigned, w.assignErr = assigned, e
 		if e != nil {
 			return false
 		}
@@ -258,8 +260,8 @@
 	st.handleRefusals(refused, now)
 }
 
-// queueRefusal returns the refusal, with a retry time, for a request that the queue refused. While
-// the group is closed, the drain rate measured before does not predict when it opens.
+// queueRefusal returns the refusal, with a Retry-After time, for a request that the queue refused.
+// While the group is closed, the drain rate measured before does not predict when it opens.
 func (st *State) queueRefusal(w *waiter, r admission.Refused, now time.Time) *result.Error {
 	if _, closed := st.groupState(w.req.Service, now); closed {
 		return st.refusal(w.req.Service.Name, result.GroupClosed, now)
@@ -329,7 +331,7 @@
 	defer st.mu.Unlock()
 	select {
 	case e := <-w.done:
-		// The request was assigned at the same moment; the place must be used or given back.
+		// The request was assigned at the same moment; the assignment must be used or given back.
 		return w.assigned, e
 	default:
 	}
--- a/internal/relay/asking.go
+++ b/internal/relay/asking.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// recheckKeyAge gives a place back, and returns an error, if the known keys have become too old
-// since the request arrived.
+// recheckKeyAge gives an assignment back, and returns an error, if the known keys have become too
+// old since the request arrived.
 func (j *job) recheckKeyAge(assigned Assignment) *result.Error {
 	if j.account == nil {
 		return nil
@@ -31,9 +31,9 @@
 	return e
 }
 
-// assignPlace chooses the endpoint of the next attempt. The known keys may have become too old
-// while the request waited.
-func (j *job) assignPlace(ctx context.Context, now time.Time) (Assignment, *result.Error) {
+// assignEndpoint chooses the endpoint of the next attempt. It checks the age of the known keys
+// again, since they may have become too old while the request waited.
+func (j *job) assignEndpoint(ctx context.Context, now time.Time) (Assignment, *result.Error) {
 	assigned, e := j.admit(ctx, j.query(), now)
 	if e != nil {
 		return assigned, e
@@ -81,10 +81,10 @@
 	return j.raw.At.Add(j.route.Patience)
 }
 
-// firstAskFraction is the least time that a caller has left on its first attempt, as a fraction of
-// the largest time left that was seen on the route. Callers' time limits differ by a sixth; one
-// that has been told to retry later has used up more than that.
-const firstAskFraction = 0.8
+// firstAttemptFraction is the least time that a caller has left on its first attempt, as a fraction
+// of the most time that any caller of the route has had left. Callers' time limits differ by a
+// sixth; a caller that has been told to retry later has used up more than that.
+const firstAttemptFraction = 0.8
 
 // askedBefore reports whether this is a repeated attempt of the caller.
 func (j *job) askedBefore() bool { return j.timeUsed() > 0 }
@@ -97,7 +97,7 @@
 		return 0
 	}
 	longest := j.relay.State.MaxTimeLeft(j.route.Name, j.requestInfo.TimeLeft)
-	if j.requestInfo.TimeLeft >= time.Duration(firstAskFraction*float64(longest)) {
+	if j.requestInfo.TimeLeft >= time.Duration(firstAttemptFraction*float64(longest)) {
 		return 0
 	}
 	return longest - j.requestInfo.TimeLeft
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -24,10 +24,10 @@
 }
 
 var (
-	errUnsigned          = errors.New("relay: a success without the endpoint's signature")
-	errEncoded           = errors.New("relay: the body is encoded, which nobody asked for")
-	errRequestIDMismatch = errors.New("relay: a success that doesn't name its request")
-	errAnswerTooLarge    = errors.New("relay: the answer is too long")
+	errUnsigned          = errors.New("relay: successful answer lacks the endpoint's signature")
+	errEncoded           = errors.New("relay: answer has a content encoding that was not requested")
+	errRequestIDMismatch = errors.New("relay: successful answer does not carry the ID of its request")
+	errAnswerTooLarge    = errors.New("relay: answer exceeds the size limit")
 	errEventOrder        = errors.New("relay: events are missing or out of order")
 )
 
@@ -81,7 +81,7 @@
 	if j.account != nil {
 		info.Account = j.account.Name
 	}
-	if j.headSent {
+	if j.headerSent {
 		info.Resume = formatEventID(j.lastEventID)
 	}
 	j.relay.HeaderCodec.WriteRequest(h, info)
@@ -109,12 +109,12 @@
 	return min(max(p, 0), maxUrgency)
 }
 
-// lostOutcome returns the outcome of an exchange that failed before or while the answer arrived.
+// lostOutcome returns the outcome of an exchange that failed before its answer was complete.
 func (j *job) lostOutcome(err error) Outcome {
 	switch {
 	case direct.IsNotSent(err):
 		return NotRun{Code: result.EndpointDown, Cause: err}
-	case j.headSent:
+	case j.headerSent:
 		return j.interruptedOutcome(err)
 	case errors.Is(err, context.Canceled):
 		return Disconnected{Cause: err}
@@ -216,12 +216,12 @@
 func (j *job) forwardEvent(assigned Assignment, resp *direct.Response, ev direct.Event) error {
 	now := j.relay.Now()
 	j.relay.State.PartReceived(assigned, now)
-	if pause := now.Sub(j.lastPartAt); j.headSent && pause > j.longestPause {
+	if pause := now.Sub(j.lastPartAt); j.headerSent && pause > j.longestPause {
 		j.longestPause, j.pauseEndedAt = pause, now
 	}
 	j.lastPartAt = now
-	if !j.headSent {
-		j.headSent, j.firstPartAt = true, now
+	if !j.headerSent {
+		j.headerSent, j.firstPartAt = true, now
 		if err := j.reply.BeginRaw(resp.Status, caller.EndToEnd(resp.Header)); err != nil {
 			return err
 		}
@@ -233,11 +233,11 @@
 }
 
 func (j *job) endStream(resp *direct.Response) Outcome {
-	if !j.headSent {
+	if !j.headerSent {
 		if err := j.reply.BeginRaw(resp.Status, caller.EndToEnd(resp.Header)); err != nil {
 			return Disconnected{Cause: err}
 		}
-		j.headSent = true
+		j.headerSent = true
 	}
 	if err := j.reply.End(); err != nil {
 		return Disconnected{Cause: err}
--- a/internal/relay/belief.go
+++ b/internal/relay/belief.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// retentionAfterOutage is how long, after the store comes back, endpoints whose entries
-	// vanished while it was away are kept. Running endpoints write their entries again within about
-	// two seconds.
+	// retentionAfterOutage is how long, after the store comes back, endpoints are kept whose store
+	// entries vanished while it was unavailable. Running endpoints write their store entries again
+	// within about two seconds.
 	retentionAfterOutage = 2 * time.Second
 	// startupHold is how long after its start the process holds requests that arrive before it
 	// knows a configuration.
 	startupHold = time.Second
 	// defaultSlots is the number of slots of an endpoint that reports none.
 	defaultSlots = 4
-	// reportInterval is how often the selector gets a new report of endpoints without load reports.
-	// It is well below the age at which the selector treats a load as unknown.
+	// reportInterval is how often the balancer gets a new report of endpoints without load reports.
+	// It is well below the age at which the balancer treats a load as unknown.
 	reportInterval = time.Second
 	// maxLoadAge is the age from which a load report is no better than this entry's own count: half
 	// of the requests that ran then have ended.
@@ -36,8 +36,8 @@
 	// failureThreshold is the number of reported failures in a row after which an endpoint gets no
 	// requests for a while.
 	failureThreshold = 2
-	// extraQueue is how many requests beyond its slots an endpoint of a service without engines may
-	// be sent. A request there takes a fifth of the latency target, so a short queue ends in time
+	// extraQueue is how many requests an endpoint of a service without engines may be sent beyond
+	// its slots. A request there takes a fifth of the latency target, so a short queue ends in time
 	// and keeps the endpoint busy.
 	extraQueue = 4
 )
@@ -106,10 +106,12 @@
 	loads        map[string]EndpointLoad
 	entryLoads   map[string]EntryLoad
 	// othersRunning is the sum of the running requests in entryLoads, by endpoint.
-	othersRunning   map[string]int
-	queue           admission.Controller
-	waiters         map[string]*waiter
-	maxPauses       map[string]time.Duration
+	othersRunning map[string]int
+	queue         admission.Controller
+	waiters       map[string]*waiter
+	// maxGaps is the smallest MaxGap of the routes to a service, by service.
+	maxGaps map[string]time.Duration
+	// longestTimeLeft is the most time that a caller has had left, by route.
 	longestTimeLeft map[string]time.Duration
 	recentStarts    startHistory
 	// failures counts the consecutive failures that each endpoint reported.
@@ -199,7 +201,7 @@
 	st.table = t
 	st.signalReady()
 	st.dirty = true
-	st.maxPauses = t.MaxGaps()
+	st.maxGaps = t.MaxGaps()
 	if err := st.queue.Configure(accountLimits(t), now); err != nil {
 		// Only the account names are configured, and they are distinct.
 		panic(err)
@@ -207,8 +209,8 @@
 	return true
 }
 
-// accountLimits returns the accounts and the one for requests without an account. None of them has
-// limits.
+// accountLimits returns limits that name all accounts, and the one of requests without an account,
+// but bound none of them.
 func accountLimits(t *routing.Table) []admission.Limits {
 	limits := []admission.Limits{{Account: anonymousAccount}}
 	for _, name := range t.Accounts() {
@@ -249,7 +251,8 @@
 //
 // When a whole fleet restarts, callers arrive a few tenths of a second before the store has
 // delivered the configuration. If they were refused, most of them would have used up their last
-// attempt. After startupHold requests are refused at once, as the store may be away for long.
+// attempt. After startupHold, requests are refused at once, as the store may be unavailable for
+// long.
 func (st *State) AwaitReady(ctx context.Context, now time.Time) {
 	left := startupHold - now.Sub(st.startedAt)
 	if left <= 0 {
@@ -312,7 +315,7 @@
 	st.UpdateDirectory(func(d *directory.Directory) { d.ExtendColdStart(id, cold, now) })
 }
 
-// Misdirected records that another endpoint answered at the address of a place.
+// Misdirected records that another endpoint answered at the address of an assigned one.
 func (st *State) Misdirected(assigned Assignment) {
 	st.UpdateDirectory(func(d *directory.Directory) { d.MarkMisdirected(assigned.Endpoint.ID, assigned.Endpoint.StartMillis) })
 }
@@ -340,7 +343,7 @@
 	return now.Sub(newest)
 }
 
-// Refusal returns the refusal of a request for a service, with a retry time.
+// Refusal returns the refusal of a request for a service, with a Retry-After time.
 func (st *State) Refusal(service string, code result.Code, now time.Time) *result.Error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/internal/relay/belief_test.go
+++ b/internal/relay/belief_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// Nine entries place requests on twelve engines that run in lockstep, so the fullest engine slows
+// Nine entries assign requests to twelve engines that run in lockstep, so the fullest engine slows
 // all of them. Arrivals are Poisson at the usual rate of busy days (56 per second that last 1.3 s
 // each, so six per engine), and entries learn of each other's work up to 25 ms late. Guards against
 // an uneven distribution.
@@ -87,7 +87,7 @@
 				w.exchange(now)
 			}
 			if rng.Float64() < rate/1000 {
-				w.place(rng.IntN(entries), now, lasts)
+				w.assign(rng.IntN(entries), now, lasts)
 			}
 			if ms > 3000 {
 				w.sampleExcess()
@@ -115,7 +115,7 @@
 	until    time.Time
 }
 
-func (w *fleetModel) place(i int, now time.Time, lasts time.Duration) {
+func (w *fleetModel) assign(i int, now time.Time, lasts time.Duration) {
 	st := w.fleet[i]
 	assigned, e := st.Choose(st.Table().Service("quotes"), placement.Query{Tokens: 900}, now)
 	if e == nil {
@@ -191,8 +191,8 @@
 	return AdmitRequest{Service: s, ID: id, Account: anonymousAccount, TargetLatency: 500 * time.Millisecond, FirstPartDeadline: now.Add(500 * time.Millisecond), Deadline: now.Add(8 * time.Second)}
 }
 
-// takeAllPlaces takes all places of a service.
-func takeAllPlaces(t *testing.T, st *State, s *routing.Service, now time.Time) []Assignment {
+// takeAllSlots assigns requests until all slots of a service are taken.
+func takeAllSlots(t *testing.T, st *State, s *routing.Service, now time.Time) []Assignment {
 	t.Helper()
 	var out []Assignment
 	for {
@@ -206,13 +206,13 @@
 
 // All engines are full for a moment. Guards against the refusal of a request that can still meet
 // its target in the slot of a stream that ends.
-func TestRequestWaitsForAPlace(t *testing.T) {
+func TestRequestWaitsForASlot(t *testing.T) {
 	st := newState("me", &routing.Service{Name: "quotes", Engine: testEngine()})
 	listEndpoints(st, 2, "quotes")
 	s := st.Table().Service("quotes")
-	held := takeAllPlaces(t, st, s, start)
+	held := takeAllSlots(t, st, s, start)
 	if want := 2 * batch.MaxBatch(testEngine(), 120*time.Millisecond); len(held) != want {
-		t.Fatalf("%d places, want %d", len(held), want)
+		t.Fatalf("%d slots taken, want %d", len(held), want)
 	}
 	done := make(chan *result.Error, 1)
 	go func() {
@@ -234,7 +234,7 @@
 	st := newState("me", &routing.Service{Name: "quotes", Engine: testEngine()})
 	listEndpoints(st, 1, "quotes")
 	s := st.Table().Service("quotes")
-	takeAllPlaces(t, st, s, start)
+	takeAllSlots(t, st, s, start)
 	began := time.Now()
 	clock := func() time.Time { return start.Add(time.Since(began)) }
 	_, e := st.Admit(context.Background(), newAdmitRequest("r1", s, start), clock)
@@ -262,7 +262,7 @@
 	st := newState("me", &routing.Service{Name: "quotes", Engine: testEngine()})
 	listEndpoints(st, 1, "quotes")
 	s := st.Table().Service("quotes")
-	held := takeAllPlaces(t, st, s, start)
+	held := takeAllSlots(t, st, s, start)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, e := st.Admit(ctx, newAdmitRequest("r1", s, start), fixedClock(start)); e == nil {
--- a/internal/relay/closed.go
+++ b/internal/relay/closed.go
@@ -11,8 +11,8 @@
 	// maxLeaderReportAge is the age from which a leader's report about its group is ignored.
 	// Leaders report several times within it.
 	maxLeaderReportAge = 500 * time.Millisecond
-	// closedAfterSilence is how long a group's engines must have given this entry no answer after a
-	// failure until the group counts as closed without a report of its leader: two of the longest
+	// closedAfterSilence is how long after a failure a group's engines must have given this entry
+	// no answer for the group to count as closed without a report of its leader: two of the longest
 	// passes.
 	closedAfterSilence = 250 * time.Millisecond
 	// probeInterval is the pause between requests that probe whether a group without a leader's
@@ -85,12 +85,12 @@
 // All engines of a group stop at once when a rank or the path to a data centre is lost, or when all
 // VMs lose power, and callers have one more attempt. The best estimate of the remaining outage is
 // its duration so far; once no rank is missing, forming takes about a second. Callers who have come
-// back as they were asked to may wait: refused while the group forms, they would have used up their
-// last attempt, although they would wait for longer than that. Callers on their first attempt may
-// not: they are asked to come back when the group has most likely opened. If they waited too, twice
-// as many requests would meet the group as it opens, and requests that arrive then and could meet
-// their target would become late behind them. No caller is held through an outage of unknown
-// duration.
+// back as they were asked to may wait: if they were refused while the group forms, they would have
+// used up their last attempt, although they are willing to wait for longer than that. Callers on
+// their first attempt may not: they are asked to come back when the group has most likely opened.
+// If they waited too, twice as many requests would be waiting when the group opens, and requests
+// that arrive then and could meet their target would become late behind them. No caller is held
+// through an outage of unknown duration.
 func (st *State) refuseIfClosed(req AdmitRequest, now time.Time) *result.Error {
 	c, closed := st.groupState(req.Service, now)
 	if !closed {
--- a/internal/relay/decide_test.go
+++ b/internal/relay/decide_test.go
@@ -46,7 +46,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := NextDecision(c.route, c.attempts, c.outcome, c.left, c.budget); got != c.want {
-				t.Fatalf("step %v, want %v", got, c.want)
+				t.Fatalf("decision %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -89,15 +89,15 @@
 	return most
 }
 
-// An entry VM is suspended while operators revoke a key. Guards against knowledge from before the
-// suspension that counts as fresh afterwards.
+// An entry VM is suspended while operators revoke a key. Guards against a configuration from before
+// the suspension that counts as fresh afterwards.
 func TestFreshnessOnlyGrows(t *testing.T) {
 	var f Freshness
 	if f.Age(start) < time.Hour {
 		t.Fatal("fresh before anything is known")
 	}
 	f.Advance(start)
-	f.Advance(start.Add(-time.Second)) // an older proof that arrives late
+	f.Advance(start.Add(-time.Second)) // an older confirmation that arrives late
 	if got := f.Age(start.Add(3 * time.Second)); got != 3*time.Second {
 		t.Fatalf("age %v", got)
 	}
--- a/internal/relay/dialect.go
+++ b/internal/relay/dialect.go
@@ -27,8 +27,8 @@
 	Resume string
 	// PromptTokens and OutputTokens are the size of a generation request.
 	PromptTokens, OutputTokens int
-	// PromptID identifies the last part of the prompt's prefix, which is the most specific to the
-	// request.
+	// PromptID identifies the last of the prompt's parts that it shares with other requests, which
+	// is the one most specific to this request.
 	PromptID string
 }
 
--- a/internal/relay/entries.go
+++ b/internal/relay/entries.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// minEntriesAtStart is the number of entries assumed at least until all have had the time to be
-	// listed, so that shares are rather too small than too large.
+	// minEntriesAtStart is the least number of entries that is assumed until all have had time to
+	// be listed, so that shares are too small rather than too large.
 	minEntriesAtStart = 12
 	// entryRetention is how long an entry counts after it was delisted. An entry that is cut off
 	// from the store loses its listing there and goes on serving.
 	entryRetention = 20 * time.Second
 )
 
-// SetEntry records that another entry is listed, or has been delisted.
+// SetEntry records that an entry is listed, or has been delisted.
 func (st *State) SetEntry(name string, listed bool, now time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -50,7 +50,7 @@
 	return n
 }
 
-// listedEntries returns the number of entries that are listed now, and at least 1.
+// listedEntries returns the number of entries that are listed now, but at least 1.
 func (st *State) listedEntries() int {
 	n := 0
 	for _, delistedAt := range st.entries {
--- a/internal/relay/finish.go
+++ b/internal/relay/finish.go
@@ -32,7 +32,7 @@
 	case Unknown:
 		e = j.unknownResult(o, now)
 	}
-	if j.headSent {
+	if j.headerSent {
 		j.reply.Break()
 		j.log(result.AnswerIncomplete, 0, now, e)
 		return
--- a/internal/relay/freshness.go
+++ b/internal/relay/freshness.go
@@ -12,7 +12,7 @@
 	knownAsOf atomic.Int64
 }
 
-// Advance records that all changes made before asked are known.
+// Advance records that all changes made before asked, the time of a query for changes, are known.
 func (f *Freshness) Advance(asked time.Time) {
 	ns := asked.UnixNano()
 	for {
--- a/internal/relay/lapse_test.go
+++ b/internal/relay/lapse_test.go
@@ -9,9 +9,9 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/routing"
 )
 
-// The store is back, and an endpoint whose entry vanished while it was away has left. Guards
-// against requests that are sent to it for up to a second after its hold has ended, because the
-// candidates were refreshed only once per second.
+// The store is back, and an endpoint whose store entry vanished while it was unavailable has left.
+// Guards against requests that are sent to it for up to a second after its retention has ended,
+// because the list of usable endpoints was refreshed only once per second.
 func TestHeldEndpointIsDroppedInTime(t *testing.T) {
 	s := &routing.Service{Name: "quotes"}
 	st := newState("me", s)
--- a/internal/relay/late.go
+++ b/internal/relay/late.go
@@ -15,11 +15,11 @@
 	minMeasured = 100 * time.Millisecond
 	// reservedFraction is the fraction of the slots needed by requests which can meet their target
 	// that is kept free of late ones. They do not all arrive at once: if all of it were reserved,
-	// late callers would be refused beside free slots; with none, the other requests would become
-	// late.
+	// late callers would be refused although slots are free; with none, the other requests would
+	// become late.
 	reservedFraction = 0.5
 	// minLateSlots is the number of late requests that an entry may run whatever its other requests
-	// need, so that none waits forever in vain.
+	// need, so that late requests can't be starved.
 	minLateSlots = 1
 )
 
@@ -44,15 +44,16 @@
 	}
 }
 
-// rate returns requests per second. It corrects for the short time since the first arrival.
+// rate returns the rate in requests per second. It corrects for the short time since the first
+// arrival.
 func (a *arrivalRate) rate(now time.Time) float64 {
 	if a.startedAt.IsZero() {
 		return 0
 	}
 	a.decay(now)
-	memory := arrivalWindow.Seconds()
-	seen := 1 - math.Exp(-max(minMeasured.Seconds(), now.Sub(a.startedAt).Seconds())/memory)
-	return a.count / (memory * seen)
+	window := arrivalWindow.Seconds()
+	seen := 1 - math.Exp(-max(minMeasured.Seconds(), now.Sub(a.startedAt).Seconds())/window)
+	return a.count / (window * seen)
 }
 
 // lateSlots returns how many late requests an entry may run at a service: its share of all slots,
@@ -64,30 +65,30 @@
 // would become late behind them. With it, an entry works off the late requests over about two
 // seconds and serves the others as usual.
 func (st *State) lateSlots(s *routing.Service, now time.Time) int {
-	places := 0
+	slots := 0
 	for _, ep := range st.endpoints {
 		if ep.Service == s.Name {
 			n, _ := st.endpointCapacity(ep)
-			places += n
+			slots += n
 		}
 	}
-	share := float64(places) / float64(st.listedEntries())
+	share := float64(slots) / float64(st.listedEntries())
 	a := st.arrivals[s.Name]
 	if a == nil {
 		return max(minLateSlots, int(share))
 	}
-	needed := a.rate(now) * st.usualPlaceTime(s, now).Seconds()
+	needed := a.rate(now) * st.usualSlotTime(s, now).Seconds()
 	return max(minLateSlots, int(share-reservedFraction*needed))
 }
 
-// usualPlaceTime returns how long a request usually holds its slot. Before any request was
+// usualSlotTime returns how long a request usually holds its slot. Before any request was
 // observed, it is the time that a fully loaded engine with a planned expert map takes for a request
 // of mean size.
-func (st *State) usualPlaceTime(s *routing.Service, now time.Time) time.Duration {
-	guess := time.Duration(0)
+func (st *State) usualSlotTime(s *routing.Service, now time.Time) time.Duration {
+	fallback := time.Duration(0)
 	if e := s.Engine; e != nil && e.Stride > 0 {
 		passes := float64(e.MeanOutput) / float64(e.Stride)
-		guess = time.Duration(passes * float64(batch.PassDuration(e, e.Slots, batch.PlannedSkew)))
+		fallback = time.Duration(passes * float64(batch.PassDuration(e, e.Slots, batch.PlannedSkew)))
 	}
-	return quantile(st.latencies.forService(s.Name, now).whole, usualWholePercentile, guess)
+	return quantile(st.latencies.forService(s.Name, now).whole, usualWholePercentile, fallback)
 }
--- a/internal/relay/late_test.go
+++ b/internal/relay/late_test.go
@@ -161,7 +161,7 @@
 	}
 	st.mu.Unlock()
 	st.SetLoads(loads, start)
-	for _, assigned := range takeAllPlaces(t, st, s, start) {
+	for _, assigned := range takeAllSlots(t, st, s, start) {
 		if assigned.Endpoint.ID == "e0" {
 			t.Fatal("a request was sent to the closed group")
 		}
@@ -183,14 +183,14 @@
 		st.entries[fmt.Sprint("entry", i)] = time.Time{}
 	}
 	lateSlots := st.lateSlots(s, now)
-	places := 0
+	slots := 0
 	for _, ep := range st.endpoints {
 		allowance, _ := st.endpointCapacity(ep)
-		places += allowance
+		slots += allowance
 	}
 	st.mu.Unlock()
-	if part := places / 7; lateSlots < minLateSlots || lateSlots >= part {
-		t.Fatalf("%d late slots of %d", lateSlots, part)
+	if share := slots / 7; lateSlots < minLateSlots || lateSlots >= share {
+		t.Fatalf("%d late slots of %d", lateSlots, share)
 	}
 	var lateDone []<-chan *result.Error
 	for i := range 3 * lateSlots {
@@ -215,7 +215,7 @@
 // missed target, and against one that comes only after the caller has given up.
 func TestLateWaitEndsBeforeTheCallerLeaves(t *testing.T) {
 	st, s := newGroup(1)
-	takeAllPlaces(t, st, s, start)
+	takeAllSlots(t, st, s, start)
 	req := newAdmitRequest("r1", s, start)
 	req.AbandonAt = start.Add(2 * time.Second)
 	done := admitAsync(st, req, fixedClock(start))
@@ -268,7 +268,8 @@
 }
 
 // Callers of one route have time limits of 7 to 8 s. Guards against a caller with a shorter limit
-// that counts as one that has asked before; one with 5 s left was asked to come back and has.
+// that counts as one that has asked before. A caller with little more than 5 s left was asked to
+// come back and has done so.
 func TestCallerOfLessPatienceIsNotLate(t *testing.T) {
 	st, _ := newGroup(1)
 	for _, c := range []struct {
@@ -298,7 +299,7 @@
 	st.SetTable(newTable(1), start)
 	select {
 	case <-done:
-		t.Fatal("known before the endpoints were listed")
+		t.Fatal("ready before the endpoints were listed")
 	case <-time.After(20 * time.Millisecond):
 	}
 	st.EndpointsListed()
@@ -308,16 +309,17 @@
 	old.AwaitReady(context.Background(), start.Add(startupHold))
 }
 
-// Requests wait while their group is closed. Guards against counting that time in the drain rate,
-// by which the first requests after the group opens would be refused for a wait that is over.
+// Requests wait while their group is closed. Guards against counting that time in the drain rate.
+// Otherwise the first requests after the group opens would be refused because of a long expected
+// wait that is already over.
 func TestClosedTimeIsNotDrainTime(t *testing.T) {
 	expected := func(excludeClosed bool) time.Duration {
 		c := &admission.Controller{}
 		if err := c.Configure([]admission.Limits{{Account: "a"}}, start); err != nil {
 			t.Fatal(err)
 		}
-		now, places := start, 0
-		place := func(*admission.Request) bool { places--; return places >= 0 }
+		now, freeSlots := start, 0
+		place := func(*admission.Request) bool { freeSlots--; return freeSlots >= 0 }
 		ask := func(id string) admission.Decision {
 			r := admission.Request{ID: id, Account: "a", Route: "r", Worth: 1, Deadline: now.Add(time.Minute), ExpectedRunTime: 200 * time.Millisecond}
 			return c.Arrive(r, now, place)
@@ -326,13 +328,13 @@
 			ask(fmt.Sprint("a", i))
 		}
 		for range 10 {
-			now, places = now.Add(100*time.Millisecond), 1
+			now, freeSlots = now.Add(100*time.Millisecond), 1
 			for _, r := range startedOnly(c.Next(now, place)) {
 				c.Cancel(r.ID)
 			}
 		}
 		for range 60 { // then none start for 6 s
-			now, places = now.Add(100*time.Millisecond), 0
+			now, freeSlots = now.Add(100*time.Millisecond), 0
 			if excludeClosed {
 				c.SkipDrainTime("r", now)
 			}
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -13,20 +13,22 @@
 )
 
 const (
-	// limitTTL is how long a limit holds without an update. An endpoint reports it in each answer,
-	// and gets some requests at any limit.
+	// limitTTL is how long a limit holds without an update. An endpoint reports its limit in each
+	// answer, and is sent some requests at any limit.
 	limitTTL = 30 * time.Second
-	// limitShareAge is the age up to which an endpoint's report is passed on to other entries. The
-	// endpoint repeats it in its next answer, and the age is longer than the pause between two
-	// regular messages. maxSharedLimits is the number of limits in one message, the latest ones.
-	limitShareAge   = 1500 * time.Millisecond
-	maxSharedLimits = 16
+	// limitExchangeAge is the age up to which an endpoint's report is passed on to other entries.
+	// The endpoint repeats it in its next answer, and the age is longer than the pause between two
+	// regular messages. maxExchangedLimits is the largest number of limits in one message, which
+	// holds the latest ones.
+	limitExchangeAge   = 1500 * time.Millisecond
+	maxExchangedLimits = 16
 	// minLimitRate is the lowest rate, in requests per second, at which an endpoint is sent
 	// requests, so that the end of its limit is noticed.
 	minLimitRate = 0.1
 	// Entries may send the requests that they have saved up all at once. An endpoint accepts
-	// burstPerRate requests for each request per second of its limit, and burstBase more. Both
-	// leave some of its tolerance for entries that disagree on the number of sharers.
+	// burstPerRate requests at once for each request per second of its limit, and burstBase more.
+	// Both are low enough to leave some of its tolerance for entries that disagree on the number of
+	// sharers.
 	burstPerRate = 2
 	burstBase    = 3
 )
@@ -127,7 +129,7 @@
 }
 
 // RecentOwnLimits returns the limits that endpoints have reported to this entry within
-// limitShareAge, latest first, to be passed on to the other entries. Their number is bounded:
+// limitExchangeAge, latest first, to be passed on to the other entries. Their number is bounded:
 // messages are sent each 20 ms, and would otherwise grow with the number of limited endpoints,
 // which may be a thousand.
 func (st *State) RecentOwnLimits(now time.Time) []RateLimit {
@@ -136,12 +138,12 @@
 	st.limits.expire(now)
 	var out []RateLimit
 	for _, l := range st.limits.own {
-		if now.Sub(l.At) <= limitShareAge {
+		if now.Sub(l.At) <= limitExchangeAge {
 			out = append(out, l)
 		}
 	}
 	slices.SortFunc(out, func(a, b RateLimit) int { return b.At.Compare(a.At) })
-	return out[:min(len(out), maxSharedLimits)]
+	return out[:min(len(out), maxExchangedLimits)]
 }
 
 // MergeLimits merges the limits that endpoints have reported to another entry, and returns those
@@ -180,8 +182,8 @@
 	wait     time.Duration
 }
 
-// excludeLimited excludes endpoints of whose limit this entry has no share or has used it up. mu
-// must be held.
+// excludeLimited excludes endpoints with a limit of which this entry has no share, or has used up
+// its share. mu must be held.
 func (st *State) excludeLimited(service *routing.Service, q *placement.Query, now time.Time) limitState {
 	var out limitState
 	for id := range st.limits.newest {
--- a/internal/relay/limit_test.go
+++ b/internal/relay/limit_test.go
@@ -31,8 +31,8 @@
 
 	perSecond   float64
 	from, until time.Time
-	// pendingHeads are answers whose headers have not arrived yet.
-	pendingHeads []openRequest
+	// pendingHeaders are answers whose headers have not arrived yet.
+	pendingHeaders []openRequest
 	// informedAt is when an entry first received the limit from the endpoint. sentInformed holds
 	// the times of requests to the endpoint from informed entries, sentAll of those from any entry,
 	// and sentAfter counts the requests after the limit had ended.
@@ -69,16 +69,16 @@
 	return w.perSecond
 }
 
-// arrive places a request that arrives at entry i. The header of its answer arrives after headAfter,
-// and its end after endAfter.
-func (w *limitModel) arrive(i int, now time.Time, headAfter, endAfter time.Duration) {
+// arrive assigns a request that arrives at entry i. The header of its answer arrives after
+// headerAfter, and its end after endAfter.
+func (w *limitModel) arrive(i int, now time.Time, headerAfter, endAfter time.Duration) {
 	st := w.fleet[i]
 	assigned, e := st.Choose(st.Table().Service("quotes"), placement.Query{Tokens: 900}, now)
 	if e != nil {
 		return
 	}
 	w.open = append(w.open, openRequest{entry: i, assigned: assigned, until: now.Add(endAfter)})
-	w.pendingHeads = append(w.pendingHeads, openRequest{entry: i, assigned: assigned, until: now.Add(headAfter)})
+	w.pendingHeaders = append(w.pendingHeaders, openRequest{entry: i, assigned: assigned, until: now.Add(headerAfter)})
 	if assigned.Endpoint.ID != limitedEndpoint {
 		return
 	}
@@ -94,9 +94,9 @@
 	}
 }
 
-// deliverHeads delivers the headers of answers that are due.
-func (w *limitModel) deliverHeads(now time.Time) {
-	w.pendingHeads = slices.DeleteFunc(w.pendingHeads, func(o openRequest) bool {
+// deliverHeaders delivers the headers of answers that are due.
+func (w *limitModel) deliverHeaders(now time.Time) {
+	w.pendingHeaders = slices.DeleteFunc(w.pendingHeaders, func(o openRequest) bool {
 		if now.Before(o.until) {
 			return false
 		}
@@ -113,17 +113,17 @@
 }
 
 // run simulates requests that arrive at the given rate per second for the duration d.
-func (w *limitModel) run(rng *rand.Rand, from time.Time, d time.Duration, rate float64, headAfter, endAfter time.Duration) {
+func (w *limitModel) run(rng *rand.Rand, from time.Time, d time.Duration, rate float64, headerAfter, endAfter time.Duration) {
 	for ms := range int(d.Milliseconds()) {
 		now := from.Add(time.Duration(ms) * time.Millisecond)
 		w.endExpired(now)
-		w.deliverHeads(now)
+		w.deliverHeaders(now)
 		if ms%(exchangePauseMs*len(w.fleet)) == 0 {
 			w.exchange(now)
 			w.exchangeLimits(now)
 		}
 		if rng.Float64() < rate/1000 {
-			w.arrive(rng.IntN(len(w.fleet)), now, headAfter, endAfter)
+			w.arrive(rng.IntN(len(w.fleet)), now, headerAfter, endAfter)
 		}
 	}
 }
@@ -139,26 +139,26 @@
 }
 
 // An overloaded endpoint reports a limit well below its traffic for 20 s. Guards against entries
-// that go on sending as before or apply the limit each on its own, and against an endpoint that
-// gets no requests afterwards.
+// that go on sending as before or that each use the whole limit, and against an endpoint that gets
+// no requests afterwards.
 func TestLimitOfAnEndpointIsKeptByAllEntriesTogether(t *testing.T) {
 	engines := &routing.Service{Name: "quotes", Engine: testEngine()}
 	plain := &routing.Service{Name: "quotes"}
 	for _, c := range []struct {
-		service             *routing.Service
-		entries, endpoints  int
-		rate, perSecond     float64
-		headAfter, endAfter time.Duration
+		service               *routing.Service
+		entries, endpoints    int
+		rate, perSecond       float64
+		headerAfter, endAfter time.Duration
 	}{
-		{service: engines, entries: 7, endpoints: 12, rate: 40, perSecond: 1.2, headAfter: 120 * time.Millisecond, endAfter: 700 * time.Millisecond},
-		{service: engines, entries: 36, endpoints: 64, rate: 230, perSecond: 1.4, headAfter: 120 * time.Millisecond, endAfter: 700 * time.Millisecond},
-		{service: plain, entries: 8, endpoints: 3, rate: 10, perSecond: 1, headAfter: 50 * time.Millisecond, endAfter: 60 * time.Millisecond},
+		{service: engines, entries: 7, endpoints: 12, rate: 40, perSecond: 1.2, headerAfter: 120 * time.Millisecond, endAfter: 700 * time.Millisecond},
+		{service: engines, entries: 36, endpoints: 64, rate: 230, perSecond: 1.4, headerAfter: 120 * time.Millisecond, endAfter: 700 * time.Millisecond},
+		{service: plain, entries: 8, endpoints: 3, rate: 10, perSecond: 1, headerAfter: 50 * time.Millisecond, endAfter: 60 * time.Millisecond},
 	} {
 		for seed := range uint64(4) {
 			from := start.Add(entryRetention + time.Second)
 			w := newLimitModel(c.entries, c.endpoints, c.perSecond, c.service, from)
 			w.from, w.until = from.Add(3*time.Second), from.Add(23*time.Second)
-			w.run(rand.New(rand.NewPCG(seed, 5)), from, 34*time.Second, c.rate, c.headAfter, c.endAfter)
+			w.run(rand.New(rand.NewPCG(seed, 5)), from, 34*time.Second, c.rate, c.headerAfter, c.endAfter)
 			allowed := overrunFactor*overrunSpan.Seconds()*c.perSecond + overrunBase
 			for _, at := range [][]time.Time{w.sentInformed, w.sentAll} {
 				if n := maxWithin(at, overrunSpan); float64(n) > allowed {
@@ -195,7 +195,7 @@
 }
 
 // An answer made before the endpoint reported a limit arrives after one that reports it. Guards
-// against a limit that such an answer ends, and against one that nothing ends.
+// against a limit that such an answer ends, and against one that a newer answer does not end.
 func TestOlderAnswerDoesNotEndALimit(t *testing.T) {
 	st := newState("me", &routing.Service{Name: "quotes"})
 	listEndpoints(st, 1, "quotes")
@@ -233,7 +233,7 @@
 		if e != nil && e.Code() == result.EndpointLimited {
 			refused++
 			if isTransient(e) || e.RetryAfter() <= 0 {
-				t.Error("the refusal is transient or has no retry time")
+				t.Error("the refusal is transient or has no Retry-After time")
 			}
 		}
 	}
@@ -242,7 +242,8 @@
 	}
 }
 
-// Guards against a limit larger than any number of requests by which no entry gets a share.
+// Guards against a limit so large that the number of its sharers overflows and no entry gets a
+// share.
 func TestHugeLimitIsSharedByAll(t *testing.T) {
 	const entries = 36
 	w := newLimitModel(entries, 1, 1, &routing.Service{Name: "quotes"}, start)
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -104,7 +104,7 @@
 		return slots, slots
 	}
 	if s := st.table.Service(ep.Service); s != nil && s.Engine != nil {
-		n := min(slots, batch.MaxBatch(s.Engine, st.maxPauses[ep.Service]))
+		n := min(slots, batch.MaxBatch(s.Engine, st.maxGaps[ep.Service]))
 		return st.slowAllowance(ep, n), n
 	}
 	return slots + extraQueue, slots
@@ -140,9 +140,10 @@
 	return slowdown, fastest
 }
 
-// running returns how many requests an endpoint has from all entries, and as of when: the number
-// according to the entries' reports, or according to a process beside the endpoint if that is
-// larger, as it may know of entries that are cut off from this one.
+// running returns how many requests an endpoint has from all entries, and as of when. The number
+// comes from the entries' reports. While some entries do not report, the number that a process
+// beside the endpoint reports is used if it is larger, as that process may know of entries that are
+// cut off from this one; if no other entry reports, it is used in any case.
 func (st *State) running(ep directory.Endpoint, now time.Time) (int, time.Time) {
 	n, reporters := st.ownRunning[ep.ID]+st.othersRunning[ep.ID], len(st.entryLoads)
 	l, ok := st.loads[ep.ID]
@@ -155,7 +156,7 @@
 	return n, now
 }
 
-// refresh updates endpoints, addresses and the selector from the directory.
+// refresh updates endpoints, addresses and the balancer from the directory.
 func (st *State) refresh(now time.Time) {
 	if !st.dirty && now.Sub(st.refreshedAt) < reportInterval && !st.dir.RetentionExpired(now) {
 		return
@@ -181,7 +182,7 @@
 	st.endpoints, st.addresses = usable, addresses
 }
 
-// updateReport gives the selector a load report for one endpoint.
+// updateReport gives the balancer a load report for one endpoint.
 func (st *State) updateReport(ep directory.Endpoint, now time.Time) {
 	r := placement.Report{
 		Endpoint: ep.ID, Incarnation: ep.StartMillis, DataCentre: ep.DataCentre, Routes: []string{ep.Service},
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -10,7 +10,7 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Metrics counts requests and attempts, and exports gauges of the entry's view.
+// Metrics counts requests and attempts, and exports gauges of the entry's state.
 type Metrics struct {
 	registry metrics.Registry
 	running  metrics.Counter
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -35,7 +35,7 @@
 	seq      uint64
 	deadline time.Time
 	cancel   context.CancelCauseFunc
-	// next is the place to which the request has been moved, if moved is true.
+	// next is the assignment with which the request continues, if moved is true.
 	next  Assignment
 	moved bool
 }
@@ -56,7 +56,8 @@
 	st.movable[id][r] = true
 }
 
-// unregisterMovable removes an attempt and returns its next place and whether it was moved.
+// unregisterMovable removes an attempt and returns whether it was moved, and if so the next
+// assignment.
 func (st *State) unregisterMovable(r *movableAttempt) (Assignment, bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -70,21 +71,21 @@
 
 // moveOffSlowEngines moves requests off engines that hold up their group. mu must be held.
 //
-// When one rank of a group becomes several times slower, all ranks wait for it in each pass, the
-// longer the more requests it runs itself. It gets no new requests, but those that it has prolong
-// their own passes: seven streams on a rank that was twelve times slower took 6 s, during which a
-// hundred streams on eleven other ranks had one event per 0.8 s. A moved request continues at
-// another engine after its prompt has been read again there.
+// When one rank of a group becomes several times slower, all ranks wait for it in each pass, and
+// the more requests it runs itself, the longer they wait. It gets no new requests, but those that
+// it has prolong their own passes: seven streams on a rank that was twelve times slower took 6 s,
+// during which a hundred streams on eleven other ranks had one event per 0.8 s. A moved request
+// continues at another engine after its prompt has been read again there.
 //
 // Only resumable streams with an attempt and a second left are moved, within the retry budget, and
 // only to an engine with a free slot. So no stream is lost by being moved.
 func (st *State) moveOffSlowEngines(now time.Time) {
-	for id, runs := range st.movable {
+	for id, attempts := range st.movable {
 		ep, ok := st.endpoints[id]
 		if !ok {
 			continue
 		}
-		for _, r := range newest(runs, st.excess(ep, now)) {
+		for _, r := range newest(attempts, st.excess(ep, now)) {
 			if !st.move(r, now) {
 				break
 			}
@@ -101,7 +102,7 @@
 	if s == nil || s.Engine == nil || slowdown < minSlowdownToMove || now.Sub(st.loads[ep.ID].At) >= maxLoadAge {
 		return 0
 	}
-	supported := batch.MaxBatchAtSlowdown(s.Engine, st.maxPauses[ep.Service], slowdown)
+	supported := batch.MaxBatchAtSlowdown(s.Engine, st.maxGaps[ep.Service], slowdown)
 	running, _ := st.running(ep, now)
 	if running <= supported || running <= 0 {
 		return 0
@@ -111,12 +112,12 @@
 }
 
 // newest returns the n attempts that started last, which have the most output left to produce.
-func newest(runs map[*movableAttempt]bool, n int) []*movableAttempt {
+func newest(attempts map[*movableAttempt]bool, n int) []*movableAttempt {
 	if n <= 0 {
 		return nil
 	}
-	out := make([]*movableAttempt, 0, len(runs))
-	for r := range runs {
+	out := make([]*movableAttempt, 0, len(attempts))
+	for r := range attempts {
 		if !r.moved {
 			out = append(out, r)
 		}
@@ -144,8 +145,8 @@
 	return true
 }
 
-// runMovable runs an attempt that may be moved meanwhile, and returns the place at which the
-// request continues if it was moved.
+// runMovable runs an attempt, which may be moved meanwhile if the request permits it. It returns
+// the assignment with which the request continues if it was moved.
 func (j *job) runMovable(ctx context.Context, assigned Assignment) (Outcome, Assignment) {
 	if !j.mayMove() {
 		return j.attempt(ctx, assigned), Assignment{}
@@ -153,10 +154,10 @@
 	st := j.relay.State
 	attemptCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	run := &movableAttempt{service: j.service, query: j.query(), assigned: assigned, deadline: j.deadline, cancel: cancel}
-	st.registerMovable(run)
+	movable := &movableAttempt{service: j.service, query: j.query(), assigned: assigned, deadline: j.deadline, cancel: cancel}
+	st.registerMovable(movable)
 	o := j.attempt(attemptCtx, assigned)
-	next, moved := st.unregisterMovable(run)
+	next, moved := st.unregisterMovable(movable)
 	if !moved {
 		return o, Assignment{}
 	}
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -12,10 +12,10 @@
 
 // slowGroup is a state with four engines, each of which runs some movable streams of this entry.
 type slowGroup struct {
-	st      *State
-	service *routing.Service
-	runs    []*movableAttempt
-	ctxs    []context.Context
+	st       *State
+	service  *routing.Service
+	attempts []*movableAttempt
+	ctxs     []context.Context
 }
 
 func newSlowGroup(t *testing.T, streams int) *slowGroup {
@@ -36,17 +36,17 @@
 			deadline: start.Add(8 * time.Second), cancel: cancel,
 		}
 		g.st.registerMovable(r)
-		g.runs, g.ctxs = append(g.runs, r), append(g.ctxs, ctx)
+		g.attempts, g.ctxs = append(g.attempts, r), append(g.ctxs, ctx)
 	}
 	return g
 }
 
-// report delivers load reports with the engines' slowdowns and the placed requests.
+// report delivers load reports with the engines' slowdowns and the assigned requests.
 func (g *slowGroup) report(now time.Time, slowdowns ...float64) {
 	var loads []EndpointLoad
 	for i, slowdown := range slowdowns {
 		l := EndpointLoad{Address: fmt.Sprintf("10.0.0.%d:1", i), Slowdown: slowdown, At: now}
-		for _, r := range g.runs {
+		for _, r := range g.attempts {
 			if r.assigned.Endpoint.Address == l.Address && !r.moved {
 				l.Running++
 			}
@@ -60,7 +60,7 @@
 func (g *slowGroup) moved(t *testing.T) (off, onto map[string]int) {
 	t.Helper()
 	off, onto = map[string]int{}, map[string]int{}
-	for i, r := range g.runs {
+	for i, r := range g.attempts {
 		if ended := g.ctxs[i].Err() != nil; ended != r.moved {
 			t.Fatalf("moved is %v and ended %v", r.moved, ended)
 		}
@@ -82,7 +82,7 @@
 	if len(off) != 1 || off["e2"] != 6 || onto["e2"] != 0 {
 		t.Fatalf("moved off %v, onto %v", off, onto)
 	}
-	for _, r := range g.runs {
+	for _, r := range g.attempts {
 		if _, moved := g.st.unregisterMovable(r); moved != r.moved {
 			t.Error("unregisterMovable does not report the move")
 		}
@@ -92,9 +92,9 @@
 	}
 }
 
-// An engine is half as fast as the others. Guards against moving streams with which it still keeps
-// the callers' longest pause.
-func TestOnlyWhatASlowEngineCannotBearIsMoved(t *testing.T) {
+// An engine is half as fast as the others. Guards against moving streams that it can run without
+// exceeding the route's MaxGap.
+func TestOnlyExcessStreamsAreMoved(t *testing.T) {
 	g := newSlowGroup(t, 40)
 	g.report(start, 1, 1, 2.4, 1)
 	off, _ := g.moved(t)
@@ -110,7 +110,7 @@
 
 // Guards against streams that are moved for a temporary slowdown of a tenth, when all engines are
 // as slow, when the others are full, when the request is nearly over, or beyond the retry budget:
-// an attempt is used up and nothing gained.
+// an attempt would be used up and nothing gained.
 func TestStreamsStayWhereMovingDoesNotPay(t *testing.T) {
 	for name, c := range map[string]struct {
 		streams   int
--- a/internal/relay/outage.go
+++ b/internal/relay/outage.go
@@ -49,7 +49,7 @@
 // answered records that a part of an answer arrived.
 func (o *outages) answered(service string, _ time.Time) { delete(o.since, service) }
 
-// markDown records that a service gives no answers from now on, unless that is known already.
+// markDown records that a service gives no answers as of now, unless it is marked already.
 func (o *outages) markDown(service string, now time.Time) {
 	if o.since == nil {
 		o.since = map[string]time.Time{}
@@ -59,7 +59,8 @@
 	}
 }
 
-// recordOutcome marks a service as down after an attempt that brought no complete answer.
+// recordOutcome marks a service as down after an attempt that was not run, or whose answer is
+// missing or incomplete.
 func (o *outages) recordOutcome(service string, outcome Outcome, now time.Time) {
 	switch outcome.(type) {
 	case NotRun, Unknown, Interrupted:
@@ -67,7 +68,7 @@
 	}
 }
 
-// retryAfter returns when a caller should retry whose usual Retry-After time would be usual.
+// retryAfter returns the Retry-After time for a caller. It is usual, or longer during an outage.
 func (o *outages) retryAfter(service string, usual time.Duration, now time.Time) time.Duration {
 	since, ok := o.since[service]
 	if !ok {
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -29,7 +29,7 @@
 }
 
 // Choose assigns a further attempt of a request to an endpoint without queueing, or returns why it
-// can't, with a retry time.
+// can't, with a Retry-After time.
 func (st *State) Choose(service *routing.Service, q placement.Query, now time.Time) (Assignment, *result.Error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -50,7 +50,7 @@
 	limited := st.excludeLimited(service, &q, now)
 	c, ok, reason := st.balancer.Choose(q, now)
 	if !ok {
-		return Assignment{}, st.noPlaceError(service, reason, wait, limited, now)
+		return Assignment{}, st.assignmentError(service, reason, wait, limited, now)
 	}
 	ep := st.endpoints[c.Endpoint]
 	st.takeLimitShare(ep, now)
@@ -67,10 +67,10 @@
 	return assigned, nil
 }
 
-// noPlaceError returns the error for a request that can't be assigned, with a retry time. why is
-// the selector's reason, cold the time until a cold endpoint may be sent a request, and limited the
-// effect of limits.
-func (st *State) noPlaceError(service *routing.Service, reason result.Code, cold time.Duration, limited limitState, now time.Time) *result.Error {
+// assignmentError returns the error for a request that can't be assigned, with a Retry-After time.
+// reason is the balancer's reason, cold the time until a cold endpoint may be sent a request, and
+// limited the effect of limits.
+func (st *State) assignmentError(service *routing.Service, reason result.Code, cold time.Duration, limited limitState, now time.Time) *result.Error {
 	othersExist := reason != result.NoEndpoint
 	switch {
 	case cold > 0:
@@ -141,7 +141,7 @@
 	return true
 }
 
-// Release gives a place back and records how the attempt ended.
+// Release gives an assignment back and records how the attempt ended.
 func (st *State) Release(assigned Assignment, o Outcome, now time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -183,11 +183,11 @@
 	}
 }
 
-// recordFailure gives back the place of an attempt for which the endpoint reported a failure in a
-// complete answer, or did not answer within the request's time. Some kinds of requests fail for
-// reasons of their own, up to one in seven, and excluding an endpoint after each of them costs
-// capacity: when it was the last endpoint of its service, callers were refused meanwhile. So only
-// consecutive failures, from the second on, count against the endpoint.
+// recordFailure ends an attempt for which the endpoint reported a failure in a complete answer, or
+// did not answer within the request's time. Some kinds of requests fail for reasons of their own,
+// up to one in seven, and excluding an endpoint after each of them costs capacity: when it was the
+// last endpoint of its service, callers were refused meanwhile. So only consecutive failures, from
+// the second on, count against the endpoint.
 func (st *State) recordFailure(assigned Assignment, now time.Time) {
 	st.failures[assigned.Endpoint.ID]++
 	if st.failures[assigned.Endpoint.ID] < failureThreshold {
--- a/internal/relay/quota.go
+++ b/internal/relay/quota.go
@@ -9,7 +9,7 @@
 )
 
 // quotaPeriod is how long it takes, with a margin, until the other entries know that this one has
-// started a request: the pauses of two messages and the latency between data centres.
+// started a request: two intervals between messages and the latency between data centres.
 const quotaPeriod = 50 * time.Millisecond
 
 // startHistory holds the times of this entry's latest assignments, by endpoint.
@@ -24,7 +24,7 @@
 	t.starts[endpoint] = append(t.recent(endpoint, now), now)
 }
 
-// recent returns the assignments that the other entries may not know yet.
+// recent returns the times of the assignments that the other entries may not know yet.
 func (t *startHistory) recent(endpoint string, now time.Time) []time.Time {
 	starts := t.starts[endpoint]
 	for len(starts) > 0 && now.Sub(starts[0]) > quotaPeriod {
@@ -48,7 +48,7 @@
 	return q
 }
 
-// excludeBeyondQuota excludes endpoints of whose free slots this entry has taken its quota.
+// excludeBeyondQuota excludes endpoints of whose free slots this entry has already taken its quota.
 //
 // When requests wait at each entry of a fleet and an endpoint has free slots again, because it ends
 // a stream or is no longer slow, all entries learn of it at the same moment. Without quotas each
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -36,7 +36,8 @@
 	HeaderCodec HeaderCodec
 	// Now reads a clock that keeps running while the VM is suspended.
 	Now func() time.Time
-	// Log receives one line for each request.
+	// Log receives a line for each request, for each attempt that another one follows, and for each
+	// change of an endpoint's limit.
 	Log     logrus.FieldLogger
 	Metrics *Metrics
 
@@ -74,7 +75,7 @@
 	lastFailure *BufferedAnswer
 	// lastEventID is the number of the last event that the caller has received.
 	lastEventID int64
-	headSent    bool
+	headerSent  bool
 	// waited is the total time that the request waited to be assigned.
 	waited time.Duration
 	// firstPartAt is when the first part of the answer was forwarded.
@@ -183,7 +184,7 @@
 	next := Assignment{}
 	for {
 		now := j.relay.Now()
-		assigned, e := j.nextPlace(ctx, next, now)
+		assigned, e := j.nextAssignment(ctx, next, now)
 		if e != nil {
 			j.finish(nil, e, j.relay.Now())
 			return
@@ -212,8 +213,8 @@
 }
 
 // allowRetry reports whether the retry budget allows one more attempt. It spends the budget, except
-// after an attempt that was not run: that request waits to be assigned first and spends the budget
-// then.
+// after an attempt that was not run: such a request waits to be assigned first, and spends the
+// budget then.
 func (j *job) allowRetry(o Outcome, now time.Time) bool {
 	if _, notRun := o.(NotRun); notRun {
 		return j.relay.State.MayRetry(j.service.Name, now)
@@ -240,10 +241,10 @@
 	}
 }
 
-// nextPlace returns the place to which the request was moved, or assigns one.
-func (j *job) nextPlace(ctx context.Context, next Assignment, now time.Time) (Assignment, *result.Error) {
+// nextAssignment returns the assignment to which the request was moved, or makes a new one.
+func (j *job) nextAssignment(ctx context.Context, next Assignment, now time.Time) (Assignment, *result.Error) {
 	if next.attempt == nil {
-		return j.assignPlace(ctx, now)
+		return j.assignEndpoint(ctx, now)
 	}
 	if e := j.recheckKeyAge(next); e != nil {
 		return Assignment{}, e
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -38,7 +38,7 @@
 // Disconnected means that the caller disconnected or stopped reading.
 type Disconnected struct{ Cause error }
 
-// Unused means that the place was given back before anything was sent to the endpoint.
+// Unused means that the assignment was given back before anything was sent to the endpoint.
 type Unused struct{}
 
 func (Delivered) outcome()    {}
@@ -50,7 +50,7 @@
 func (Disconnected) outcome() {}
 func (Unused) outcome()       {}
 
-// Decision is the decision after an attempt.
+// Decision says what follows an attempt.
 type Decision int
 
 // Values of Decision.
@@ -72,7 +72,7 @@
 
 const (
 	// maxUnsentAttempts bounds the number of endpoints to which a connection is tried. With
-	// DialTimeout for each, three unreachable endpoints take less than a second.
+	// direct.DialTimeout for each, three unreachable endpoints take less than a second.
 	maxUnsentAttempts = 3
 	// minAttemptTime is the least time left for another attempt. An endpoint with less time gives
 	// up before it has an answer, and the attempt would cost it work and the fleet its retry
