--- a/internal/rank/lockstep/doc.go
+++ b/internal/rank/lockstep/doc.go
@@ -25,10 +25,10 @@
 //   - A delayed disarm names a version that is never armed again: an aborted
 //     change is not resumed.
 //   - A delayed release names a step that has begun: the leader does not abort a
-//     step for which it has ordered the release, and does not order it for a step that
-//     it aborts before the no-op version is prepared on all ranks.
-//   - A delayed hold stops the group at a step that no change needs; the step
-//     is aborted like any other.
+//     step once it has ordered its release, and orders the release of a step
+//     that it aborts only after all ranks have prepared the no-op version.
+//   - A delayed hold stops the group at a step that no change needs; the leader
+//     aborts that step like any other.
 //
 // A leader that is paused or partitioned leaves a step held while the rank on
 // its own VM cannot be observed; RecoverHeldStep describes what its successor
--- a/internal/rank/lockstep/giveup.go
+++ b/internal/rank/lockstep/giveup.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// prepareStalled reports whether a rank has refused to prepare the newest
-// version for longer than refusalTimeout.
+// prepareStalled reports whether a rank has rejected orders to prepare the
+// newest version for longer than rejectionTimeout.
 //
 // It guards against a rank that accepts a prepare order without replying and
 // executes it seconds later. Until then the rank neither copies the map nor
@@ -11,18 +11,18 @@
 // expert popularity, for 11 s in one case. A further version is accepted at
 // once, and the delayed order is rejected then.
 func (l *Leader) prepareStalled(now time.Time) bool {
-	if !l.prepareRefused {
+	if !l.prepareRejected {
 		return false
 	}
-	if l.refusedSince.IsZero() {
-		l.refusedSince = now
+	if l.rejectedSince.IsZero() {
+		l.rejectedSince = now
 	}
-	return now.Sub(l.refusedSince) > refusalTimeout
+	return now.Sub(l.rejectedSince) > rejectionTimeout
 }
 
-// mustAbort reports whether the held step cannot become a change of maps. A
-// change that another leader began is completed only when all ranks are armed,
-// because this leader may not know the version.
+// mustAbort reports whether the change for which step h is held cannot be
+// completed. A change that another leader began is completed only if all ranks
+// are armed already, because this leader may not know the version.
 func (l *Leader) mustAbort(ranks []State, armed int, same bool, h heldStep, now time.Time) bool {
 	if !same || h.step != l.holdStep || now.Sub(l.heldSince) > armTimeout {
 		return true
@@ -47,9 +47,9 @@
 	return []AddressedOrder{newAddressedOrder(ranks, h.rank, Release{Step: h.step})}
 }
 
-// abortStep aborts the held step: it disarms all ranks, prepares the no-op
-// version on them and releases the step. The leader's own rank is disarmed and
-// prepared before the others; see RecoverHeldStep.
+// abortStep returns the next orders to abort the held step: disarm all ranks,
+// prepare the no-op version on them, and release the step. The leader's own
+// rank is disarmed and prepared before the others; see RecoverHeldStep.
 func (l *Leader) abortStep(ranks []State, h heldStep, now time.Time) []AddressedOrder {
 	if l.inForce == nil || l.inForce.Version != ranks[h.rank].Map {
 		return nil // the map in force must be set first; see SetInForce
@@ -70,8 +70,9 @@
 	return releaseStep(ranks, h)
 }
 
-// abortRank disarms rank i, or prepares the no-op version on it when it is not
-// armed.
+// abortRank returns the order that disarms rank i or, if it is not armed, the
+// order to prepare the no-op version. It returns none while rank i is busy or
+// once it has prepared that version.
 func (l *Leader) abortRank(ranks []State, i int) []AddressedOrder {
 	r := &ranks[i]
 	switch {
--- a/internal/rank/lockstep/lead.go
+++ b/internal/rank/lockstep/lead.go
@@ -8,8 +8,8 @@
 const (
 	// initialLeadBase and initialLeadPerRank give the expected time from the
 	// hold of a change to its release while none has been measured: the four
-	// round trips of hold, arms and release, and for each rank the work of its
-	// leader, which has a quarter of a core.
+	// round trips of hold, arms and release, and for each rank the processing
+	// time of the leader, which has a quarter of a core.
 	initialLeadBase    = 10 * time.Millisecond
 	initialLeadPerRank = 2 * time.Millisecond
 	// leadSamples is how many recent changes the estimate uses. leadOutliers is
@@ -20,14 +20,15 @@
 	leadOutliers = 2
 )
 
-// leadEstimator estimates how long before it begins a step has to be held so
-// that all ranks are armed by then.
+// leadEstimator estimates how long before a step begins its hold has to be
+// ordered so that all ranks are armed when the step is due.
 //
 // Groups have 16 to 128 ranks and steps of 50 to 100 ms. Arming 16 ranks takes
 // some 20 ms and 72 ranks more than 100 ms. A group that reaches the held step
-// too early waits until the release, and every running stream has a pause that
-// its caller does not tolerate; with a hold that is much too early, the map
-// follows each jump of expert popularity a step later than it could.
+// before all ranks are armed waits until the release, and every running stream
+// has a pause that its caller does not tolerate. If the hold is ordered much
+// too far ahead, the map follows each jump of expert popularity a step later
+// than it could.
 type leadEstimator struct {
 	samples []time.Duration
 	// holdOrderedAt is when the hold of the current change was ordered, or
@@ -76,9 +77,9 @@
 	return sorted[max(0, len(sorted)-1-leadOutliers)]
 }
 
-// stepsAhead returns how many steps after the newest observed step the hold has
-// to be, if the change takes as long as expected. The observed step may be
-// about to end, so it does not count.
+// stepsAhead returns how many steps after the newest observed step the held
+// step has to be if the change takes as long as expected, at most
+// maxStepsAhead. The observed step may be about to end, so it does not count.
 func stepsAhead(expected, stepDuration time.Duration) uint64 {
 	stepDuration = max(stepDuration, time.Millisecond)
 	n := 1 + (expected+stepDuration-1)/stepDuration
--- a/internal/rank/lockstep/lead_test.go
+++ b/internal/rank/lockstep/lead_test.go
@@ -11,18 +11,18 @@
 type pacedGroup struct {
 	ranks []State
 	now   time.Time
-	// passDuration is the duration of a step. orderDuration is the leader's
+	// stepDuration is the duration of a step. orderDuration is the leader's
 	// processing time per order.
-	passDuration, orderDuration time.Duration
-	// passRemaining is the time left in the current step. heldTime is the total
+	stepDuration, orderDuration time.Duration
+	// stepRemaining is the time left in the current step. heldTime is the total
 	// time that the group has waited for a held step.
-	passRemaining, heldTime time.Duration
+	stepRemaining, heldTime time.Duration
 }
 
-func newPacedGroup(n int, passDuration, orderDuration time.Duration) *pacedGroup {
+func newPacedGroup(n int, stepDuration, orderDuration time.Duration) *pacedGroup {
 	g := &pacedGroup{
 		ranks: make([]State, n), now: time.Unix(1000, 0),
-		passDuration: passDuration, orderDuration: orderDuration, passRemaining: passDuration,
+		stepDuration: stepDuration, orderDuration: orderDuration, stepRemaining: stepDuration,
 	}
 	for i := range g.ranks {
 		g.ranks[i] = State{Group: "g", Epoch: 1, Rank: i, Size: n, Accepting: true}
@@ -34,10 +34,10 @@
 func (g *pacedGroup) wait(d time.Duration) {
 	for range d / time.Millisecond {
 		g.now = g.now.Add(time.Millisecond)
-		if g.passRemaining > 0 {
-			g.passRemaining -= time.Millisecond
+		if g.stepRemaining > 0 {
+			g.stepRemaining -= time.Millisecond
 		}
-		if g.passRemaining > 0 {
+		if g.stepRemaining > 0 {
 			continue
 		}
 		next := g.ranks[0].Step + 1
@@ -45,7 +45,7 @@
 			g.heldTime += time.Millisecond
 			continue
 		}
-		g.passRemaining = g.passDuration
+		g.stepRemaining = g.stepDuration
 		for i := range g.ranks {
 			r := &g.ranks[i]
 			r.Step = next
@@ -121,9 +121,9 @@
 // pause that its caller counts as late.
 func TestHoldLeavesTimeToArm(t *testing.T) {
 	for _, n := range []int{4, 16, 72, 128} {
-		for _, passDuration := range []time.Duration{50 * time.Millisecond, 95 * time.Millisecond} {
-			t.Run(fmt.Sprint(n, " ranks in ", passDuration), func(t *testing.T) {
-				g := newPacedGroup(n, passDuration, time.Millisecond)
+		for _, stepDuration := range []time.Duration{50 * time.Millisecond, 95 * time.Millisecond} {
+			t.Run(fmt.Sprint(n, " ranks in ", stepDuration), func(t *testing.T) {
+				g := newPacedGroup(n, stepDuration, time.Millisecond)
 				l := &Leader{OwnRank: 0, HoldRank: 1, Token: 1}
 				for range 20 {
 					g.round(l)
--- a/internal/rank/lockstep/leader.go
+++ b/internal/rank/lockstep/leader.go
@@ -10,10 +10,10 @@
 	// further millisecond stalls all streams of the group, whose callers
 	// tolerate a pause of 120 ms.
 	armTimeout = 400 * time.Millisecond
-	// refusalTimeout is how long a rank may refuse to prepare a map or a no-op
-	// version before the leader uses another version. A copy takes 100 ms,
-	// during which a repeated order is refused as well.
-	refusalTimeout = 300 * time.Millisecond
+	// rejectionTimeout is how long a rank may reject orders to prepare a map or
+	// a no-op version before the leader uses another version. A copy takes
+	// 100 ms, during which a repeated order is rejected as well.
+	rejectionTimeout = 300 * time.Millisecond
 	// maxStepsAhead limits how many steps in advance a step is held.
 	// maxExtraSteps limits how many steps are added to that after holds that
 	// arrived too late.
@@ -21,7 +21,8 @@
 	maxExtraSteps = 4
 )
 
-// Goal is a map that is to be put in force, or is in force.
+// Goal is a map that is to be put in force, or is in force. Sets[s][r] lists
+// the experts of layer set s on rank r.
 type Goal struct {
 	Version uint64
 	Sets    [][][]int
@@ -40,13 +41,14 @@
 	Token uint64
 
 	goal *Goal
-	// prepareRefused reports whether a rank has refused to prepare the goal or
-	// the no-op version; refusedSince is when that was first observed.
-	prepareRefused bool
-	refusedSince   time.Time
+	// prepareRejected reports whether a rank has rejected an order to prepare
+	// the goal or the no-op version; rejectedSince is when that was first
+	// observed.
+	prepareRejected bool
+	rejectedSince   time.Time
 	// aborting reports whether the held step is being aborted.
 	aborting bool
-	// holdStep is the step that this leader ordered to hold for its goal.
+	// holdStep is the step that this leader ordered to be held for its goal.
 	// extraSteps is how many steps further ahead a hold has to be ordered
 	// because earlier ones arrived too late.
 	holdStep, extraSteps uint64
@@ -58,7 +60,8 @@
 	// newestVersion is the largest version observed or used.
 	newestVersion uint64
 	epoch         uint64
-	// leadTime estimates how long before it begins a step has to be held.
+	// leadTime estimates how long before a step begins its hold has to be
+	// ordered.
 	leadTime leadEstimator
 	// stepDuration is the estimated duration of a step.
 	stepDuration time.Duration
@@ -67,7 +70,8 @@
 	// releasedStep is the step for which the release was ordered with all ranks
 	// armed.
 	releasedStep uint64
-	inForce      *Goal
+	// inForce is the map in force, or nil when it is not known.
+	inForce *Goal
 	// fencedAt is when each rank was first known to have seen the leader's
 	// token; zero means not yet.
 	fencedAt []time.Time
@@ -83,11 +87,11 @@
 // It guards against the reuse of a version. A rank that is still copying a map
 // of an earlier leader does not report its version yet. If versions were
 // counted on from the reported ones, the next version would be the same number
-// for another map: the rank refuses it, reports the number as prepared when its
-// copy is complete, and is armed with a map that the others do not have.
+// for another map: the rank would reject it, report the number as prepared when
+// its copy is complete, and be armed with a map that the others do not have.
 // Versions therefore begin with the leader's token.
 func (l *Leader) nextVersion() uint64 {
-	l.prepareRefused, l.refusedSince = false, time.Time{}
+	l.prepareRejected, l.rejectedSince = false, time.Time{}
 	l.newestVersion = max(l.newestVersion, l.Token<<versionCounterBits) + 1
 	return l.newestVersion
 }
@@ -144,7 +148,7 @@
 		l.deposed = true
 	}
 	if p, ok := ao.Order.(Prepare); ok && o == Rejected && p.Version == l.newestVersion {
-		l.prepareRefused = true
+		l.prepareRejected = true
 	}
 	switch ao.Order.(type) {
 	case Hold:
@@ -310,12 +314,11 @@
 }
 
 // armNext returns the orders that arm the next ranks: first those other than
-// the leader's own and the holder, then the holder, and the leader's own last.
-// RecoverHeldStep depends on the leader's own rank being last. Arming the
-// holder separately covers a leader that fails just after its hold, while its
-// first arm orders are still in transit: the holder's is not among them, so the
-// successor finds a rank that is not armed. It costs a few milliseconds per
-// change.
+// OwnRank and HoldRank, then HoldRank, and OwnRank last. RecoverHeldStep
+// depends on OwnRank being last. Arming HoldRank separately covers a leader
+// that fails just after its hold, while its first arm orders are still in
+// transit: the order for HoldRank is not among them, so the successor finds a
+// rank that is not armed. It costs a few milliseconds per change.
 func (l *Leader) armNext(ranks []State, h heldStep) []AddressedOrder {
 	armed, _ := countArmed(ranks)
 	version, _ := l.targetVersion(ranks, armed)
--- a/internal/rank/lockstep/leader_test.go
+++ b/internal/rank/lockstep/leader_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Checks that a step is aborted when one rank is not armed in time because its
-// orders are lost repeatedly, and that a later change still succeeds.
+// Guards against a group that stays held when one rank is not armed in time
+// because its arm orders are lost repeatedly. The step must be aborted, and a
+// later change must still succeed.
 func TestAbortedStepIsReleased(t *testing.T) {
 	w := newSimulation(t, 7, 4)
 	d := newLeaderDriver(w, 1)
@@ -24,8 +25,8 @@
 			d.l.RecordOutcome(ao, w.deliver(d.token, ao), w.now)
 		}
 	}
-	if w.ranks[0].state.Map == 0 || w.passes < 150 {
-		t.Fatalf("map %d in force after %d passes", w.ranks[0].state.Map, w.passes)
+	if w.ranks[0].state.Map == 0 || w.steps < 150 {
+		t.Fatalf("map %d in force after %d steps", w.ranks[0].state.Map, w.steps)
 	}
 }
 
--- a/internal/rank/lockstep/observe.go
+++ b/internal/rank/lockstep/observe.go
@@ -20,8 +20,8 @@
 	return true
 }
 
-// sameAcceptingGroup reports whether all ranks belong to one group, in one
-// epoch, that accepts requests.
+// sameAcceptingGroup reports whether ranks lists every rank of a group by its
+// number, all in one epoch and accepting requests.
 func (l *Leader) sameAcceptingGroup(ranks []State) bool {
 	for i, r := range ranks {
 		if !r.Accepting || r.Epoch != ranks[0].Epoch || r.Rank != i || r.Size != len(ranks) {
@@ -62,8 +62,8 @@
 	}
 }
 
-// stepRiseDivisor is the divisor of the difference by which the estimate rises
-// after a step that lasted longer than it.
+// stepRiseDivisor slows the rise of the estimated step duration: after a step
+// that lasted longer, the estimate rises by the difference divided by it.
 const stepRiseDivisor = 8
 
 // updateStepDuration measures the duration of steps that were not held. The
--- a/internal/rank/lockstep/rescue.go
+++ b/internal/rank/lockstep/rescue.go
@@ -14,15 +14,15 @@
 // It guards against a leader's VM that freezes or is partitioned while a step
 // is held. The engine on that VM continues with its group, but nobody can reach
 // it to see whether it is armed, and all callers of the group would wait until
-// the VM is back. Three rules that every leader follows answer this without an
-// observation: holds are sent to another rank, which is still reachable; the
+// the VM is back. Three rules that every leader follows make this known without
+// an observation: holds are sent to another rank, which is still reachable; the
 // leader's own rank is armed after all others; and it is disarmed, and prepares
 // the no-op version, before the others. So as long as another rank is not
-// armed, the leader's own is not armed either, and stays so: a rank that
-// remains to be armed rejects the old leader once it has seen the new token.
-// The states must belong to that leader's change, which the versions show, as
-// they begin with its token. A step for which all other ranks are armed stays
-// held until the last rank is observed.
+// armed, the old leader's own rank is not armed either. It stays unarmed,
+// because the rank that remains to be armed before it rejects the old leader
+// once it has seen the new token. The states must belong to that leader's
+// change, which the versions show, as they begin with its token. A step for
+// which all other ranks are armed stays held until the last rank is observed.
 func (l *Leader) RecoverHeldStep(ranks []State, seen []bool) []AddressedOrder {
 	if l.deposed || !l.canRecover(ranks, seen) {
 		return nil
--- a/internal/rank/lockstep/simulation_test.go
+++ b/internal/rank/lockstep/simulation_test.go
@@ -41,15 +41,17 @@
 	delayed []delayedOrder
 	tick    int
 	now     time.Time
-	// faultRate is the probability that an order meets a fault.
+	// faultRate is the probability that an order is lost, delayed or executed
+	// without a reply. steps is the number of steps that have begun.
 	faultRate float64
-	passes    int
+	steps     int
 	// proposalInterval is the mean number of idle rounds per proposed map.
 	proposalInterval int
-	// delayingRank is a rank that executes all orders late until delayingUntil.
+	// delayingRank is a rank that executes all orders late until the tick
+	// delayingUntil.
 	delayingRank, delayingUntil int
-	// unreachableRank is a rank that cannot be observed until unreachableUntil:
-	// the VM of a leader is frozen.
+	// unreachableRank is a rank whose VM is frozen or partitioned: it cannot be
+	// observed, and executes no order, until the tick unreachableUntil.
 	unreachableRank, unreachableUntil int
 	// laggingRanks marks the ranks whose reports are reportLagTicks old, as
 	// those of engines without an agent are. history holds the states of all
@@ -163,7 +165,7 @@
 	return Accepted
 }
 
-// deliver executes an order, or loses the order or its reply, or delays it.
+// deliver executes an order, loses the order or its reply, or delays the order.
 func (w *simulation) deliver(token uint64, d AddressedOrder) Outcome {
 	if w.isUnreachable(d.Rank) {
 		w.delayed = append(w.delayed, delayedOrder{
@@ -259,7 +261,7 @@
 			s.Prepared, s.HasPrepared = 0, false
 		}
 	}
-	w.passes++
+	w.steps++
 	for i := range w.ranks {
 		if w.ranks[i].state.Map != w.ranks[0].state.Map || w.ranks[i].content != w.ranks[0].content {
 			w.t.Fatalf("seed %d: step %d begins with map %d (%d) on rank 0 and %d (%d) on rank %d", w.seed, next,
--- a/internal/rank/lockstep/state.go
+++ b/internal/rank/lockstep/state.go
@@ -47,7 +47,7 @@
 	// AsOf is a time on the leader's clock at or before the moment that the
 	// report describes. A report obtained through the agent describes the rank
 	// after it was requested; an engine reports its current state only to
-	// callers on its own VM.
+	// clients on its own VM, and an older one to others.
 	AsOf time.Time
 }
 
@@ -76,8 +76,8 @@
 // it rejects orders of earlier leaders from then on, including delayed ones.
 type Fence struct{}
 
-// Prepare orders the rank to copy the experts of a map that it does not hold
-// yet. Sets lists the experts by set and rank.
+// Prepare orders the rank to copy the experts of a map that it does not have
+// yet. Sets[s][r] lists the experts of layer set s on rank r.
 type Prepare struct {
 	Version uint64
 	Sets    [][][]int
@@ -120,7 +120,8 @@
 	Fenced
 )
 
-// String returns the name of the outcome.
+// String returns the name of the outcome in log lines, which differs from that
+// of the constant.
 func (o Outcome) String() string {
 	return [...]string{"unknown", "begun", "already", "unfit", "fenced"}[o]
 }
