--- a/internal/rank/codec_test.go
+++ b/internal/rank/codec_test.go
@@ -78,12 +78,12 @@
 		t.Error("decoded a map without its base")
 	}
 	if whole, changes := MapBytes(next, nil), MapBytes(next, base); changes*4 > whole*3 {
-		t.Errorf("changes are %d bytes of %d", changes, whole)
+		t.Errorf("changes take %d bytes, the whole map %d", changes, whole)
 	}
 }
 
-// BenchmarkMapBytes reports the size in bytes of a map and of the changes to
-// it.
+// BenchmarkMapBytes reports the size in bytes of a whole map and of the changes
+// to the next one, which has the same placement.
 func BenchmarkMapBytes(b *testing.B) {
 	m := largeMap(b, 1<<40)
 	for b.Loop() {
--- a/internal/rank/counts.go
+++ b/internal/rank/counts.go
@@ -22,7 +22,7 @@
 	// without it.
 	skewPlanned, skewBefore metrics.GaugeFloat64
 	// stepLimit is the last step that the ranks may begin, and lastStep the
-	// last that they have begun.
+	// last step that they have begun.
 	stepLimit, lastStep metrics.Gauge
 }
 
--- a/internal/rank/engine.go
+++ b/internal/rank/engine.go
@@ -14,19 +14,21 @@
 // it ends with their connection, and no later than Runner.StartDelay after the
 // agent that sent it has ended.
 type Engine interface {
-	// Stage loads the weights that m needs and keeps m ready. Once it keeps
-	// three other maps, the engine may drop one that no activated entry for a
-	// future step uses, oldest first; State lists the maps that it keeps.
-	Stage(ctx context.Context, m *expertmap.Map, fencing uint64) error
-	// Activate makes the ranks use a staged map from a step on, until the next
-	// greater step of an activated map, regardless of the order in which the
-	// entries arrive. With restart the ranks discard earlier entries and steps
-	// and continue at this step, unless they are beyond it.
-	Activate(ctx context.Context, e naming.ScheduleEntry, restart bool, fencing uint64) error
-	// Allow lets the ranks begin steps up to and including the given one. Ranks
-	// wait before a step that they may not begin or have no map for. A step
-	// lower than an earlier one has no effect.
-	Allow(ctx context.Context, step, fencing uint64) error
+	// Stage loads the weights that m needs and keeps m ready. To make room for
+	// three other maps the engine may drop maps, oldest first, except those
+	// that the activated entries use for future steps; State lists the maps
+	// that it keeps.
+	Stage(ctx context.Context, m *expertmap.Map, token uint64) error
+	// Activate makes the ranks use a staged map from the entry's first step on,
+	// until the next greater first step of an activated entry, regardless of
+	// the order in which the entries arrive. With restart the ranks discard
+	// entries for earlier steps and skip to the entry's first step, unless they
+	// have already begun it.
+	Activate(ctx context.Context, e naming.ScheduleEntry, restart bool, token uint64) error
+	// Allow sets the step limit: the ranks may begin steps up to and including
+	// step. Ranks wait before a step that they may not begin or have no map
+	// for. A step lower than the current limit has no effect.
+	Allow(ctx context.Context, step, token uint64) error
 	// State returns the state that the ranks report.
 	State(ctx context.Context) (naming.EngineState, error)
 	// Counts returns the mean number of tokens per step that the endpoint's
--- a/internal/rank/kvlease.go
+++ b/internal/rank/kvlease.go
@@ -30,8 +30,8 @@
 	KV KV
 	// Prefix is prepended to the keys; it may be empty.
 	Prefix string
-	// Group is the name of the group. Holder is the name of this agent, unique
-	// to its run.
+	// Group is the name of the group. Holder is a name of this agent that is
+	// unique to its run.
 	Group, Holder string
 	// TTL is how long the lease lasts without being renewed.
 	TTL time.Duration
--- a/internal/rank/kvlease_test.go
+++ b/internal/rank/kvlease_test.go
@@ -86,7 +86,7 @@
 // TestLostAnswerOfAcquire guards against a group without a leader for a whole
 // TTL because the holder does not know that it holds the lease. The reply to
 // the write that takes the lease is lost; the holder finds out by reading the
-// key, and so does an agent that finds the lease taken.
+// key, as does another agent that finds the lease held.
 func TestLostAnswerOfAcquire(t *testing.T) {
 	a, b := newLeases(t, &kv.Server{})
 	plain := a.KV
--- a/internal/rank/lease.go
+++ b/internal/rank/lease.go
@@ -24,12 +24,12 @@
 // service.
 type Lease interface {
 	// Acquire takes the lease. It returns the fencing token, which is greater
-	// than that of any earlier holder, and the time until which the lease holds
-	// at least, on the clock of now. It returns ErrLeaseHeld while another
+	// than that of any earlier holder, and the earliest time at which the lease
+	// may expire, on the clock of now. It returns ErrLeaseHeld while another
 	// agent holds the lease.
 	Acquire(ctx context.Context, now time.Time) (token uint64, until time.Time, err error)
-	// Renew extends the lease and returns the time until which it holds at
-	// least. It returns ErrLeaseLost when the lease has expired.
+	// Renew extends the lease and returns the earliest time at which it may
+	// expire. It returns ErrLeaseLost when the lease has expired.
 	Renew(ctx context.Context, now time.Time) (until time.Time, err error)
 	// Read returns the group's record and its revision, which is zero if there
 	// is no record.
--- a/internal/rank/loops.go
+++ b/internal/rank/loops.go
@@ -44,18 +44,18 @@
 	}
 }
 
-func (r *Runner) sendEngineOrder(ctx context.Context, o naming.EngineOrder, fencing uint64) error {
+func (r *Runner) sendEngineOrder(ctx context.Context, o naming.EngineOrder, token uint64) error {
 	switch o := o.(type) {
 	case naming.EngineStage:
-		err := r.Engine.Stage(ctx, o.Map, fencing)
+		err := r.Engine.Stage(ctx, o.Map, token)
 		if err == nil {
 			r.emit(Event{Kind: EventStaged, Number: o.Map.Version()})
 		}
 		return err
 	case naming.EngineActivate:
-		return r.Engine.Activate(ctx, o.Entry, o.Restart, fencing)
+		return r.Engine.Activate(ctx, o.Entry, o.Restart, token)
 	case naming.EngineSetStepLimit:
-		return r.Engine.Allow(ctx, o.Step, fencing)
+		return r.Engine.Allow(ctx, o.Step, token)
 	default:
 		return nil
 	}
--- a/internal/rank/peers.go
+++ b/internal/rank/peers.go
@@ -80,8 +80,9 @@
 // reaches the last member after seven hops.
 const fetchFanOut = 2
 
-// fetchSource returns the number of the member from which another member, to,
-// fetches maps: its parent in a tree of all members whose root is this agent.
+// fetchSource returns the index of the member from which the member with index
+// to fetches maps: its parent in a tree of all members whose root is this
+// agent. It returns nil for this agent.
 func (r *Runner) fetchSource(to int) []uint32 {
 	n := len(r.Peers)
 	position := (to - r.Index + n) % n
@@ -140,7 +141,7 @@
 		Group: r.Group, Member: uint32(j.Member), Incarnation: j.Incarnation,
 	})
 	if err != nil {
-		return naming.JoinReply{}, eris.Wrapf(err, "request join from member %d", to)
+		return naming.JoinReply{}, eris.Wrapf(err, "send join request to member %d", to)
 	}
 	if reply.GetCode() != 0 {
 		return naming.JoinReply{}, result.New(result.Code(reply.GetCode()), reply.GetDetail())
--- a/internal/rank/planner.go
+++ b/internal/rank/planner.go
@@ -12,8 +12,8 @@
 type planner struct {
 	runner     *Runner
 	nextPlanAt time.Time
-	// gathering reports whether a call that gathers counts and plans is in
-	// progress.
+	// gathering reports whether a call that gathers counts and computes the
+	// next map is in progress.
 	gathering  bool
 	popularity *expertmap.PopularityEstimator
 }
@@ -42,8 +42,8 @@
 	t.startCall(ctx, func(ctx context.Context) { p.planAndPropose(ctx, t, current) })
 }
 
-// versionsPerToken is the size of the range of versions of one leader. Versions
-// of different leaders are therefore distinct and increase with the token.
+// versionsPerToken is the number of versions reserved for each token, so that
+// versions of different leaders are distinct and increase with the token.
 const versionsPerToken = 1 << 20
 
 func nextVersion(token uint64, after *expertmap.Map) uint64 {
--- a/internal/rank/runner.go
+++ b/internal/rank/runner.go
@@ -23,8 +23,7 @@
 type Event struct {
 	// Kind is one of the Event constants.
 	Kind string
-	// Number is the fencing token, the version of the map or the step,
-	// depending on Kind.
+	// Number is the fencing token or the version of the map, depending on Kind.
 	Number uint64
 	// Detail is a description for operators.
 	Detail string
@@ -58,7 +57,7 @@
 // it.
 //
 // The mutex mu guards the state machines of the member and the leader. It is
-// held only for single calls of them and never while blocking; no other lock is
+// held only for single calls to them and never while blocking; no other lock is
 // acquired while it is held.
 type Runner struct {
 	// Group is the name of the group.
@@ -83,21 +82,21 @@
 	// PopularityWindow is the time span of the popularity estimate.
 	PopularityWindow time.Duration
 	// EngineInterval is the interval at which the engine's state is read.
-	// Lookahead is how many steps the ranks may run without a further grant;
+	// Lookahead is how many steps the ranks may run without a new step limit;
 	// these must last for several intervals.
 	EngineInterval time.Duration
 	Lookahead      uint64
 	// ResendInterval, RefreshInterval and HoldTime are those of naming.Leader.
 	ResendInterval, RefreshInterval, HoldTime time.Duration
 	// LeaseTTL is the duration of the lease, which is renewed after each third
-	// of it. Another agent tries to acquire the lease after it has received no
+	// of it. Another agent tries to acquire the lease after it has accepted no
 	// order of a leader for LeaseTTL plus Index times ResendInterval.
 	LeaseTTL time.Duration
 	// CallTimeout is the timeout of each call to a peer, the engine or the
 	// platform.
 	CallTimeout time.Duration
-	// StartDelay is how long after a start orders of the agent's earlier run
-	// may still reach the engine.
+	// StartDelay is how long after the agent's start orders of its earlier run
+	// may still reach the engine. Run sends no orders for that time.
 	StartDelay time.Duration
 	// Credentials is the TLS configuration for connections to peers; nil means
 	// plain text.
@@ -120,7 +119,7 @@
 	mu     sync.Mutex
 	member *naming.Member
 	// lastOrderAt is the start of the election timeout: when the last order of
-	// a leader arrived, the runner started or acquiring the lease failed.
+	// a leader was accepted, the runner started or acquiring the lease failed.
 	// joined and inForce are the last known state of the member, to detect
 	// changes.
 	lastOrderAt time.Time
@@ -155,16 +154,16 @@
 	case r.Engine == nil || r.Lease == nil || r.Initial == nil:
 		return result.New(result.MissingSetting, "engine, lease or initial map of the group")
 	case r.Incarnation == 0 || r.Lookahead == 0:
-		return result.New(result.BadSetting, "incarnation and lookahead must be positive")
+		return result.New(result.BadSetting, "Incarnation and Lookahead must be positive")
 	case min(r.EngineInterval, r.ResendInterval, r.RefreshInterval, r.HoldTime, r.LeaseTTL, r.CallTimeout) <= 0:
-		return result.New(result.BadSetting, "tick, resend, refresh, hold, lease and call times must be positive")
+		return result.New(result.BadSetting, "EngineInterval, ResendInterval, RefreshInterval, HoldTime, LeaseTTL and CallTimeout must be positive")
 	}
 	return nil
 }
 
 // Run takes part in the group until ctx ends and then returns nil. It returns
 // an error at once when the fields are invalid or a connection to a peer cannot
-// be created. The ranks continue up to the last step granted to them.
+// be created. After Run ends, the ranks continue up to their step limit.
 func (r *Runner) Run(ctx context.Context) error {
 	if err := r.validate(); err != nil {
 		return err
@@ -225,10 +224,11 @@
 // and returns a function that reports them, to be called without mu. mu must be
 // held.
 //
-// It has to be called under the same lock as the change itself. An engine that
-// restarts loses its maps; if the loss were looked for only after the engine's
-// next orders, the member might have joined again through its peers by then,
-// and neither log, counter nor time line would show the loss.
+// A loss of maps, which Member.Tick discovers, must be recorded before mu is
+// released after that call. An engine that restarts loses its maps; if the loss
+// were looked for only after the engine's next orders, the member might have
+// joined again through its peers by then, and neither log, counter nor time
+// line would show the loss.
 func (r *Runner) recordChanges() func() {
 	s := r.member.State()
 	wasJoined, previous := r.joined, r.inForce
--- a/internal/rank/term.go
+++ b/internal/rank/term.go
@@ -25,8 +25,9 @@
 	renewing            bool
 }
 
-// runLeader tries to acquire the lease when no leader has sent an order for the
-// election timeout, and leads the group while it holds the lease.
+// runLeader tries to acquire the lease when the member has accepted no order of
+// a leader for the election timeout, and leads the group while it holds the
+// lease.
 func (r *Runner) runLeader(ctx context.Context) error {
 	r.mu.Lock()
 	r.lastOrderAt = time.Now()
