--- a/internal/rank/naming/decide.go
+++ b/internal/rank/naming/decide.go
@@ -10,7 +10,7 @@
 	switch {
 	case a == Activation{}:
 		return l.startNext(now)
-	case l.anyActive(a):
+	case l.anyScheduled(a):
 		return l.finish(a, now)
 	case a == l.abandoned:
 		return l.abandon(a, now)
@@ -25,10 +25,10 @@
 	}
 }
 
-// clearFinished clears the current activation once it has taken effect on all
-// members, and the proposed map once all of them use it.
+// clearFinished clears the current activation once all members have scheduled
+// it, and the proposed map once it is the newest in all their schedules.
 func (l *Leader) clearFinished() {
-	if l.current != (Activation{}) && l.allMembers(func(s State) bool { return s.isActive(l.current) }) {
+	if l.current != (Activation{}) && l.allMembers(func(s State) bool { return s.hasScheduled(l.current) }) {
 		l.current, l.failedAttempts = Activation{}, 0
 	}
 	if l.proposed == nil {
@@ -40,8 +40,8 @@
 	}
 }
 
-// inProgress returns another leader's activation that some member holds, or
-// else this leader's own.
+// inProgress returns an activation other than the current one that some member
+// holds, such as another leader's, or else the current one.
 func (l *Leader) inProgress() Activation {
 	for i := range l.Members {
 		if a := l.states[i].Pending; a != (Activation{}) && a != l.current {
@@ -60,20 +60,20 @@
 	return true
 }
 
-func (l *Leader) anyActive(a Activation) bool {
-	return !l.allMembers(func(s State) bool { return !s.isActive(a) })
+func (l *Leader) anyScheduled(a Activation) bool {
+	return !l.allMembers(func(s State) bool { return !s.hasScheduled(a) })
 }
 
 // stepPassed reports whether a member may run the activation's step without the
 // activation, so that it cannot be finished. No member can have been released
 // in this case: a release requires that all members hold, and a restarted
-// member takes the hold over from its peers. Members that have not joined count
-// only if all of them have lost their maps; such a group starts again at a
-// later step.
+// member takes the hold over from its peers. A member that has not joined
+// counts only if all members have lost their maps; such a group starts again at
+// a later step.
 func (l *Leader) stepPassed(a Activation) bool {
 	allLost := l.allMembers(func(s State) bool { return !s.Joined })
 	return !l.allMembers(func(s State) bool {
-		missed := s.Pending != a && !s.isActive(a) && s.mayBegin(a)
+		missed := s.Pending != a && !s.hasScheduled(a) && s.mayBegin(a)
 		return !missed || !s.Joined && !allLost
 	})
 }
@@ -81,7 +81,7 @@
 // finish releases the members once all of them hold the activation, and until
 // then makes them hold it.
 func (l *Leader) finish(a Activation, now time.Time) []Action {
-	if l.allMembers(func(s State) bool { return s.Pending == a || s.isActive(a) }) {
+	if l.allMembers(func(s State) bool { return s.Pending == a || s.hasScheduled(a) }) {
 		return l.release(a, now)
 	}
 	return l.holdAll(a, now)
@@ -102,7 +102,7 @@
 	for i := range l.Members {
 		s := l.states[i]
 		switch {
-		case s.Pending == a || s.isActive(a):
+		case s.Pending == a || s.hasScheduled(a):
 		case !s.hasStaged(a.Map):
 			actions = append(actions, l.stage(i, a.Map, now)...)
 		default:
@@ -143,9 +143,10 @@
 // that each later leader reads it there, and it is written under a fencing
 // token, so that only one leader can write.
 //
-// An activation is abandoned if the outcome of its write stays unknown for
-// HoldTime. No member has been released by then, and no other leader can
-// release one before members refuse this leader's orders.
+// An activation that is not known to be committed within HoldTime of its start,
+// for example because the outcome of its write is unknown, is abandoned. No
+// member has been released by then, and no other leader can release one before
+// members refuse this leader's orders.
 func (l *Leader) commit(a Activation, now time.Time) []Action {
 	if now.Sub(l.startedAt) > l.HoldTime || l.stepPassed(a) {
 		l.abandoned = a
@@ -164,7 +165,7 @@
 // startNext starts the activation of the proposed map. It requires a live
 // lease, a record that has just been read, and members that all use their
 // newest map already or have all lost their maps. So no rank needs more than
-// two maps, and an activation never gets a step that already has one.
+// two maps, and no step gets a second activation.
 func (l *Leader) startNext(now time.Time) []Action {
 	if l.proposed == nil || !l.recordKnown || !now.Before(l.leaseUntil) {
 		return nil
@@ -193,19 +194,19 @@
 	return actions
 }
 
-// maxFailedAttempts limits the distance of an activation to 64 times
-// StepMargin+1.
+// maxFailedAttempts limits the distance that nextSafeStep adds to 64 times
+// StepMargin+1 steps.
 const maxFailedAttempts = 6
 
-// nextSafeStep returns a step that no rank may have been allowed to begin when
+// nextSafeStep returns a step that should still be beyond all step limits when
 // the members receive the hold order. The step is also later than that of every
 // activation committed before, which ranks may still have scheduled although
 // their agents restarted and forgot it, and later than that of the last
 // abandoned one, so that delayed orders for that one do not match the new one.
 //
-// The distance doubles with each failed attempt. Members extend their step
-// limits while the hold order is in transit, so with a constant distance slow
-// messages would make every attempt fail.
+// The distance from the latest of these steps doubles with each failed attempt.
+// Members extend their step limits while the hold order is in transit, so with
+// a constant distance slow messages would make every attempt fail.
 func (l *Leader) nextSafeStep() uint64 {
 	step := max(l.abandoned.Step, l.record.Activation.Step)
 	for _, s := range l.states {
--- a/internal/rank/naming/doc.go
+++ b/internal/rank/naming/doc.go
@@ -3,10 +3,10 @@
 // A group spans several endpoints. The agent beside each endpoint is a Member
 // and the only one that gives orders to this endpoint's ranks. One agent of the
 // group is its Leader: it holds a lease in the platform's key-value service,
-// whose fencing token orders leaders. Member and Leader are state machines
-// without sockets, clocks or goroutines; package rank connects them to the
-// engine, the platform and the peers. Messages are plain structs with exported
-// fields, because other packages build and read them.
+// whose fencing token increases from leader to leader. Member and Leader are
+// state machines without sockets, clocks or goroutines; package rank connects
+// them to the engine, the platform and the peers. Messages are plain structs
+// with exported fields, because other packages build and read them.
 //
 // # Activating a map
 //
@@ -35,16 +35,17 @@
 // no older leader can commit, and queries all members, which then refuse older
 // tokens. If the record does not have the pending activation, no member has
 // been released and the activation is abandoned. If it does, the leader
-// finishes the activation, unless a member's step limit has passed the
-// activation's step without it, which shows that no member has been released.
+// finishes the activation, unless a member's step limit has reached the
+// activation's step and the member does not have the activation, which shows
+// that no member has been released.
 //
 // A member that restarts forgets its holds and fencing tokens. It therefore
 // joins again: it asks all peers and takes over the schedule, the pending
 // activation and the highest token from those that did not restart. Each order
-// that leads to a release carries the incarnations of all members that the
-// leader relies on, and a member that knows of a newer incarnation refuses it.
-// So either the restarted member has asked before the release and the release
-// is refused, or it asks after the release and learns of it. If all members of
-// a group have restarted at the same time, they wait for a leader, which starts
-// the group at a step beyond all step limits.
+// that leads to a release carries the incarnations of all members as the leader
+// knows them, and a member that knows of a newer one refuses it. So either the
+// restarted member has asked before the release and the release is refused, or
+// it asks after the release and learns of it. If all members of a group have
+// restarted at the same time, they wait for a leader, which starts the group at
+// a step beyond all step limits.
 package naming
--- a/internal/rank/naming/engine.go
+++ b/internal/rank/naming/engine.go
@@ -25,7 +25,7 @@
 type EngineStage struct{ Map *expertmap.Map }
 
 // EngineActivate asks the ranks to use a staged map from a step on, until the
-// first step of the next activated map. The orders may arrive in any order.
+// first step of the next activated map, whatever the sequence of the orders.
 // With Restart, the ranks discard earlier entries and steps and begin at this
 // step.
 type EngineActivate struct {
--- a/internal/rank/naming/fakes_test.go
+++ b/internal/rank/naming/fakes_test.go
@@ -27,13 +27,14 @@
 	}
 }
 
-// dropOldest removes the oldest map that no later step uses, if more than
-// maxStaged are staged.
+// dropOldest removes the oldest map that the next step does not use, if more
+// than maxStaged are staged. It never removes the one staged last, and none
+// while an entry is scheduled for a later step.
 func (e *fakeEngine) dropOldest() {
 	const maxStaged = 3
 	for i := 0; len(e.Staged) > maxStaged && i < len(e.Staged)-1; i++ {
-		used := len(EntriesAfter(e.Schedule, e.LastStep)) > 0
-		if r, ok := MapAt(e.Schedule, e.LastStep+1); !used && (!ok || r != e.Staged[i]) {
+		upcoming := len(EntriesAfter(e.Schedule, e.LastStep)) > 0
+		if r, ok := MapAt(e.Schedule, e.LastStep+1); !upcoming && (!ok || r != e.Staged[i]) {
 			e.Staged = append(e.Staged[:i], e.Staged[i+1:]...)
 			return
 		}
@@ -105,7 +106,7 @@
 }
 
 // restartRanks restarts the ranks of an endpoint, which lose their maps. They
-// repeat a step that some ranks have not begun yet.
+// repeat their last step if other ranks have not begun it yet.
 func (s *simulation) restartRanks(i int) {
 	e := s.engines[i]
 	lastStep := e.LastStep
--- a/internal/rank/naming/guards_test.go
+++ b/internal/rank/naming/guards_test.go
@@ -28,7 +28,7 @@
 	g.deliverHeldBack()
 	g.runMembers(40)
 	g.assertOneMap()
-	g.assertActiveVersion(2)
+	g.assertLatestVersion(2)
 }
 
 // TestRestartedMemberIsNotCountedOn guards against two maps in one step, which
@@ -57,7 +57,7 @@
 	g.assertOneMap()
 	g.runLeader(a, 80, nil, g.writeRecord)
 	g.assertOneMap()
-	g.assertActiveVersion(2)
+	g.assertLatestVersion(2)
 }
 
 // TestLateWriteOfOldLeader guards against two maps in one step, which garbles
@@ -87,7 +87,7 @@
 	g.runLeader(c, 40, nil, g.writeRecord)
 	g.runMembers(40)
 	g.assertOneMap()
-	g.assertActiveVersion(3)
+	g.assertLatestVersion(3)
 	if len(lateWrites) == 0 {
 		t.Error("the old leader wrote no record")
 	}
@@ -114,7 +114,7 @@
 	b.Propose(testMap(3))
 	g.runLeader(b, 80, nil, g.writeRecord)
 	g.assertOneMap()
-	g.assertActiveVersion(3)
+	g.assertLatestVersion(3)
 }
 
 // TestRestartedGroupNamesLaterStep guards against two maps in one step,
@@ -138,7 +138,7 @@
 	b.Propose(testMap(3))
 	g.runLeader(b, 80, nil, g.writeRecord)
 	g.assertOneMap()
-	g.assertActiveVersion(3)
+	g.assertLatestVersion(3)
 }
 
 // TestReleasedNameIsFinished guards against a group that stops, which
@@ -155,7 +155,7 @@
 	g.members[1].Tick(g.engines[1].EngineState)
 	g.runLeader(a, 80, nil, g.writeRecord)
 	g.assertOneMap()
-	g.assertActiveVersion(2)
+	g.assertLatestVersion(2)
 }
 
 // TestGroupGoesOnWithoutPlatform guards against a group that stops because the
@@ -170,7 +170,7 @@
 	if got := g.engines[0].LastStep; got < before+90 {
 		t.Errorf("%d steps in 100 ticks, want at least 90", got-before)
 	}
-	g.assertActiveVersion(1)
+	g.assertLatestVersion(1)
 	g.assertOneMap()
 }
 
@@ -182,7 +182,7 @@
 	a.ExtendLease(g.now)
 	a.Propose(testMap(2))
 	g.runLeader(a, 30, nil, g.writeRecord)
-	g.assertActiveVersion(1)
+	g.assertLatestVersion(1)
 	for i, m := range g.members {
 		if pending := m.State().Pending; pending != (Activation{}) {
 			t.Errorf("member %d holds an activation for step %d", i, pending.Step)
@@ -211,5 +211,5 @@
 	}
 	l.Propose(testMap(1))
 	g.runLeader(l, 80, nil, g.writeRecord)
-	g.assertActiveVersion(1)
+	g.assertLatestVersion(1)
 }
--- a/internal/rank/naming/join.go
+++ b/internal/rank/naming/join.go
@@ -39,7 +39,10 @@
 }
 
 // HandleJoinReply processes a peer's reply. The member joins once all peers
-// have replied and one of them knows the group's schedule.
+// have replied and one of them knows the group's schedule. If the peer knows a
+// higher incarnation of the member, the member continues as the next one after
+// it and asks all peers again, because peers refuse orders that rely on the
+// lower one.
 func (m *Member) HandleJoinReply(reply JoinReply) {
 	m.init()
 	from := reply.State.Member
@@ -110,7 +113,7 @@
 	m.joined = true
 	m.schedule = append([]ScheduleEntry(nil), schedule...)
 	m.pending = Activation{}
-	if !m.isActive(pending) && !m.engineMissed(pending) {
+	if !m.hasScheduled(pending) && !m.engineMissed(pending) {
 		m.pending = pending
 	}
 	m.joinReplies = map[int]JoinReply{}
--- a/internal/rank/naming/leader.go
+++ b/internal/rank/naming/leader.go
@@ -24,9 +24,10 @@
 	// committed. It is bounded because ranks that reach the activation's step
 	// wait there.
 	HoldTime time.Duration
-	// StepMargin is how many steps an activation is placed beyond the highest
-	// step limit reported, because members extend their limits while the hold
-	// order is in transit. It should equal the members' Lookahead.
+	// StepMargin is the minimum number of steps between the highest step limit
+	// reported and the step of an activation. It is needed because members
+	// extend their limits while the hold order is in transit, and should equal
+	// the members' Lookahead.
 	StepMargin uint64
 
 	// leaseUntil is the time until which the lease is held at least.
@@ -55,8 +56,8 @@
 	// a commit, so that no member was released.
 	current, abandoned Activation
 	startedAt          time.Time
-	// failedAttempts counts the activations abandoned since one last took
-	// effect, up to maxFailedAttempts.
+	// failedAttempts counts the activations abandoned since all members last
+	// scheduled one, up to maxFailedAttempts.
 	failedAttempts int
 	deposed        bool
 }
@@ -271,8 +272,8 @@
 	return OrderHeader{Token: l.Token, Incarnation: l.states[to].Incarnation}
 }
 
-// view returns the incarnation of each member that the leader's decisions rely
-// on.
+// view returns, by member, the incarnations on which the leader's decisions
+// rely.
 func (l *Leader) view() []uint64 {
 	view := make([]uint64, l.Members)
 	for i := range view {
@@ -285,8 +286,9 @@
 // proposed map does not count.
 func (l *Leader) NoActivation() bool { return l.current == Activation{} }
 
-// CurrentMap returns the map that all members use. It returns false while their
-// maps differ or an activation is in progress.
+// CurrentMap returns the newest map in the schedules of all members. It returns
+// false if the leader is deposed or not ready yet, a map is proposed, an
+// activation is in progress or the newest maps differ.
 func (l *Leader) CurrentMap() (Ref, bool) {
 	if l.deposed || !l.ready() || !l.Idle() || l.inProgress() != (Activation{}) {
 		return Ref{}, false
@@ -297,7 +299,7 @@
 }
 
 // AllMapsLost reports whether all members have lost their maps, so that the
-// group needs one from outside.
+// caller has to propose one.
 func (l *Leader) AllMapsLost() bool {
 	return !l.deposed && l.ready() && l.Idle() && l.allMembers(func(s State) bool { return !s.Joined && s.NoPeerJoined })
 }
--- a/internal/rank/naming/message.go
+++ b/internal/rank/naming/message.go
@@ -29,7 +29,7 @@
 type Hold struct {
 	OrderHeader
 	Activation Activation
-	// View holds the incarnation of each member that the leader relies on.
+	// View holds, by member, the incarnations on which the leader relies.
 	View []uint64
 }
 
@@ -62,8 +62,9 @@
 	Sequence uint64
 	// MaxToken is the highest fencing token that the member has seen.
 	MaxToken uint64
-	// Joined is set once the member knows its group's schedule. Orphan is set
-	// if it does not and all peers have replied that they do not either.
+	// Joined is set once the member knows its group's schedule.
+	// NoPeerJoined is set if it does not and all peers have replied that they
+	// do not either.
 	Joined, NoPeerJoined bool
 	// LastStep is the last step that the ranks are known to have begun.
 	LastStep uint64
@@ -95,7 +96,8 @@
 	return false
 }
 
-func (s State) isActive(a Activation) bool {
+// hasScheduled reports whether the member's schedule has the activation.
+func (s State) hasScheduled(a Activation) bool {
 	return containsEntry(s.Schedule, ScheduleEntry{FirstStep: a.Step, Map: a.Map})
 }
 
@@ -104,7 +106,8 @@
 	return s.StepLimit >= a.Step || s.LastStep >= a.Step
 }
 
-// Join asks a peer for the group's state after a start of the sender.
+// Join asks a peer for the group's state. A member sends it after its start and
+// after a restart of its ranks.
 type Join struct {
 	Member      int
 	Incarnation uint64
@@ -114,8 +117,8 @@
 type JoinReply struct {
 	// SenderIncarnation is the incarnation that sent the Join.
 	SenderIncarnation uint64
-	// KnownIncarnation is the highest incarnation of the sender that the peer
-	// has seen.
+	// KnownIncarnation is the highest incarnation of the Join's sender that the
+	// peer knows.
 	KnownIncarnation uint64
 	State            State
 	// Maps holds the maps of the schedule and of the pending activation.
--- a/internal/rank/naming/name.go
+++ b/internal/rank/naming/name.go
@@ -40,7 +40,7 @@
 }
 
 // maxEntries is the number of schedule entries kept. Members are at most one
-// step apart, and an activation requires that all of them have passed the step
+// step apart, and an activation requires that all of them have begun the step
 // of the one before, so a rank needs no more than the entry in use and its
 // predecessor.
 const maxEntries = 2
--- a/internal/rank/naming/rig_test.go
+++ b/internal/rank/naming/rig_test.go
@@ -100,15 +100,15 @@
 	a := g.leader(1)
 	a.Propose(testMap(1))
 	g.runLeader(a, 40, nil, g.writeRecord)
-	g.assertActiveVersion(1)
+	g.assertLatestVersion(1)
 	return g, a
 }
 
-func (g *testGroup) assertActiveVersion(version uint64) {
+func (g *testGroup) assertLatestVersion(version uint64) {
 	g.t.Helper()
 	for i, m := range g.members {
 		if got := latestEntry(m.State().Schedule).Map.Version; got != version {
-			g.t.Fatalf("member %d uses version %d, want %d", i, got, version)
+			g.t.Fatalf("newest version of member %d is %d, want %d", i, got, version)
 		}
 	}
 }
--- a/internal/rank/naming/schedule_test.go
+++ b/internal/rank/naming/schedule_test.go
@@ -5,9 +5,9 @@
 )
 
 const (
-	scheduleCount = 400
-	faultyTicks   = 3000
-	healthyTicks  = 600
+	simulationCount = 400
+	faultyTicks     = 3000
+	healthyTicks    = 600
 )
 
 func assertOneMap(t *testing.T, s *simulation, seed int64) {
@@ -25,19 +25,19 @@
 // active.
 func TestOneMapInEachStep(t *testing.T) {
 	activated, steps := 0, uint64(0)
-	for seed := range int64(scheduleCount) {
+	for seed := range int64(simulationCount) {
 		s := newSimulation(seed, 2+int(seed%3))
 		for range faultyTicks {
-			s.step()
+			s.runTick()
 		}
 		assertOneMap(t, s, seed)
 		s.faults, s.kv.down, s.kv.loseReplies = false, false, false
-		before := s.oldestLatestStep()
+		before := s.lowestLatestStep()
 		for range healthyTicks {
-			s.step()
+			s.runTick()
 		}
 		assertOneMap(t, s, seed)
-		after := s.oldestLatestStep()
+		after := s.lowestLatestStep()
 		if after <= before {
 			t.Errorf("seed %d: no map became active after the faults", seed)
 		}
@@ -47,20 +47,20 @@
 			return
 		}
 	}
-	t.Logf("%d schedules, %d maps activated, %d steps", scheduleCount, activated, steps)
+	t.Logf("%d simulations, %d maps activated, %d steps", simulationCount, activated, steps)
 }
 
-// oldestLatestStep returns the lowest first step among the engines' newest
+// lowestLatestStep returns the lowest first step among the engines' newest
 // entries.
-func (s *simulation) oldestLatestStep() uint64 {
-	oldest := uint64(0)
+func (s *simulation) lowestLatestStep() uint64 {
+	lowest := uint64(0)
 	for i, e := range s.engines {
 		v := latestEntry(e.Schedule).FirstStep
-		if i == 0 || v < oldest {
-			oldest = v
+		if i == 0 || v < lowest {
+			lowest = v
 		}
 	}
-	return oldest
+	return lowest
 }
 
 // distinctMaps returns the number of maps used in any step.
--- a/internal/rank/naming/world_test.go
+++ b/internal/rank/naming/world_test.go
@@ -77,7 +77,8 @@
 	}
 }
 
-func (s *simulation) step() {
+// runTick advances the simulation by one tick.
+func (s *simulation) runTick() {
 	s.tick++
 	s.now = s.now.Add(tick)
 	if s.faults {
