--- a/internal/rank/evenmap/plan.go
+++ b/internal/rank/evenmap/plan.go
@@ -133,8 +133,8 @@
 	return best
 }
 
-// score ranks changes by their gain per copy. The gain of a change without
-// copies counts ten times.
+// score returns the gain per copy, by which changes are compared. The gain of a
+// change without copies counts ten times.
 func (c change) score() float64 {
 	if c.cost == 0 {
 		return c.gain * 10
@@ -220,8 +220,8 @@
 // the set.
 //
 // With 129 ranks and 16 sets on a quarter of a core, a search of all ranks
-// would take longer than the popularity lasts that it is based on. A copy gains
-// nearly the same on all ranks whose load is far below the largest.
+// would take longer than the popularity on which it is based lasts. A copy
+// gains nearly the same on all ranks whose load is far below the largest.
 func (s *search) targetRanks(i int, order []int) []int {
 	st := s.sets[i]
 	out := make([]int, 0, maxTargetRanks)
--- a/internal/rank/evenmap/plan_test.go
+++ b/internal/rank/evenmap/plan_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// shapes are the sizes of today's deployment, the next one and the target.
+// shapes are the dimensions of today's deployment, the next one and the target,
+// and of a deployment with 129 ranks.
 var shapes = []Shape{
 	{Ranks: 12, Slots: 8, Experts: 72},
 	{Ranks: 63, Slots: 5, Experts: 252},
@@ -31,8 +32,9 @@
 	return p
 }
 
-// popularity draws loads whose largest are many times the mean, as a power law
-// of exponent 1.3 over some of the experts gives.
+// popularity draws loads from a power law of exponent 0.9 over all experts. The
+// largest are many times the mean, as with exponent 1.3 over some of the
+// experts.
 func popularity(rng *rand.Rand, experts int) []float64 {
 	load := make([]float64, experts)
 	for i, e := range rng.Perm(experts) {
--- a/internal/rank/evenmap/trial.go
+++ b/internal/rank/evenmap/trial.go
@@ -6,8 +6,8 @@
 type trial struct {
 	s        *setState
 	powerSum float64
-	// experts and holders are the first n changed experts, two at most, and
-	// their changed holder lists.
+	// The first n elements of experts and holders are the changed experts, two
+	// at most, and the changed lists of their holders.
 	experts [2]int
 	holders [2][]int
 	n       int
