--- a/internal/rank/expertmap/plan.go
+++ b/internal/rank/expertmap/plan.go
@@ -91,7 +91,7 @@
 //
 // It is made for steady traffic whose expert popularity drifts over the day.
 // Each step takes as long as its slowest rank, and each replica move uses
-// bandwidth of the weight store. So clients lose time if a rank stays
+// bandwidth of the weight store. So callers lose time if a rank stays
 // overloaded, and also if replicas are moved for a short-lived change of
 // popularity. Therefore a move has to pay off within MapLifetime, the moves of
 // all layers together have to be loaded within MaxStagingTime, layers with a
