--- a/internal/endpoint/placement/affinity.go
+++ b/internal/endpoint/placement/affinity.go
@@ -8,8 +8,8 @@
 const (
 	// virtualNodes is the number of points that each endpoint has on the ring.
 	virtualNodes = 16
-	// maxRingCandidates is the number of endpoints along the ring that are
-	// considered for a prefix.
+	// maxRingCandidates is the number of consecutive points on the ring whose
+	// endpoints are considered for a prefix.
 	maxRingCandidates = 4
 	// meanSampleSize is the number of endpoints from which the mean load score
 	// is estimated.
@@ -73,19 +73,19 @@
 // An endpoint that hasn't cached the prefix must compute it again, whereas a
 // popular prefix can overload the one endpoint that has; AffinityBound is the
 // compromise between both.
-func (b *Balancer) affinityEndpoint(s *route, q *Query, now time.Time) *endpoint {
+func (b *Balancer) affinityEndpoint(rt *route, q *Query, now time.Time) *endpoint {
 	if q.Prefix == 0 {
 		return nil
 	}
-	if s.ring.stale {
-		s.ring.build(s.endpoints)
+	if rt.ring.stale {
+		rt.ring.build(rt.endpoints)
 	}
-	points := s.ring.points
+	points := rt.ring.points
 	if len(points) == 0 {
 		return nil
 	}
-	maxScore := b.AffinityBound * b.meanLoadScore(s, q, now)
-	pos := s.ring.successor(mix64(q.Prefix))
+	maxScore := b.AffinityBound * b.meanLoadScore(rt, q, now)
+	pos := rt.ring.successor(mix64(q.Prefix))
 	var previous *endpoint
 	for candidates := 0; candidates < maxRingCandidates; pos++ {
 		e := points[pos%len(points)].e
@@ -95,10 +95,10 @@
 		}
 		previous = e
 		candidates++
-		if b.state(e, s, now) != eligible || alreadyTried(q, e) || e.slowdown(s, now) >= slowThreshold {
+		if b.state(e, rt, now) != eligible || alreadyTried(q, e) || e.slowdown(rt, now) >= slowThreshold {
 			continue
 		}
-		if b.loadScore(e, s, q, now) <= maxScore {
+		if b.loadScore(e, rt, q, now) <= maxScore {
 			return e
 		}
 	}
@@ -107,14 +107,14 @@
 
 // meanLoadScore estimates the mean load score of the available endpoints from a
 // random sample. It returns 1 if the sample contains none.
-func (b *Balancer) meanLoadScore(s *route, q *Query, now time.Time) float64 {
+func (b *Balancer) meanLoadScore(rt *route, q *Query, now time.Time) float64 {
 	var sum, n float64
 	for range meanSampleSize {
-		e := s.endpoints[b.nextRandom()%uint64(len(s.endpoints))]
+		e := rt.endpoints[b.nextRandom()%uint64(len(rt.endpoints))]
 		if e.unavailable() {
 			continue
 		}
-		sum += b.loadScore(e, s, q, now)
+		sum += b.loadScore(e, rt, q, now)
 		n++
 	}
 	if n == 0 {
--- a/internal/endpoint/placement/attempt.go
+++ b/internal/endpoint/placement/attempt.go
@@ -50,7 +50,7 @@
 }
 
 // Start records that an attempt was placed on the selected endpoint. Its load
-// counts from now until it ends, independent of reports. Started returns nil if
+// counts from now until it ends, independent of reports. Start returns nil if
 // the endpoint was removed after it was selected.
 func (b *Balancer) Start(c Choice, q Query, now time.Time) *Attempt {
 	e := b.endpoints[c.Endpoint]
@@ -108,8 +108,8 @@
 // ends the attempt. The endpoint then counts as full until a report from after
 // the refusal shows free capacity or an attempt of this entry ends there. As
 // reports may be seconds old, one attempt may also be placed after a backoff:
-// the longer of retryAfter and minBackoff, doubled with each consecutive
-// refusal, up to maxBackoff.
+// minBackoff, doubled with each consecutive refusal, or retryAfter if that is
+// longer, but at most maxBackoff.
 //
 // At saturation each entry has queued requests and tries each free slot that an
 // outdated report shows. Without the backoff agents would spend most of their
@@ -138,9 +138,10 @@
 // requests. After the ejection a single failure ejects it again for longer, so
 // few requests are lost until it recovers.
 //
-// Attempts that started before the last failure are ignored, because an engine
-// that restarts breaks all its streams at once. Without this rule, six
-// broken streams ejected an engine for 8 s that was back immediately.
+// Failures of attempts that started before the last counted failure, or in an
+// earlier incarnation, don't count, because an engine that restarts breaks all
+// its streams at once. Without this rule, six broken streams ejected for 8 s an
+// engine that was back immediately.
 func (b *Balancer) Fail(a *Attempt, now time.Time) {
 	if a == nil || a.ended {
 		return
--- a/internal/endpoint/placement/choose.go
+++ b/internal/endpoint/placement/choose.go
@@ -17,16 +17,16 @@
 	medianLatency float64
 }
 
-func (s *route) add(e *endpoint) {
-	s.endpoints = append(s.endpoints, e)
-	s.ring.stale = true
+func (rt *route) add(e *endpoint) {
+	rt.endpoints = append(rt.endpoints, e)
+	rt.ring.stale = true
 }
 
-func (s *route) remove(e *endpoint) {
-	if i := slices.Index(s.endpoints, e); i >= 0 {
-		s.endpoints = slices.Delete(s.endpoints, i, i+1)
+func (rt *route) remove(e *endpoint) {
+	if i := slices.Index(rt.endpoints, e); i >= 0 {
+		rt.endpoints = slices.Delete(rt.endpoints, i, i+1)
 	}
-	s.ring.stale = true
+	rt.ring.stale = true
 }
 
 // tokenWeight is the weight of committed tokens relative to open streams. Each
@@ -43,7 +43,7 @@
 // loadScore returns the load of e with the query added, relative to its
 // capacity; lower is better. Slow endpoints, endpoints in slow start and
 // endpoints of other data centres get higher scores.
-func (b *Balancer) loadScore(e *endpoint, s *route, q *Query, now time.Time) float64 {
+func (b *Balancer) loadScore(e *endpoint, rt *route, q *Query, now time.Time) float64 {
 	streams := e.streams() + 1
 	tokens := e.otherTokens + float64(e.ownTokens+q.Tokens)
 	capacity := float64(e.capacity)
@@ -54,7 +54,7 @@
 		streams = math.Max(streams, unknownLoad*capacity)
 	}
 	score := (streams + tokenWeight*tokens/b.meanTokens) / (capacity * b.slowStartFraction(e, now))
-	score *= e.slowdown(s, now)
+	score *= e.slowdown(rt, now)
 	if !e.local {
 		score += b.RemotePenalty
 	}
@@ -83,18 +83,18 @@
 // temporary, the other codes last until an endpoint comes into service. Choose
 // doesn't allocate.
 func (b *Balancer) Choose(q Query, now time.Time) (c Choice, ok bool, why result.Code) {
-	s := b.routes[q.Route]
-	if s == nil || len(s.endpoints) == 0 {
+	rt := b.routes[q.Route]
+	if rt == nil || len(rt.endpoints) == 0 {
 		return Choice{}, false, result.NoEndpoint
 	}
-	if e := b.affinityEndpoint(s, &q, now); e != nil {
+	if e := b.affinityEndpoint(rt, &q, now); e != nil {
 		return b.recordChoice(e, true, false, now), true, result.OK
 	}
-	e, probe := b.sample(s, &q, now)
+	e, probe := b.sample(rt, &q, now)
 	if e != nil {
 		return b.recordChoice(e, false, probe, now), true, result.OK
 	}
-	e, reason := b.scan(s, &q, now)
+	e, reason := b.scan(rt, &q, now)
 	if e != nil {
 		return b.recordChoice(e, false, false, now), true, result.OK
 	}
@@ -116,18 +116,18 @@
 // sample returns the endpoint with the lowest load score among b.Samples random
 // ones, or nil if none of them can be selected. It returns a slow endpoint,
 // with probe set, as soon as it finds one that is due to be probed.
-func (b *Balancer) sample(s *route, q *Query, now time.Time) (lowest *endpoint, probe bool) {
+func (b *Balancer) sample(rt *route, q *Query, now time.Time) (lowest *endpoint, probe bool) {
 	lowestScore := math.Inf(1)
-	n := uint64(len(s.endpoints))
+	n := uint64(len(rt.endpoints))
 	for range b.Samples {
-		e := s.endpoints[b.nextRandom()%n]
-		if b.state(e, s, now) != eligible || alreadyTried(q, e) {
+		e := rt.endpoints[b.nextRandom()%n]
+		if b.state(e, rt, now) != eligible || alreadyTried(q, e) {
 			continue
 		}
-		if b.probeDue(e, s, q, now) {
+		if b.probeDue(e, rt, q, now) {
 			return e, true
 		}
-		if score := b.loadScore(e, s, q, now); score < lowestScore {
+		if score := b.loadScore(e, rt, q, now); score < lowestScore {
 			lowest, lowestScore = e, score
 		}
 	}
@@ -139,29 +139,29 @@
 // for ever, because it gets no requests that could show its recovery. Probes
 // become less frequent as long as the endpoint stays slow, because each of them
 // delays a caller.
-func (b *Balancer) probeDue(e *endpoint, s *route, q *Query, now time.Time) bool {
+func (b *Balancer) probeDue(e *endpoint, rt *route, q *Query, now time.Time) bool {
 	interval := b.ProbeInterval << min(e.probes, maxProbeDoublings)
 	if q.RunOnce || e.ownStreams > 0 || now.Sub(e.lastChosen) < interval {
 		return false
 	}
-	return e.slowdown(s, now) >= slowThreshold
+	return e.slowdown(rt, now) >= slowThreshold
 }
 
 // scan returns the endpoint with the lowest load score among all endpoints, for
 // when sample finds none. If no endpoint can be selected, it returns the index
 // in rejectionCodes of the reason that is most likely to pass.
-func (b *Balancer) scan(s *route, q *Query, now time.Time) (lowest *endpoint, why int) {
+func (b *Balancer) scan(rt *route, q *Query, now time.Time) (lowest *endpoint, why int) {
 	lowestScore := math.Inf(1)
-	for _, e := range s.endpoints {
+	for _, e := range rt.endpoints {
 		if alreadyTried(q, e) {
 			continue
 		}
-		st := b.state(e, s, now)
+		st := b.state(e, rt, now)
 		if st != eligible {
 			why = max(why, st)
 			continue
 		}
-		if score := b.loadScore(e, s, q, now); score < lowestScore {
+		if score := b.loadScore(e, rt, q, now); score < lowestScore {
 			lowest, lowestScore = e, score
 		}
 	}
--- a/internal/endpoint/placement/doc.go
+++ b/internal/endpoint/placement/doc.go
@@ -3,7 +3,7 @@
 // A Balancer holds what one entry knows about the endpoints of its subset: the
 // reports of their agents, which lag, and the entry's own attempts, which are
 // known immediately. It performs no I/O, starts no goroutines and reads no clock.
-// It is not safe for concurrent use; callers must hold a lock around each call. The
+// It is not safe for concurrent use; the entry must hold a lock around each call. The
 // agent of an endpoint makes the final decision: it may refuse an attempt that was
 // placed with outdated reports, which is then recorded with Balancer.Refuse.
 //
--- a/internal/endpoint/placement/endpoint.go
+++ b/internal/endpoint/placement/endpoint.go
@@ -105,7 +105,7 @@
 
 // state returns eligible, or the index in rejectionCodes of the reason that the
 // endpoint can't be selected.
-func (b *Balancer) state(e *endpoint, s *route, now time.Time) int {
+func (b *Balancer) state(e *endpoint, rt *route, now time.Time) int {
 	switch {
 	case e.reportedOutOfService || e.configuredOut:
 		return outOfService
@@ -117,7 +117,7 @@
 		return b.stateUnknown(e, now)
 	case e.cold:
 		return b.stateCold(e, now)
-	case e.streams() >= e.streamLimit(s, now) && !e.mayRetry(now):
+	case e.streams() >= e.streamLimit(rt, now) && !e.mayRetry(now):
 		return busy
 	}
 	return eligible
--- a/internal/endpoint/placement/picture.go
+++ b/internal/endpoint/placement/picture.go
@@ -45,9 +45,10 @@
 	// difference in load, as a fraction of the capacity of an endpoint, from
 	// which a request goes to another data centre.
 	RemotePenalty float64
-	// AffinityBound is the bound on the load score of the endpoint that keeps a
-	// prefix, as a factor of the mean. A lower value disperses the cached
-	// prefixes, a higher one overloads single endpoints with popular prefixes.
+	// AffinityBound is the load score, as a multiple of the mean, up to which an
+	// endpoint gets all requests with the same prefix. A lower value disperses
+	// the cached prefixes, a higher one overloads single endpoints with popular
+	// prefixes.
 	AffinityBound float64
 
 	endpoints      map[string]*endpoint
@@ -170,12 +171,12 @@
 	}
 	e.routes = append([]string(nil), routes...)
 	for _, name := range e.routes {
-		s := b.routes[name]
-		if s == nil {
-			s = &route{}
-			b.routes[name] = s
+		rt := b.routes[name]
+		if rt == nil {
+			rt = &route{}
+			b.routes[name] = rt
 		}
-		s.add(e)
+		rt.add(e)
 	}
 }
 
--- a/internal/endpoint/placement/placement_test.go
+++ b/internal/endpoint/placement/placement_test.go
@@ -70,7 +70,7 @@
 	}{
 		{"out", func(r *Report) { r.OutOfService = true }, result.OutOfService},
 		{"leaving", func(r *Report) { r.Draining = true }, result.EndpointLeaving},
-		{"cold and used", func(r *Report) { r.Cold, r.Allowance, r.Running = true, 1, 1 }, result.EndpointCold},
+		{"cold and full", func(r *Report) { r.Cold, r.Allowance, r.Running = true, 1, 1 }, result.EndpointCold},
 		{"busy", func(r *Report) { r.Running = 8 }, result.EndpointBusy},
 		{"other route", func(r *Report) { r.Routes = []string{"other"} }, result.NoEndpoint},
 	} {
@@ -336,7 +336,8 @@
 }
 
 // referenceAllows reports whether an endpoint may be selected at all, judged
-// only by its last report, the lists of the operators and the earlier attempts.
+// only by its last report, the set of endpoints and data centres that are
+// configured as out of service, and the earlier attempts of the request.
 func referenceAllows(r Report, out map[string]bool, q Query) bool {
 	for _, tried := range q.Tried {
 		if tried == r.Endpoint {
@@ -346,8 +347,9 @@
 	return !r.OutOfService && !r.Draining && !out[r.Endpoint] && !out[r.DataCentre]
 }
 
-// For any order of reports, orders of operators and attempts, no attempt may be
-// placed on an endpoint that is draining, out of service or already tried.
+// For any sequence of reports, changes of the configuration and attempts, no
+// attempt may be placed on an endpoint that is draining, out of service or
+// already tried.
 func TestEachChoiceIsAllowed(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 1))
 	b := &Balancer{DataCentre: "dc0"}
--- a/internal/endpoint/placement/slow.go
+++ b/internal/endpoint/placement/slow.go
@@ -7,10 +7,11 @@
 
 const (
 	// maxSlowdown bounds the slowdown factor, so that a slow endpoint still
-	// gets a tenth of the requests and its recovery is noticed.
+	// gets a tenth of its normal load and its recovery is noticed.
 	maxSlowdown = 10
 	// slowThreshold is the slowdown from which an endpoint is slow: it gets no
-	// requests by prefix affinity, and it is probed when it has no load.
+	// requests by prefix affinity, it counts as full below its allowance, and
+	// it is probed when it has no load.
 	slowThreshold = 2
 	// silenceFactor is the number of median latencies for which an attempt may
 	// be silent before its endpoint counts as slower.
@@ -62,14 +63,14 @@
 
 // observeLatency updates the running median of the latency. A median is used
 // because the slow endpoint that it has to reveal hardly affects it.
-func (s *route) observeLatency(seconds float64) {
+func (rt *route) observeLatency(seconds float64) {
 	switch {
-	case s.medianLatency == 0:
-		s.medianLatency = seconds
-	case seconds > s.medianLatency:
-		s.medianLatency *= 1 + medianStep
+	case rt.medianLatency == 0:
+		rt.medianLatency = seconds
+	case seconds > rt.medianLatency:
+		rt.medianLatency *= 1 + medianStep
 	default:
-		s.medianLatency /= 1 + medianStep
+		rt.medianLatency /= 1 + medianStep
 	}
 }
 
@@ -78,14 +79,14 @@
 // or slows down while it still accepts requests; such an endpoint completes few
 // requests and has low reported load. The silence of the attempt that has been
 // silent for longest reveals a stall before any late response does.
-func (e *endpoint) slowdown(s *route, now time.Time) float64 {
-	if s.medianLatency <= 0 {
+func (e *endpoint) slowdown(rt *route, now time.Time) float64 {
+	if rt.medianLatency <= 0 {
 		return 1
 	}
-	factor := e.latency / math.Max(s.medianLatency, minMedianLatency)
+	factor := e.latency / math.Max(rt.medianLatency, minMedianLatency)
 	if a := e.attempts.first; a != nil {
 		silence := now.Sub(a.lastProgress).Seconds()
-		factor = math.Max(factor, silence/math.Max(silenceFactor*s.medianLatency, minSilence))
+		factor = math.Max(factor, silence/math.Max(silenceFactor*rt.medianLatency, minSilence))
 	}
 	return math.Min(math.Max(factor, 1), maxSlowdown)
 }
@@ -95,9 +96,9 @@
 // request that is placed there ends later than one that waits for a slot
 // elsewhere. So a slow endpoint counts as full at its allowance divided by its
 // slowdown, but at least at one stream.
-func (e *endpoint) streamLimit(s *route, now time.Time) float64 {
+func (e *endpoint) streamLimit(rt *route, now time.Time) float64 {
 	allowance := float64(e.allowance)
-	slowdown := e.slowdown(s, now)
+	slowdown := e.slowdown(rt, now)
 	if slowdown < slowThreshold {
 		return allowance
 	}
--- a/internal/endpoint/placement/slow_test.go
+++ b/internal/endpoint/placement/slow_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// An endpoint accepts requests, but its streams have stalled. It must not get
-// more of them.
+// An endpoint accepts requests, but its streams have stalled. It must get no
+// more requests.
 func TestSilentEndpointGetsLess(t *testing.T) {
 	b := newBalancer(6, epoch)
 	runWithSlowEndpoint(t, b, epoch.Add(-time.Minute), 10*time.Second, 1)
@@ -93,10 +93,10 @@
 	}
 }
 
-// An endpoint responds within 1 ms and then sends an event every 50 ms. The
-// silence between two events is many times its latency. If it counted as slow,
-// a single stream would make it full, and the next request would be refused
-// although the endpoint has free capacity.
+// The only endpoint of a service responds within 1 ms and then sends an event
+// every 50 ms. The silence between two events is many times its latency. If it
+// counted as slow, a single stream would make it full, and the next request
+// would be refused although the endpoint has free capacity.
 func TestPauseBetweenEventsIsNotSlow(t *testing.T) {
 	b := newBalancer(1, epoch)
 	a := b.Start(mustChoose(t, b, query, epoch), query, epoch)
