--- a/internal/endpoint/allowance/allowance.go
+++ b/internal/endpoint/allowance/allowance.go
@@ -119,7 +119,8 @@
 
 // Configure sets the limits. It returns ErrColdLimit, ErrFullLimit or
 // ErrRampCompletions if they are invalid. It keeps the count of completed requests,
-// so a preset switch neither starts nor ends a cold start.
+// so a preset switch doesn't reset the limit to the cold one. If it raises
+// limits.Full, further completed requests raise the limit to it.
 func (a *Allowance) Configure(l Limits) error {
 	if err := l.validate(); err != nil {
 		return err
@@ -190,7 +191,7 @@
 		return Ticket{epoch: a.epoch, admittedAt: t.admittedAt}, nil
 	}
 	delay := a.retries.retryAfter(limit, now)
-	return Ticket{}, result.New(result.EndpointCold, "it turned cold before the request was sent").WithRetryAfter(delay)
+	return Ticket{}, result.New(result.EndpointCold, "endpoint turned cold before the request was sent").WithRetryAfter(delay)
 }
 
 // ObserveTTFT records the time to first token of a streamed request, and starts a
--- a/internal/endpoint/allowance/allowance_test.go
+++ b/internal/endpoint/allowance/allowance_test.go
@@ -111,7 +111,7 @@
 
 // Ordinary events must not start a cold start: a long prompt, the first
 // incarnation, the same incarnation again.
-func TestOrdinaryIsNotColdness(t *testing.T) {
+func TestOrdinaryEventsDoNotStartColdStart(t *testing.T) {
 	a := newAllowance(t, Limits{Cold: 2, Full: 8, RampCompletions: 3})
 	warmUp(t, a)
 	a.SetIncarnation("1")
@@ -143,9 +143,9 @@
 	}
 }
 
-// Load reports lag: a report of coldness from before the endpoint became warm must
-// not start a cold start, a newer one must.
-func TestReportsOfColdness(t *testing.T) {
+// Load reports lag: a report of a cold endpoint that was made before the endpoint
+// became warm must not start a cold start, a newer one must.
+func TestReportsOfColdEndpoint(t *testing.T) {
 	a := newAllowance(t, Limits{Cold: 2, Full: 4, RampCompletions: 1})
 	warmUp(t, a)
 	a.ReportCold(true, start.Add(-time.Second))
@@ -160,7 +160,7 @@
 // Requests that were admitted while the endpoint was warm complete after it turned
 // cold. They must not raise the limit, and while they run they count against the
 // cold limit.
-func TestOldAnswersProveNothing(t *testing.T) {
+func TestOldRequestsDoNotRaiseLimit(t *testing.T) {
 	a := newAllowance(t, Limits{Cold: 2, Full: 8, RampCompletions: 1})
 	warmUp(t, a)
 	var tickets []Ticket
@@ -175,7 +175,7 @@
 	for i, ticket := range tickets {
 		_, err := a.Admit(start)
 		if refused, want := err != nil, i < 7; refused != want {
-			t.Fatalf("with %d old requests running: refused %v", 8-i, refused)
+			t.Fatalf("with %d requests running from before the cold start: refused is %v", 8-i, refused)
 		}
 		a.Complete(ticket, start)
 		requireLimit(t, a, 2, ConnectionLost)
@@ -196,7 +196,7 @@
 	a.StartColdStart(ConnectionLost)
 	for n, ticket := range tickets[:2] {
 		if _, err := a.Revalidate(ticket, start); result.CodeOf(err) != result.EndpointCold || err.RetryAfter() == 0 {
-			t.Fatalf("with %d tickets held: %v", 4-n, err)
+			t.Fatalf("with %d tickets held: got error %v, want endpointCold with a retry delay", 4-n, err)
 		}
 		a.Fail(ticket, start)
 	}
@@ -261,6 +261,7 @@
 	slowRun     int
 }
 
+// completion is a completed request. Both fields are numbers of events.
 type completion struct {
 	admittedAt, at int
 }
@@ -391,7 +392,7 @@
 		t.Fatalf("admit: got %v, reference %v", err, want)
 	}
 	if delay := err.RetryAfter(); delay < minRetryAfter || delay > maxRetryAfter {
-		t.Fatalf("retry after %v", delay)
+		t.Fatalf("retry delay %v is out of bounds", delay)
 	}
 	return running
 }
--- a/internal/endpoint/allowance/firsttoken.go
+++ b/internal/endpoint/allowance/firsttoken.go
@@ -39,7 +39,8 @@
 	slowRun int
 }
 
-// slow adds the sample d and reports whether it completes a run of slow samples.
+// slow reports whether the sample d completes a run of slowRunLength slow samples.
+// Slow samples don't enter the median.
 func (t *ttftDetector) slow(d time.Duration) bool {
 	if len(t.samples) >= ttftMinSamples && d > max(slowFloor, slowFactor*t.median()) {
 		t.slowRun++
--- a/internal/endpoint/allowance/inherited.go
+++ b/internal/endpoint/allowance/inherited.go
@@ -7,15 +7,16 @@
 // count never falls doesn't stay unused.
 const inheritedTTL = time.Minute
 
-// inherited counts the requests running on the endpoint that an earlier agent
-// admitted.
+// inherited counts the requests that an earlier agent admitted and that still run
+// on the endpoint.
 type inherited struct {
 	n        int
 	reported bool
 	expires  time.Time
 }
 
-// count returns the number of inherited requests that are assumed to run.
+// count returns the number of inherited requests, or zero once the
+// count has expired.
 func (i *inherited) count(now time.Time) int {
 	if now.Before(i.expires) {
 		return i.n
@@ -23,8 +24,8 @@
 	return 0
 }
 
-// ReportRunning records that the endpoint reported n running requests while own
-// requests of this agent were running there.
+// ReportRunning records that the endpoint reported n running requests. The
+// parameter own is the number of requests of this agent that are running there.
 //
 // When the VM of an agent is replaced, the endpoint keeps running the requests that
 // the earlier agent admitted. If the new agent didn't count them, it would admit up
--- a/internal/endpoint/allowance/pace.go
+++ b/internal/endpoint/allowance/pace.go
@@ -11,9 +11,9 @@
 	// maxRetryAfter keeps callers from staying away long after a stall has
 	// ended.
 	maxRetryAfter = 5 * time.Second
-	// serviceTimeWeight is the inverse of the weight of a new sample in the
+	// serviceTimeDivisor is the inverse of the weight of a new sample in the
 	// moving average of the service time.
-	serviceTimeWeight = 8
+	serviceTimeDivisor = 8
 	// retriesPerSlot is the number of retries scheduled for each slot that is
 	// expected to become free. Some callers don't come back, and a refusal costs
 	// one message, whereas an unused slot costs capacity of the endpoint.
@@ -47,7 +47,7 @@
 		s.serviceTime = elapsed
 		return
 	}
-	s.serviceTime += (elapsed - s.serviceTime) / serviceTimeWeight
+	s.serviceTime += (elapsed - s.serviceTime) / serviceTimeDivisor
 }
 
 // retryAfter returns the retry delay for a request that is refused now; limit is
@@ -60,7 +60,7 @@
 // between completions can't replace the estimate: when few callers retry, the
 // intervals grow, and still fewer retries would be scheduled. If nothing has
 // completed for longer than the mean service time, that period is used in its
-// place. Delays beyond the upper bound wrap around into its second half, so that
+// place. Delays beyond maxDelay wrap around into its second half, so that
 // they stay spread.
 func (s *retryScheduler) retryAfter(limit int, now time.Time) time.Duration {
 	serviceTime, maxDelay := s.serviceTime, maxRetryAfter
