--- a/internal/endpoint/batch/batch.go
+++ b/internal/endpoint/batch/batch.go
@@ -1,5 +1,5 @@
 // Package batch computes the largest decode batch that an engine can run while
-// the delay between the events of a stream stays within a bound.
+// the pause between the events of a stream stays within a bound.
 package batch
 
 import (
@@ -18,10 +18,11 @@
 	PlannedSkew = 1.3
 	// SlowdownThreshold is the slowdown factor from which an engine counts as slow.
 	// Engines report their slowdown rounded; without the threshold, expert maps
-	// and allowances would change with every tenth for no benefit.
+	// and allowances would change with every reported tenth of slowdown, for no
+	// benefit.
 	SlowdownThreshold = 1.2
-	// deliveryMargin is the part of the bound on the delay between events that
-	// is reserved for delivery to the caller and for prefill of other prompts.
+	// deliveryMargin is the part of the longest tolerated pause that is
+	// reserved for delivery to the caller and for prefill of other prompts.
 	deliveryMargin = 10 * time.Millisecond
 )
 
@@ -36,35 +37,36 @@
 	return time.Duration(float64(e.Stride) * step * (1 - share + share*skew))
 }
 
-// MaxBatch returns the largest batch of which a pass takes at most gap less
-// deliveryMargin at an imbalance of DesignSkew. It is at least 1 and otherwise at
-// most e.Slots; a gap of zero means no bound.
+// MaxBatch returns the largest batch for which a pass takes at most maxPause less
+// deliveryMargin at an imbalance of DesignSkew. The result is at most e.Slots, but
+// at least 1. A maxPause of zero means no bound.
 //
 // Each request added to a batch lengthens every pass on all ranks of the group.
 // With full batches, one change in expert popularity under high load makes passes
-// longer than the longest pause that callers tolerate, and all running streams
-// are late. Smaller batches keep passes below it and cost a tenth of the
-// throughput.
-func MaxBatch(e *routing.Engine, gap time.Duration) int {
-	if gap <= 0 || e.Slots <= 0 {
+// longer than maxPause, the longest pause between events that callers tolerate, and
+// all running streams are late. Smaller batches keep passes below it and cost a tenth
+// of the throughput.
+func MaxBatch(e *routing.Engine, maxPause time.Duration) int {
+	if maxPause <= 0 || e.Slots <= 0 {
 		return max(1, e.Slots)
 	}
 	n := 1
-	for n < e.Slots && PassDuration(e, n+1, DesignSkew) <= gap-deliveryMargin {
+	for n < e.Slots && PassDuration(e, n+1, DesignSkew) <= maxPause-deliveryMargin {
 		n++
 	}
 	return n
 }
 
-// MaxBatchAtSlowdown returns the largest batch of which a pass takes at most gap
-// less deliveryMargin at an imbalance of PlannedSkew, on an engine that is slower
-// than usual by the factor slowdown. It may be 0; a gap of zero means no bound.
-func MaxBatchAtSlowdown(e *routing.Engine, gap time.Duration, slowdown float64) int {
-	if gap <= 0 {
+// MaxBatchAtSlowdown returns the largest batch for which a pass takes at most
+// maxPause less deliveryMargin at an imbalance of PlannedSkew, on an engine that is
+// slower than usual by the factor slowdown. It may be 0. A maxPause of zero means no
+// bound.
+func MaxBatchAtSlowdown(e *routing.Engine, maxPause time.Duration, slowdown float64) int {
+	if maxPause <= 0 {
 		return e.Slots
 	}
 	n := 0
-	for n < e.Slots && float64(PassDuration(e, n+1, PlannedSkew))*slowdown <= float64(gap-deliveryMargin) {
+	for n < e.Slots && float64(PassDuration(e, n+1, PlannedSkew))*slowdown <= float64(maxPause-deliveryMargin) {
 		n++
 	}
 	return n
--- a/internal/endpoint/batch/batch_test.go
+++ b/internal/endpoint/batch/batch_test.go
@@ -26,16 +26,17 @@
 }
 
 // When expert popularity changes while batches are full, passes exceed the
-// longest pause that callers tolerate and every stream is late.
-func TestMaxBatchKeepsThePause(t *testing.T) {
+// longest pause that callers tolerate and every stream is late. MaxBatch must keep
+// them below it.
+func TestMaxBatchKeepsMaxPause(t *testing.T) {
 	e := engine()
-	for _, gap := range []time.Duration{80 * time.Millisecond, 120 * time.Millisecond, 150 * time.Millisecond} {
-		n := MaxBatch(e, gap)
-		if n > 1 && PassDuration(e, n, DesignSkew) > gap {
-			t.Errorf("a pass over %d requests takes %v, the bound is %v", n, PassDuration(e, n, DesignSkew), gap)
+	for _, maxPause := range []time.Duration{80 * time.Millisecond, 120 * time.Millisecond, 150 * time.Millisecond} {
+		n := MaxBatch(e, maxPause)
+		if n > 1 && PassDuration(e, n, DesignSkew) > maxPause {
+			t.Errorf("a pass over %d requests takes %v, the bound is %v", n, PassDuration(e, n, DesignSkew), maxPause)
 		}
-		if n < e.Slots && PassDuration(e, n+1, DesignSkew) <= gap-deliveryMargin {
-			t.Errorf("got a batch of %d, one more request fits into %v", n, gap)
+		if n < e.Slots && PassDuration(e, n+1, DesignSkew) <= maxPause-deliveryMargin {
+			t.Errorf("got a batch of %d, one more request fits into %v", n, maxPause)
 		}
 	}
 	if n := MaxBatch(e, 0); n != e.Slots {
