--- a/internal/endpoint/direct/answer.go
+++ b/internal/endpoint/direct/answer.go
@@ -115,12 +115,13 @@
 	return r.ContentLength >= 0 || len(r.TransferEncoding) > 0
 }
 
-// closeAfterWrite closes a connection that can't be reused.
+// closeAfterWrite closes a connection that can't be reused. The parameter active
+// is false if the context of the request is done.
 //
 // An endpoint may respond before it has read a long request body and read the rest
-// later. It must receive all of the body, so after a complete response the
-// connection is closed only when the body has been written or bodyWriteTimeout
-// has passed. Otherwise the connection is reset at once.
+// later. It must receive all of the body and nothing else, so after a complete
+// response the connection isn't reused, and it is closed only when the body has been
+// written or bodyWriteTimeout has passed. Otherwise the connection is reset at once.
 func (r *Response) closeAfterWrite(active bool) {
 	if !active || !r.complete {
 		r.conn.abort()
--- a/internal/endpoint/direct/client_test.go
+++ b/internal/endpoint/direct/client_test.go
@@ -78,7 +78,7 @@
 func wantBody(t *testing.T, c *Client, addr, id, want string) {
 	t.Helper()
 	if got, err := get(c, addr, id); err != nil || got != want {
-		t.Fatalf("%q, %v, want %q", got, err, want)
+		t.Fatalf("got body %q, error %v; want %q", got, err, want)
 	}
 }
 
@@ -144,7 +144,7 @@
 func TestBrokenAnswers(t *testing.T) {
 	for name, text := range map[string]string{
 		"cut short":           "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 100\r\n\r\nshort",
-		"not in the protocol": "\x00\x01 what is this\r\n\r\n",
+		"not an HTTP message": "\x00\x01 what is this\r\n\r\n",
 		"cut in a chunk":      "HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n10\r\nabc",
 		"no end chunk":        "HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
 	} {
@@ -156,7 +156,7 @@
 			})
 			body, err := get(&Client{}, addr, "1")
 			if err == nil {
-				t.Fatalf("truncated body %q was accepted", body)
+				t.Fatalf("broken response was accepted with body %q", body)
 			}
 			if IsNotSent(err) {
 				t.Fatalf("a request that was sent was reported as not sent: %v", err)
--- a/internal/endpoint/direct/pool.go
+++ b/internal/endpoint/direct/pool.go
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithTimeout(ctx, DialTimeout)
 	defer cancel()
 	d := net.Dialer{
-		Control:         setTimeouts,
+		Control:         setUserTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 	}
 	nc, err := d.DialContext(ctx, "tcp", addr)
@@ -82,7 +82,7 @@
 	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBufferSize), addr: addr}, nil
 }
 
-func setTimeouts(_, _ string, raw syscall.RawConn) error {
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var optErr error
 	err := raw.Control(func(fd uintptr) {
 		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
--- a/internal/endpoint/direct/writer.go
+++ b/internal/endpoint/direct/writer.go
@@ -12,8 +12,8 @@
 // doesn't block on the endpoint.
 const maxInlineBody = 16 << 10
 
-// writer is the writing of one request. The error err is valid once done is
-// closed; sent is the number of bytes that startWriter wrote itself.
+// writer tracks the writing of one request. The error err is valid once done is
+// closed; sent is the number of bytes written before startWriter returned.
 type writer struct {
 	done chan struct{}
 	sent int
