--- a/internal/endpoint/allowance/allowance.go
+++ b/internal/endpoint/allowance/allowance.go
@@ -191,7 +191,7 @@
 		return Ticket{epoch: a.epoch, admittedAt: t.admittedAt}, nil
 	}
 	delay := a.retries.retryAfter(limit, now)
-	return Ticket{}, result.New(result.EndpointCold, "endpoint turned cold before the request was sent").WithRetryAfter(delay)
+	return Ticket{}, result.New(result.EndpointCold, "it turned cold before the request was sent").WithRetryAfter(delay)
 }
 
 // ObserveTTFT records the time to first token of a streamed request, and starts a
--- a/internal/platform/config/change.go
+++ b/internal/platform/config/change.go
@@ -60,17 +60,17 @@
 // order that no head can accept.
 func (o Order) validate() error {
 	if !validName(o.ChangeID) {
-		return result.New(result.MalformedOrder, "the change id must be 1 to 64 printable ASCII characters other than space, quotes, <, >, & and backslash")
+		return result.New(result.MalformedOrder, "the change id must be 1 to 64 printable characters without spaces and quotes")
 	}
 	if !validName(o.By) {
-		return result.New(result.MalformedOrder, "the operator name must be 1 to 64 printable ASCII characters other than space, quotes, <, >, & and backslash")
+		return result.New(result.MalformedOrder, "the operator must be 1 to 64 printable characters without spaces and quotes")
 	}
 	name := ""
 	switch c := o.Change.(type) {
 	case PutPreset:
 		name = c.Name
 		if len(c.Body) > MaxPart {
-			return result.Newf(result.BodyTooLarge, "the preset has %d bytes, the maximum is %d", len(c.Body), MaxPart)
+			return result.Newf(result.BodyTooLarge, "%d bytes, at most %d", len(c.Body), MaxPart)
 		}
 	case SwitchPreset:
 		name = c.Name
@@ -83,10 +83,10 @@
 	case recordJoin:
 		return nil
 	default:
-		return result.New(result.MalformedOrder, "the order contains no change")
+		return result.New(result.MalformedOrder, "the order names no change")
 	}
 	if !validName(name) {
-		return result.Newf(result.MalformedOrder, "%q is not a valid name", name)
+		return result.Newf(result.MalformedOrder, "%q is not a name", name)
 	}
 	return nil
 }
@@ -99,7 +99,7 @@
 		return Head{}, err
 	}
 	if h.dot.generation == maxGeneration {
-		return Head{}, result.New(result.MalformedOrder, "the generation has reached its maximum")
+		return Head{}, result.New(result.MalformedOrder, "the generation can't grow any more")
 	}
 	next := h
 	next.dot = Dot{generation: h.dot.generation + 1, changeID: o.ChangeID}
@@ -138,7 +138,7 @@
 	}
 	m[c.Name] = Preset{name: c.Name, digest: Digest(c.Body), since: h.dot.generation}
 	if len(m) > maxPresets {
-		return result.Newf(result.MalformedOrder, "the maximum of %d presets is reached", maxPresets)
+		return result.Newf(result.MalformedOrder, "there are %d presets already", maxPresets)
 	}
 	h.presets = sortedPresets(m)
 	if h.inForce != "" {
@@ -162,7 +162,7 @@
 func (h *Head) takeOut(old Head, o Out) error {
 	entries := removeEntries(old.outOfService, func(p Out) bool { return p.target == o.target })
 	if len(entries) == maxOutOfService {
-		return result.Newf(result.MalformedOrder, "the maximum of %d targets out of service is reached", maxOutOfService)
+		return result.Newf(result.MalformedOrder, "%d targets are out already", maxOutOfService)
 	}
 	entries = append(entries, o)
 	sort.Slice(entries, func(i, j int) bool { return entries[i].less(entries[j]) })
--- a/internal/platform/config/writer.go
+++ b/internal/platform/config/writer.go
@@ -122,7 +122,7 @@
 		a.outcomeUnknown = false
 	}
 	if g := a.order.IfGeneration; g != 0 && g != cur.head.Generation() {
-		return Head{}, true, result.Newf(result.Conflict, "the current generation is %d, not %d", cur.head.Generation(), g)
+		return Head{}, true, result.Newf(result.Conflict, "the generation is %d, not %d", cur.head.Generation(), g)
 	}
 	next, err := Apply(cur.head, a.order, a.now)
 	if err != nil {
@@ -174,7 +174,7 @@
 	if isUnreadable(err) {
 		return Head{}, err
 	}
-	detail := "the time limit was exceeded"
+	detail := "the time limit passed"
 	if err != nil {
 		detail = err.Error()
 	}
@@ -190,7 +190,7 @@
 		return Head{}, result.Newf(result.Conflict, "the newest known generation is %d, not %d", c.head.Generation(), g)
 	}
 	if len(c.holds) == maxHolds {
-		return Head{}, result.Newf(result.PlatformRefused, "the maximum of %d local holds is reached", maxHolds)
+		return Head{}, result.Newf(result.PlatformRefused, "there are %d local holds already", maxHolds)
 	}
 	a.w.Store.addHold(newHold(a.order, t, a.now))
 	return c.head, result.New(result.HeldLocally, t.String())
@@ -248,7 +248,7 @@
 	}
 	b := next.Encode()
 	if len(b) > MaxHead {
-		return storedHead{}, false, result.Newf(result.MalformedOrder, "the document would have %d bytes, the maximum is %d", len(b), MaxHead)
+		return storedHead{}, false, result.Newf(result.MalformedOrder, "the document would have %d bytes, at most %d", len(b), MaxHead)
 	}
 	r, err := w.KV.Txn(ctx, platform.Txn{
 		If:   []platform.Compare{c},
--- a/internal/rank/naming/member.go
+++ b/internal/rank/naming/member.go
@@ -65,14 +65,14 @@
 func (m *Member) apply(o Order) error {
 	h := o.header()
 	if h.Token < m.maxToken {
-		return result.Newf(result.StaleFencing, "token %d is lower than %d, which the member has seen", h.Token, m.maxToken)
+		return result.Newf(result.StaleFencing, "token %d, seen %d", h.Token, m.maxToken)
 	}
 	m.maxToken = h.Token
 	if _, ok := o.(Query); ok {
 		return nil
 	}
 	if h.Incarnation != m.Incarnation {
-		return result.Newf(result.StaleFencing, "order for incarnation %d, the member is at %d", h.Incarnation, m.Incarnation)
+		return result.Newf(result.StaleFencing, "order for incarnation %d, this is %d", h.Incarnation, m.Incarnation)
 	}
 	switch o := o.(type) {
 	case Stage:
@@ -101,17 +101,17 @@
 func (m *Member) hold(o Hold) error {
 	switch {
 	case m.pending != Activation{} && m.pending != o.Activation:
-		return result.Newf(result.Conflict, "the member holds another activation, for step %d", m.pending.Step)
+		return result.Newf(result.Conflict, "holding for step %d", m.pending.Step)
 	case !m.joined && !m.noPeerJoined():
 		return result.New(result.MapMissing, "the member is joining its group")
 	case !m.viewMatches(o.View):
-		return result.New(result.StaleFencing, "the order's view differs from the incarnations that the member knows")
+		return result.New(result.StaleFencing, "a member has restarted since")
 	case m.pending == o.Activation || m.hasScheduled(o.Activation):
 		return nil
 	case m.stepLimit >= o.Activation.Step || m.engine.LastStep >= o.Activation.Step:
 		return result.Newf(result.Conflict, "the ranks may run up to step %d", m.stepLimit)
 	case m.engineHasLaterEntry(o.Activation):
-		return result.New(result.Conflict, "the ranks have another activation scheduled for this step or a later one")
+		return result.New(result.Conflict, "the ranks have a later name ahead of them")
 	case !m.engineStaged(o.Activation.Map):
 		return result.Newf(result.MapMissing, "version %d", o.Activation.Map.Version)
 	}
@@ -125,10 +125,10 @@
 		return nil
 	}
 	if m.pending != o.Activation {
-		return result.Newf(result.Conflict, "the member does not hold the activation for step %d", o.Activation.Step)
+		return result.Newf(result.Conflict, "not holding for step %d", o.Activation.Step)
 	}
 	if !m.viewMatches(o.View) {
-		return result.New(result.StaleFencing, "the order's view differs from the incarnations that the member knows")
+		return result.New(result.StaleFencing, "a member has restarted since")
 	}
 	m.pending = Activation{}
 	m.joined = true
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -24,10 +24,10 @@
 }
 
 var (
-	errUnsigned          = errors.New("relay: successful answer lacks the endpoint's signature")
-	errEncoded           = errors.New("relay: answer has a content encoding that was not requested")
-	errRequestIDMismatch = errors.New("relay: successful answer does not carry the ID of its request")
-	errAnswerTooLarge    = errors.New("relay: answer exceeds the size limit")
+	errUnsigned          = errors.New("relay: a success without the endpoint's signature")
+	errEncoded           = errors.New("relay: the body is encoded, which nobody asked for")
+	errRequestIDMismatch = errors.New("relay: a success that doesn't name its request")
+	errAnswerTooLarge    = errors.New("relay: the answer is too long")
 	errEventOrder        = errors.New("relay: events are missing or out of order")
 )
 
