--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -63,7 +63,7 @@
 	leaving   atomic.Bool
 	tokens    atomic.Int64
 	version   atomic.Uint64
-	running   inflight.Count
+	running   inflight.Counter
 	askLoad   chan struct{}
 }
 
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -92,7 +92,7 @@
 
 	engine    *nbhttp.Engine
 	conns     sync.Map // *nbio.Conn to *conn
-	running   inflight.Count
+	running   inflight.Counter
 	rejecting atomic.Bool
 	draining  atomic.Bool
 }
@@ -115,10 +115,10 @@
 	}
 	s.Addr = ln.Addr().String()
 	s.engine = nbhttp.NewEngine(s.config(ln))
-	eventloop.Order(s.engine, s.handleOpen, s.handleData)
+	eventloop.InstallHooks(s.engine, s.handleOpen, s.handleData)
 	s.engine.OnClose(s.handleClose)
 	s.engine.OnWrittenSize(s.handleWritten)
-	return eris.Wrap(eventloop.Start(s.engine), "start the caller server")
+	return eris.Wrap(eventloop.StartHTTP(s.engine), "start the caller server")
 }
 
 func (s *Server) config(ln net.Listener) nbhttp.Config {
--- a/internal/endpoint/loop.go
+++ b/internal/endpoint/loop.go
@@ -53,7 +53,7 @@
 	l.engine.OnWrittenSize(func(nb *nbio.Conn, _ []byte, _ int) {
 		nb.ResetPollerEvent()
 	})
-	return l, eventloop.Begin(l.engine)
+	return l, eventloop.StartEngine(l.engine)
 }
 
 // tellLost passes on that the endpoint closed an idle connection.
--- a/internal/eventloop/begin.go
+++ b/internal/eventloop/begin.go
@@ -10,27 +10,27 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxProbesPerPoller bounds the probe connections that Begin and Start open, as a multiple of the
-// number of pollers.
+// maxProbesPerPoller bounds the probe connections that StartEngine and StartHTTP open, as a
+// multiple of the number of pollers.
 const maxProbesPerPoller = 8
 
 var errPollerNotReached = errors.New("eventloop: probe connections did not reach every poller")
 
-// Begin starts e and returns once each of its pollers is running. It returns an error if the
+// StartEngine starts e and returns once each of its pollers is running. It returns an error if the
 // engine does not start, a probe connection fails, or a poller is not reached.
 //
 // A poller clears its shutdown flag when its goroutine first runs. If Stop sets the flag before
 // that, right after the start, Stop waits forever and a process told to stop during startup never
 // exits. A poller that has served one connection is running, so a later Stop takes effect.
-func Begin(e *nbio.Engine) error {
+func StartEngine(e *nbio.Engine) error {
 	if err := e.Start(); err != nil {
 		return err
 	}
 	return eris.Wrap(awaitPollers(e), "start the event loop")
 }
 
-// Start does the same as Begin for an HTTP engine.
-func Start(e *nbhttp.Engine) error {
+// StartHTTP does the same as StartEngine for an HTTP engine.
+func StartHTTP(e *nbhttp.Engine) error {
 	if err := e.Start(); err != nil {
 		return err
 	}
--- a/internal/eventloop/begin_test.go
+++ b/internal/eventloop/begin_test.go
@@ -11,14 +11,14 @@
 
 // Guards against a Stop that waits forever because it was called before the pollers were running:
 // a process told to stop during startup would never exit.
-func TestStopRightAfterBegin(t *testing.T) {
+func TestStopRightAfterStart(t *testing.T) {
 	nbio.MaxOpenFiles = 4096
 	logging.SetLevel(logging.LevelNone)
 	for _, pollers := range []int{1, 3, 8} {
 		t.Run(fmt.Sprint(pollers), func(t *testing.T) {
 			for range 200 {
 				e := nbhttp.NewEngine(nbhttp.Config{NPoller: pollers, SupportServerOnly: true})
-				if err := Start(e); err != nil {
+				if err := StartHTTP(e); err != nil {
 					t.Fatal(err)
 				}
 				e.Stop()
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -9,12 +9,12 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// Order sets the OnOpen and OnData hooks of e such that the race detector sees that a connection
-// is accepted before it is read. The kernel guarantees that order, because epoll_ctl hands the
-// descriptor to the event loop, but the race detector does not know this and reports a race in
-// every server. Both hooks may be nil. onData receives the number of bytes just read from a
-// connection and returns false to close it.
-func Order(e *nbhttp.Engine, onOpen func(net.Conn), onData func(c *nbio.Conn, n int) bool) {
+// InstallHooks sets the OnOpen and OnData hooks of e such that the race detector sees that a
+// connection is accepted before it is read. The kernel guarantees that order, because epoll_ctl
+// hands the descriptor to the event loop, but the race detector does not know this and reports a
+// race in every server. Both hooks may be nil. onData receives the number of bytes just read
+// from a connection and returns false to close it.
+func InstallHooks(e *nbhttp.Engine, onOpen func(net.Conn), onData func(c *nbio.Conn, n int) bool) {
 	var accepted atomic.Int64
 	e.OnOpen(func(c net.Conn) {
 		if onOpen != nil {
--- a/internal/inflight/inflight.go
+++ b/internal/inflight/inflight.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 )
 
-// Count counts operations in progress. The zero value is ready to use. It is safe for concurrent
-// use, except that only one goroutine at a time may call Wait.
-type Count struct {
+// Counter counts operations in progress. The zero value is ready to use. It is safe for
+// concurrent use, except that only one goroutine at a time may call Wait.
+type Counter struct {
 	n    atomic.Int64
 	once sync.Once
 	// ended holds a token if an operation has ended since Wait last received from it.
@@ -17,10 +17,10 @@
 }
 
 // Begin records the start of an operation.
-func (c *Count) Begin() { c.n.Add(1) }
+func (c *Counter) Begin() { c.n.Add(1) }
 
 // End records the end of an operation. It does not block.
-func (c *Count) End() {
+func (c *Counter) End() {
 	c.n.Add(-1)
 	select {
 	case c.endedChan() <- struct{}{}:
@@ -29,10 +29,10 @@
 }
 
 // Running returns the number of operations in progress.
-func (c *Count) Running() int { return int(c.n.Load()) }
+func (c *Counter) Running() int { return int(c.n.Load()) }
 
 // Wait blocks until no operation is in progress or ctx is done.
-func (c *Count) Wait(ctx context.Context) {
+func (c *Counter) Wait(ctx context.Context) {
 	for c.n.Load() > 0 {
 		select {
 		case <-c.endedChan():
@@ -42,7 +42,7 @@
 	}
 }
 
-func (c *Count) endedChan() chan struct{} {
+func (c *Counter) endedChan() chan struct{} {
 	c.once.Do(func() { c.ended = make(chan struct{}, 1) })
 	return c.ended
 }
--- a/internal/operator/command/client.go
+++ b/internal/operator/command/client.go
@@ -88,7 +88,7 @@
 	// The library's own lines would stand between those of the command.
 	logging.SetLevel(logging.LevelNone)
 	c.engine = nbhttp.NewEngine(nbhttp.Config{NPoller: 1, MaxHTTPBodySize: maxAnswer, ReadLimit: maxAnswer})
-	return c, eventloop.Start(c.engine)
+	return c, eventloop.StartHTTP(c.engine)
 }
 
 func (c *client) close() { c.engine.Stop() }
--- a/internal/operator/command/history_test.go
+++ b/internal/operator/command/history_test.go
@@ -46,7 +46,7 @@
 	late, stopLate := listen(t, &line.Lossy{To: addrs[1], Delay: 30 * time.Millisecond})
 	bad := []string{lost, late}
 	engine := nbhttp.NewEngine(nbhttp.Config{NPoller: 1})
-	if err := eventloop.Start(engine); err != nil {
+	if err := eventloop.StartHTTP(engine); err != nil {
 		t.Fatal(err)
 	}
 	defer engine.Stop()
--- a/internal/operator/listener.go
+++ b/internal/operator/listener.go
@@ -52,7 +52,7 @@
 
 	engine  *nbhttp.Engine
 	address string
-	running inflight.Count
+	running inflight.Counter
 	// byConn and byAddr hold a *meter by the connection and by its remote
 	// address: data comes with the one, requests come with the other.
 	byConn sync.Map
@@ -74,9 +74,9 @@
 	}
 	l.address = ln.Addr().String()
 	l.engine = nbhttp.NewEngine(l.config(ln))
-	eventloop.Order(l.engine, l.opened, l.arrived)
+	eventloop.InstallHooks(l.engine, l.opened, l.arrived)
 	l.engine.OnClose(l.closed)
-	return eris.Wrap(eventloop.Start(l.engine), "admin listener")
+	return eris.Wrap(eventloop.StartHTTP(l.engine), "admin listener")
 }
 
 func (l *listener) config(ln net.Listener) nbhttp.Config {
--- a/internal/process/metrics.go
+++ b/internal/process/metrics.go
@@ -39,8 +39,8 @@
 			metrics.WriteOnce(r, w)
 		}),
 	})
-	eventloop.Order(e, nil, nil)
-	if err := eventloop.Start(e); err != nil {
+	eventloop.InstallHooks(e, nil, nil)
+	if err := eventloop.StartHTTP(e); err != nil {
 		return result.Newf(result.AddressInUse, "%s: %v", addr, err)
 	}
 	<-ctx.Done()
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -67,8 +67,8 @@
 		Listen:                 s.listen,
 	})
 	engine.OnClose(func(c net.Conn, _ error) { s.conns.Delete(c) })
-	eventloop.Order(engine, func(c net.Conn) { s.conns.Store(c, nil) }, nil)
-	if err := eventloop.Start(engine); err != nil {
+	eventloop.InstallHooks(engine, func(c net.Conn) { s.conns.Store(c, nil) }, nil)
+	if err := eventloop.StartHTTP(engine); err != nil {
 		return eris.Wrapf(err, "listen on %s", s.Listen)
 	}
 	close(s.ready)
