--- a/internal/entry/directory.go
+++ b/internal/entry/directory.go
@@ -79,7 +79,7 @@
 }
 
 func (d *directory) take(ctx context.Context) {
-	vms := vmlist.Join(d.list.VMs(), d.members.seen())
+	vms := vmlist.Merge(d.list.VMs(), d.members.observations())
 	var entries []vmlist.VM
 	agents := map[string][]string{}
 	at := map[string]string{}
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -102,16 +102,16 @@
 }
 
 // seen returns the VMs whose streams are live.
-func (m *members) seen() []vmlist.Seen {
+func (m *members) observations() []vmlist.Observation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var all []vmlist.Seen
+	var all []vmlist.Observation
 	for addr, one := range m.byAddr {
 		if one.last == nil {
 			continue
 		}
 		vm := vmlist.NewVM(one.endpoint, vmlist.Agent, one.dataCentre, addr, vmlist.Live)
-		all = append(all, vmlist.Seen{VM: vm, Stream: true, Leaving: one.last.GetLeaving()})
+		all = append(all, vmlist.Observation{VM: vm, HasStream: true, Leaving: one.last.GetLeaving()})
 	}
 	return all
 }
--- a/internal/fleet/member_test.go
+++ b/internal/fleet/member_test.go
@@ -27,14 +27,14 @@
 
 func (s *fakeStore) Grant(context.Context, time.Duration) (platform.LeaseID, error) {
 	if s.unreachable.Load() {
-		return 0, platform.NotSent("away")
+		return 0, platform.NewNotSentError("away")
 	}
 	return platform.LeaseID(1), nil
 }
 
 func (s *fakeStore) KeepAlive(context.Context, platform.LeaseID) (time.Duration, error) {
 	if s.lapsed.Load() {
-		return 0, platform.Refused("no such lease", true)
+		return 0, platform.NewRejectedError("no such lease", true)
 	}
 	return LeaseTTL, nil
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -167,7 +167,7 @@
 	pollWait := readers.Wait(s.Bounds.ChangeApply)
 	f.store = &platform.Store{
 		Addr: s.PlatformAddresses[0].String(), Timeout: storeTimeout,
-		Budget: kv.Budget{PerSecond: storeCallsPerSecond}, Metrics: f.Registry,
+		Budget: kv.RateLimiter{PerSecond: storeCallsPerSecond}, Metrics: f.Registry,
 	}
 	f.store.Open()
 	f.state = &relay.State{
--- a/internal/platform/acquire.go
+++ b/internal/platform/acquire.go
@@ -36,13 +36,13 @@
 	return context.WithTimeout(ctx, c.Timeout)
 }
 
-// acquire waits for the call budget and then for a connection in the state Ready.
+// acquire waits for the rate limiter and then for a connection in the state Ready.
 // Its errors are NotSentErrors. A call is passed to the transport only over such a
 // connection, so that a call without one is known to have had no effect. Each
 // later error of a write that is not a rejection counts as an unknown outcome.
-func (c *Client) acquire(ctx context.Context, b *Budget) (*grpc.ClientConn, error) {
+func (c *Client) acquire(ctx context.Context, l *RateLimiter) (*grpc.ClientConn, error) {
 	c.init()
-	if err := c.waitForBudget(ctx, b); err != nil {
+	if err := c.waitForRateLimit(ctx, l); err != nil {
 		return nil, err
 	}
 	for {
@@ -57,16 +57,16 @@
 	}
 }
 
-func (c *Client) waitForBudget(ctx context.Context, b *Budget) error {
+func (c *Client) waitForRateLimit(ctx context.Context, l *RateLimiter) error {
 	remaining := c.Timeout
 	now := time.Now()
 	if d, ok := ctx.Deadline(); ok {
 		remaining = d.Sub(now)
 	}
-	wait, ok := b.Take(now, remaining)
+	wait, ok := l.Reserve(now, remaining)
 	if !ok {
 		c.counters.overBudget.Inc(1)
-		return NotSent("this process's call budget is used up")
+		return NewNotSentError("this process's rate limit is reached")
 	}
 	if wait == 0 {
 		return nil
@@ -77,7 +77,7 @@
 	case <-t.C:
 		return nil
 	case <-ctx.Done():
-		return NotSent("the time limit passed in the wait for the call budget")
+		return NewNotSentError("the time limit passed in the wait for the rate limiter")
 	}
 }
 
@@ -87,14 +87,14 @@
 	select {
 	case <-c.started:
 	case <-ctx.Done():
-		return NotSent("the client has not been started")
+		return NewNotSentError("the client has not been started")
 	}
 	conns := c.connections()
 	if len(conns) == 0 {
-		return NotSent("the client has been stopped")
+		return NewNotSentError("the client has been stopped")
 	}
 	if !waitForStateChange(ctx, conns) {
-		return NotSent("no connection to the service")
+		return NewNotSentError("no connection to the service")
 	}
 	return nil
 }
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -33,11 +33,11 @@
 // keys, or a page of smaller values.
 const maxMessage = 8 << 20
 
-// ErrNoAddrs is returned by Client.Run if Client.Addrs is empty.
-var ErrNoAddrs = errors.New("platform: Client.Addrs is empty")
+// ErrNoAddresses is returned by Client.Run if Client.Addrs is empty.
+var ErrNoAddresses = errors.New("platform: Client.Addrs is empty")
 
-// ErrTimeout is returned by Client.Run if Client.Timeout is not positive.
-var ErrTimeout = errors.New("platform: Client.Timeout must be positive")
+// ErrInvalidTimeout is returned by Client.Run if Client.Timeout is not positive.
+var ErrInvalidTimeout = errors.New("platform: Client.Timeout must be positive")
 
 // Client is a client for the key-value service. Set the exported fields before
 // calling Run. Calls made before Run has started or after it has returned fail
@@ -60,8 +60,8 @@
 
 	once     sync.Once
 	started  chan struct{}
-	writes   Budget
-	reads    Budget
+	writes   RateLimiter
+	reads    RateLimiter
 	counters counters
 
 	mu        sync.Mutex // guards the fields below
@@ -70,14 +70,14 @@
 }
 
 // Run connects to the service and maintains the connections until ctx ends. It
-// then returns nil, unless closing a connection fails. It returns ErrNoAddrs,
-// ErrTimeout or a connection error at once if the fields are invalid.
+// then returns nil, unless closing a connection fails. It returns ErrNoAddresses,
+// ErrInvalidTimeout or a connection error at once if the fields are invalid.
 func (c *Client) Run(ctx context.Context) error {
 	if len(c.Addrs) == 0 {
-		return ErrNoAddrs
+		return ErrNoAddresses
 	}
 	if c.Timeout <= 0 {
-		return ErrTimeout
+		return ErrInvalidTimeout
 	}
 	c.init()
 	conns, err := c.dial()
@@ -133,11 +133,11 @@
 
 // List implements KV.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) (RangeReply, error) {
-	return c.read(ctx, ListProto(prefix, after, limit))
+	return c.read(ctx, ListRequest(prefix, after, limit))
 }
 
-// ListProto returns the request message of List.
-func ListProto(prefix, after string, limit int) *etcdpb.RangeRequest {
+// ListRequest returns the request message of List.
+func ListRequest(prefix, after string, limit int) *etcdpb.RangeRequest {
 	start := prefix
 	if after != "" {
 		start = after + "\x00"
@@ -168,7 +168,7 @@
 	resp, err := etcdpb.NewKVClient(conn).Range(ctx, req)
 	if err != nil {
 		c.preferNextAfter(conn)
-		return RangeReply{}, ReadFailed(err)
+		return RangeReply{}, ClassifyReadError(err)
 	}
 	return RangeReplyFrom(resp), nil
 }
@@ -182,7 +182,7 @@
 		return TxnReply{}, err
 	}
 	c.counters.writes.Inc(1)
-	resp, err := etcdpb.NewKVClient(conn).Txn(ctx, t.Proto())
+	resp, err := etcdpb.NewKVClient(conn).Txn(ctx, t.Request())
 	if err != nil {
 		return TxnReply{}, c.handleWriteError(conn, err)
 	}
@@ -197,7 +197,7 @@
 }
 
 func (c *Client) handleWriteError(conn *grpc.ClientConn, err error) error {
-	err = WriteError(err)
+	err = ClassifyWriteError(err)
 	if IsUnknown(err) {
 		c.counters.outcomeUnknown.Inc(1)
 		c.preferNextAfter(conn)
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -154,7 +154,7 @@
 	wantUnknown(t, <-errs)
 }
 
-func TestRefusedWritesHaveNoEffect(t *testing.T) {
+func TestRejectedWritesHaveNoEffect(t *testing.T) {
 	s := &kv.Server{WritesPerSecond: 3, Now: func() time.Time { return time.Unix(1, 0) }}
 	c := startClient(t, s, testTimeout)
 	_, err := c.Txn(t.Context(), platform.Txn{Then: []platform.Op{platform.Put{Key: "a", Lease: 99}}})
@@ -163,18 +163,18 @@
 	}
 	twice := platform.Txn{Then: []platform.Op{platform.Put{Key: "a"}, platform.Put{Key: "a"}}}
 	_, err = c.Txn(t.Context(), twice)
-	wantRefused(t, err)
+	wantRejected(t, err)
 	mustTxn(t, c, put("b", "1"))
 	_, err = c.Txn(t.Context(), put("a", "1"))
-	wantRefused(t, err)
+	wantRejected(t, err)
 	wantValue(t, c, "a", "")
 }
 
-func wantRefused(t *testing.T, err error) {
+func wantRejected(t *testing.T, err error) {
 	t.Helper()
-	var refused *platform.RefusedError
-	if !errors.As(err, &refused) || result.CodeOf(err) != result.PlatformDown {
-		t.Errorf("error %v, want a RefusedError", err)
+	var rejected *platform.RejectedError
+	if !errors.As(err, &rejected) || result.CodeOf(err) != result.PlatformDown {
+		t.Errorf("error %v, want a RejectedError", err)
 	}
 }
 
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -6,14 +6,14 @@
 // revision increases with each write. It decreases only when the service has been
 // restored from an older backup.
 //
-// Client.Timeout bounds each call as a whole, including the wait for the call
-// budget of the process and the wait for a connection. The client never retries a
-// write. Its errors distinguish three cases:
+// Client.Timeout bounds each call as a whole, including the wait for the rate
+// limiter of the process and the wait for a connection. The client never retries
+// a write. Its errors distinguish three cases:
 //
 //   - *NotSentError: the call was not sent, because there was no connection or the
-//     call budget was exhausted. It wraps the result code PlatformDown, and the
+//     rate limit of the process was reached. It wraps the result code PlatformDown, and the
 //     write certainly has no effect.
-//   - *RefusedError: the service rejected the call without applying it.
+//   - *RejectedError: the service rejected the call without applying it.
 //   - *UnknownOutcomeError: the write was sent and no response arrived. It may or
 //     may not have been applied, and may still be applied later. Only a read, or a
 //     write that fences off the first one, can resolve the outcome.
--- a/internal/platform/errors.go
+++ b/internal/platform/errors.go
@@ -16,8 +16,9 @@
 	reason string
 }
 
-// NotSent returns a NotSentError with the reason why the call was not sent.
-func NotSent(reason string) *NotSentError { return &NotSentError{reason: reason} }
+// NewNotSentError returns a NotSentError with the reason why the call was not
+// sent.
+func NewNotSentError(reason string) *NotSentError { return &NotSentError{reason: reason} }
 
 // Error implements error.
 func (e *NotSentError) Error() string { return "call not sent to the platform: " + e.reason }
@@ -25,36 +26,39 @@
 // Unwrap returns the result code PlatformDown.
 func (e *NotSentError) Unwrap() error { return result.New(result.PlatformDown, e.reason) }
 
-// RefusedError reports that the service rejected a call without applying it.
-type RefusedError struct {
+// RejectedError reports that the service rejected a call without applying it.
+type RejectedError struct {
 	code codes.Code
 	msg  string
 }
 
 // Error implements error.
-func (e *RefusedError) Error() string { return "the platform refused: " + e.msg }
+func (e *RejectedError) Error() string { return "the platform rejected the call: " + e.msg }
 
 // Unwrap returns an error with the result code PlatformDown, because a rejected
 // write was not applied.
-func (e *RefusedError) Unwrap() error { return result.New(result.PlatformDown, e.msg) }
+func (e *RejectedError) Unwrap() error { return result.New(result.PlatformDown, e.msg) }
 
-// Refused returns a RefusedError with the service's message. leaseMissing states
-// that the lease of the call does not exist, see IsLeaseMissing.
-func Refused(text string, leaseMissing bool) *RefusedError {
+// NewRejectedError returns a RejectedError with the service's message.
+// leaseMissing states that the lease of the call does not exist, see
+// IsLeaseMissing.
+func NewRejectedError(text string, leaseMissing bool) *RejectedError {
 	if leaseMissing {
-		return &RefusedError{code: codes.NotFound, msg: text}
+		return &RejectedError{code: codes.NotFound, msg: text}
 	}
-	return &RefusedError{code: codes.FailedPrecondition, msg: text}
+	return &RejectedError{code: codes.FailedPrecondition, msg: text}
 }
 
-// UnknownOutcome returns an UnknownOutcomeError with its cause.
-func UnknownOutcome(cause string) *UnknownOutcomeError { return &UnknownOutcomeError{cause: cause} }
+// NewUnknownOutcomeError returns an UnknownOutcomeError with its cause.
+func NewUnknownOutcomeError(cause string) *UnknownOutcomeError {
+	return &UnknownOutcomeError{cause: cause}
+}
 
-// ReadFailure returns a ReadError with its cause.
-func ReadFailure(cause string) *ReadError { return &ReadError{cause: cause} }
+// NewReadError returns a ReadError with its cause.
+func NewReadError(cause string) *ReadError { return &ReadError{cause: cause} }
 
 // LeaseMissing reports whether the lease named in the call does not exist.
-func (e *RefusedError) LeaseMissing() bool { return e.code == codes.NotFound }
+func (e *RejectedError) LeaseMissing() bool { return e.code == codes.NotFound }
 
 // UnknownOutcomeError reports that a write was sent and no response arrived. The
 // write may have been applied or may still be. The error wraps no result code,
@@ -88,7 +92,7 @@
 // IsLeaseMissing reports whether the service rejected a call because its lease
 // does not exist.
 func IsLeaseMissing(err error) bool {
-	var e *RefusedError
+	var e *RejectedError
 	return errors.As(err, &e) && e.LeaseMissing()
 }
 
@@ -96,8 +100,8 @@
 // itself rather than from the transport.
 const serverPrefix = "etcdserver: "
 
-// WriteError classifies the error of a write that was passed to the transport as a
-// RefusedError or an UnknownOutcomeError.
+// ClassifyWriteError classifies the error of a write that was passed to the
+// transport as a RejectedError or an UnknownOutcomeError.
 //
 // A lost response must not count as a rejection: a client that receives the
 // outcome "not run" sends its print order again, and the order would be printed
@@ -106,10 +110,10 @@
 // write was applied: ResourceExhausted from a response that is too large,
 // Unavailable from a broken connection, Canceled and DeadlineExceeded from this
 // process.
-func WriteError(err error) error {
+func ClassifyWriteError(err error) error {
 	s := status.Convert(err)
 	if isRejection(s) {
-		return &RefusedError{code: s.Code(), msg: s.Message()}
+		return &RejectedError{code: s.Code(), msg: s.Message()}
 	}
 	return &UnknownOutcomeError{cause: s.Message()}
 }
@@ -128,7 +132,7 @@
 	}
 }
 
-// ReadFailed returns the error of a read as a ReadError.
-func ReadFailed(err error) error {
+// ClassifyReadError returns the error of a read as a ReadError.
+func ClassifyReadError(err error) error {
 	return &ReadError{cause: status.Convert(err).Message()}
 }
--- a/internal/platform/mirror/copy.go
+++ b/internal/platform/mirror/copy.go
@@ -130,7 +130,7 @@
 	var changed platform.Changed
 	for _, e := range c.events {
 		if e.revision > after {
-			changed.Order(e.item, e.deleted)
+			changed.Apply(e.item, e.deleted)
 		}
 	}
 	u.KVs, u.Deleted = changed.KVs, changed.Deleted
--- a/internal/platform/mirror/copy_test.go
+++ b/internal/platform/mirror/copy_test.go
@@ -51,7 +51,7 @@
 	}
 	var c platform.Changed
 	for _, e := range h.events[after:] {
-		c.Order(e.item, e.deleted)
+		c.Apply(e.item, e.deleted)
 	}
 	if u.KVs = c.KVs; known {
 		u.Deleted = c.Deleted
--- a/internal/platform/mirror/mirror_test.go
+++ b/internal/platform/mirror/mirror_test.go
@@ -61,7 +61,7 @@
 	}
 	c := platform.Changed{Revision: s.revision()}
 	for r := after + 1; r <= c.Revision; r++ {
-		c.Order(platform.NewKeyValue(fmt.Sprint(r), nil, r, 0), false)
+		c.Apply(platform.NewKeyValue(fmt.Sprint(r), nil, r, 0), false)
 	}
 	return c, ctx.Err()
 }
--- a/internal/platform/txn.go
+++ b/internal/platform/txn.go
@@ -57,8 +57,8 @@
 func (Delete) isOp() {}
 func (Txn) isOp()    {}
 
-// Proto returns the transaction as a request message.
-func (t Txn) Proto() *etcdpb.TxnRequest {
+// Request returns the transaction as a request message.
+func (t Txn) Request() *etcdpb.TxnRequest {
 	return &etcdpb.TxnRequest{
 		Compare: compareProtos(t.If),
 		Success: opProtos(t.Then),
@@ -106,7 +106,7 @@
 		r := &etcdpb.DeleteRangeRequest{Key: []byte(o.Key)}
 		return &etcdpb.RequestOp{Request: &etcdpb.RequestOp_RequestDeleteRange{RequestDeleteRange: r}}
 	case Txn:
-		return &etcdpb.RequestOp{Request: &etcdpb.RequestOp_RequestTxn{RequestTxn: o.Proto()}}
+		return &etcdpb.RequestOp{Request: &etcdpb.RequestOp_RequestTxn{RequestTxn: o.Request()}}
 	default:
 		return &etcdpb.RequestOp{}
 	}
--- a/internal/platform/vmlist/client.go
+++ b/internal/platform/vmlist/client.go
@@ -14,8 +14,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// ErrFields is returned by Client.Run if Addr, Period or Timeout is not set.
-var ErrFields = errors.New("vmlist: Client needs Addr, Period and Timeout")
+// ErrInvalidConfig is returned by Client.Run if Addr, Period or Timeout is not set.
+var ErrInvalidConfig = errors.New("vmlist: Client needs Addr, Period and Timeout")
 
 // Client polls the list of VMs. Set the exported fields before calling Run. A Client
 // is safe for concurrent use.
@@ -77,11 +77,11 @@
 	return c.changed
 }
 
-// Run polls the list until ctx ends and then returns nil. It returns ErrFields at
-// once if a required field is not set.
+// Run polls the list until ctx ends and then returns nil. It returns ErrInvalidConfig
+// at once if a required field is not set.
 func (c *Client) Run(ctx context.Context) error {
 	if c.Addr == "" || c.Period <= 0 || c.Timeout <= 0 {
-		return ErrFields
+		return ErrInvalidConfig
 	}
 	c.init()
 	t := time.NewTicker(c.Period)
--- a/internal/platform/vmlist/doc.go
+++ b/internal/platform/vmlist/doc.go
@@ -2,7 +2,7 @@
 // also merges that list with what a process observes itself.
 //
 // The list lags in both directions: a VM may be live before it is listed, and gone
-// while it is still listed. Join therefore gives precedence to a process's own
+// while it is still listed. Merge therefore gives precedence to a process's own
 // announcement that it is leaving, then to a live stream, and then to the list.
 //
 // The list is polled with GET /vms?since=REV. The response holds the VMs that
--- a/internal/platform/vmlist/join.go
+++ b/internal/platform/vmlist/join.go
@@ -49,44 +49,44 @@
 // State returns whether the VM is live or leaving.
 func (v VM) State() State { return v.state }
 
-// Seen is what this process observes of a VM.
-type Seen struct {
+// Observation is what this process observes of a VM.
+type Observation struct {
 	// VM is the description that the VM gave of itself.
 	VM VM
-	// Stream reports that a stream to the VM is live.
-	Stream bool
+	// HasStream reports that a stream to the VM is live.
+	HasStream bool
 	// Leaving reports that the VM has announced that it is leaving.
 	Leaving bool
 }
 
-// Join returns the members in order of id. A VM is a member if it is listed or has a
-// live stream. A member is leaving if it is listed as leaving or has announced it.
+// Merge returns the members in order of id. A VM is a member if it is listed or has
+// a live stream. A member is leaving if it is listed as leaving or has announced it.
 //
 // An announcement takes effect at once, because the list lags by seconds, during
 // which a leaving VM would get new work that it then aborts. A live stream makes a
 // VM a member because a VM that has just started is not listed yet, and because the
 // list may be unreachable while the VMs are not.
-func Join(listed []VM, seen []Seen) []VM {
-	members := make(map[string]VM, len(listed)+len(seen))
+func Merge(listed []VM, observations []Observation) []VM {
+	members := make(map[string]VM, len(listed)+len(observations))
 	for _, v := range listed {
 		members[v.id] = v
 	}
-	for _, s := range seen {
-		v, found := members[s.VM.id]
-		if !found && !s.Stream {
+	for _, o := range observations {
+		v, found := members[o.VM.id]
+		if !found && !o.HasStream {
 			continue
 		}
-		if s.Stream {
+		if o.HasStream {
 			state := v.state
-			v = s.VM
+			v = o.VM
 			if state == Leaving {
 				v.state = Leaving
 			}
 		}
-		if s.Leaving {
+		if o.Leaving {
 			v.state = Leaving
 		}
-		members[s.VM.id] = v
+		members[o.VM.id] = v
 	}
 	return sortedByID(members)
 }
--- a/internal/platform/vmlist/vmlist_test.go
+++ b/internal/platform/vmlist/vmlist_test.go
@@ -26,24 +26,24 @@
 	return strings.Join(parts, " ")
 }
 
-func TestJoin(t *testing.T) {
+func TestMerge(t *testing.T) {
 	live, leaving := vm("a", vmlist.Live), vm("a", vmlist.Leaving)
 	for _, c := range []struct {
-		name   string
-		listed []vmlist.VM
-		seen   []vmlist.Seen
-		want   string
+		name         string
+		listed       []vmlist.VM
+		observations []vmlist.Observation
+		want         string
 	}{
 		{"listed only", []vmlist.VM{live}, nil, "a=live"},
-		{"not listed with a live stream", nil, []vmlist.Seen{{VM: live, Stream: true}}, "a=live"},
-		{"not listed and no stream", nil, []vmlist.Seen{{VM: live, Leaving: true}}, ""},
-		{"announcement overrides the list", []vmlist.VM{live}, []vmlist.Seen{{VM: live, Leaving: true}}, "a=leaving"},
-		{"announcement overrides the stream", nil, []vmlist.Seen{{VM: live, Stream: true, Leaving: true}}, "a=leaving"},
-		{"listed as leaving with a stream", []vmlist.VM{leaving}, []vmlist.Seen{{VM: live, Stream: true}}, "a=leaving"},
+		{"not listed with a live stream", nil, []vmlist.Observation{{VM: live, HasStream: true}}, "a=live"},
+		{"not listed and no stream", nil, []vmlist.Observation{{VM: live, Leaving: true}}, ""},
+		{"announcement overrides the list", []vmlist.VM{live}, []vmlist.Observation{{VM: live, Leaving: true}}, "a=leaving"},
+		{"announcement overrides the stream", nil, []vmlist.Observation{{VM: live, HasStream: true, Leaving: true}}, "a=leaving"},
+		{"listed as leaving with a stream", []vmlist.VM{leaving}, []vmlist.Observation{{VM: live, HasStream: true}}, "a=leaving"},
 		{"ordered by id", []vmlist.VM{vm("b", vmlist.Live), live}, nil, "a=live b=live"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := format(vmlist.Join(c.listed, c.seen)); got != c.want {
+			if got := format(vmlist.Merge(c.listed, c.observations)); got != c.want {
 				t.Errorf("members %q, want %q", got, c.want)
 			}
 		})
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -13,13 +13,13 @@
 type GapReason int
 
 const (
-	// Opened means that the watch was opened without a start revision.
-	Opened GapReason = iota
-	// Reconnected means that the stream broke and a new one was opened.
-	Reconnected
-	// Compacted means that the service canceled the watch, as it does when it no
+	// GapOpened means that the watch was opened without a start revision.
+	GapOpened GapReason = iota
+	// GapReconnected means that the stream broke and a new one was opened.
+	GapReconnected
+	// GapCanceled means that the service canceled the watch, as it does when it no
 	// longer keeps the requested changes.
-	Compacted
+	GapCanceled
 )
 
 // WatchEvent is an event of a watch: Changed or Gap.
@@ -33,10 +33,10 @@
 	Revision int64
 }
 
-// Order adds the latest write or deletion of a key, replacing an earlier one of the
+// Apply adds the latest write or deletion of a key, replacing an earlier one of the
 // same key: a key that was deleted and written again within one message counts as
 // written, and the reverse.
-func (c *Changed) Order(item KeyValue, deleted bool) {
+func (c *Changed) Apply(item KeyValue, deleted bool) {
 	for i := range c.KVs {
 		if c.KVs[i].key == item.key {
 			c.KVs = append(c.KVs[:i], c.KVs[i+1:]...)
@@ -70,7 +70,7 @@
 // restored from an older backup may not hold the changes in between. It always
 // returns nil.
 func (c *Client) Watch(ctx context.Context, prefix string, from int64, events chan<- WatchEvent) error {
-	w := watch{c: c, prefix: prefix, startRevision: from, events: events, gapReason: Opened}
+	w := watch{c: c, prefix: prefix, startRevision: from, events: events, gapReason: GapOpened}
 	for ctx.Err() == nil {
 		w.followStream(ctx)
 		w.startRevision = 0
@@ -99,7 +99,7 @@
 	for {
 		resp, err := stream.Recv()
 		if err != nil {
-			w.gapReason = Reconnected
+			w.gapReason = GapReconnected
 			return
 		}
 		if !w.handleResponse(ctx, resp) {
@@ -113,7 +113,7 @@
 func (w *watch) handleResponse(ctx context.Context, resp *etcdpb.WatchResponse) bool {
 	switch {
 	case resp.GetCanceled():
-		w.gapReason = Compacted
+		w.gapReason = GapCanceled
 		return false
 	case resp.GetCreated():
 		if w.startRevision != 0 {
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -67,13 +67,13 @@
 	c := startClient(t, s, testTimeout)
 	events := make(chan platform.WatchEvent)
 	runInBackground(t, func(ctx context.Context) error { return c.Watch(ctx, "a/", 0, events) })
-	wantGap(t, events, platform.Opened)
+	wantGap(t, events, platform.GapOpened)
 	mustTxn(t, c, put("b", "1"))
 	mustTxn(t, c, put("a/1", "1"))
 	wantChange(t, events, "a/1")
 
 	s.Restore(s.Copy())
-	wantGap(t, events, platform.Reconnected)
+	wantGap(t, events, platform.GapReconnected)
 	mustTxn(t, c, put("a/2", "1"))
 	wantChange(t, events, "a/2")
 
@@ -81,13 +81,13 @@
 	mustTxn(t, c, put("a/3", "1"))
 	s.Compact()
 	s.HoldWatches(false)
-	wantGap(t, events, platform.Compacted)
+	wantGap(t, events, platform.GapCanceled)
 	mustTxn(t, c, put("a/4", "1"))
 	wantChange(t, events, "a/4")
 
 	s.SetDown(true)
 	s.SetDown(false)
-	wantGap(t, events, platform.Reconnected)
+	wantGap(t, events, platform.GapReconnected)
 }
 
 func TestWatchFromRevision(t *testing.T) {
--- a/internal/rank/kvlease_test.go
+++ b/internal/rank/kvlease_test.go
@@ -80,7 +80,7 @@
 	if _, err := k.KV.Txn(ctx, x); err != nil {
 		return platform.TxnReply{}, err
 	}
-	return platform.TxnReply{}, platform.WriteError(context.DeadlineExceeded)
+	return platform.TxnReply{}, platform.ClassifyWriteError(context.DeadlineExceeded)
 }
 
 // TestLostAnswerOfAcquire guards against a group without a leader for a whole
--- a/internal/ranker/ranker.go
+++ b/internal/ranker/ranker.go
@@ -120,7 +120,7 @@
 	r.lapsed = map[string]lapsedMember{}
 	r.store = &platform.Store{
 		Addr: s.PlatformAddresses[0].String(), Timeout: storeTimeout,
-		Budget: kv.Budget{PerSecond: storeCallsPerSecond}, Metrics: r.Registry,
+		Budget: kv.RateLimiter{PerSecond: storeCallsPerSecond}, Metrics: r.Registry,
 	}
 	r.store.Open()
 	r.engine = &platform.Engine{Addr: s.EndpointAddress.String(), Timeout: engineTimeout}
--- a/internal/standin/kv/direct.go
+++ b/internal/standin/kv/direct.go
@@ -27,7 +27,7 @@
 	down := d.Server.faults.down
 	d.Server.mu.Unlock()
 	if down || d.Cut != nil && d.Cut() {
-		return platform.NotSent("no connection to the service")
+		return platform.NewNotSentError("no connection to the service")
 	}
 	return nil
 }
@@ -53,7 +53,7 @@
 
 // List implements platform.KV.
 func (d *Direct) List(ctx context.Context, prefix, after string, limit int) (platform.RangeReply, error) {
-	return d.read(ctx, platform.ListProto(prefix, after, limit))
+	return d.read(ctx, platform.ListRequest(prefix, after, limit))
 }
 
 func (d *Direct) read(ctx context.Context, r *etcdpb.RangeRequest) (platform.RangeReply, error) {
@@ -67,7 +67,7 @@
 		return err
 	})
 	if err != nil {
-		return platform.RangeReply{}, platform.ReadFailed(err)
+		return platform.RangeReply{}, platform.ClassifyReadError(err)
 	}
 	return platform.RangeReplyFrom(<-answer), nil
 }
@@ -79,12 +79,12 @@
 	}
 	answer := make(chan *etcdpb.TxnResponse, 1)
 	err := d.call(ctx, func() error {
-		p, err := d.Server.Txn(ctx, t.Proto())
+		p, err := d.Server.Txn(ctx, t.Request())
 		answer <- p
 		return err
 	})
 	if err != nil {
-		return platform.TxnReply{}, platform.WriteError(err)
+		return platform.TxnReply{}, platform.ClassifyWriteError(err)
 	}
 	return platform.TxnReplyFrom(<-answer), nil
 }
@@ -101,7 +101,7 @@
 		return err
 	})
 	if err != nil {
-		return 0, platform.WriteError(err)
+		return 0, platform.ClassifyWriteError(err)
 	}
 	return platform.LeaseID((<-answer).GetID()), nil
 }
