--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -38,18 +38,18 @@
 
 func (a *Agent) newBatcher() *claim.Batcher {
 	return &claim.Batcher{
-		KV:          a.platform,
-		Agent:       a.peers.Address(),
-		Endpoint:    a.Settings.EndpointName,
-		Incarnation: a.incarnation,
-		Window:      claim.DispatchWindow,
-		Retention:   claimRetention,
-		Interval:    claimInterval,
-		Linger:      claimLinger,
-		MaxQueue:    claimQueue,
-		MaxBacklog:  claimBacklog,
-		Now:         a.now,
-		Metrics:     a.Registry,
+		KV:             a.platform,
+		Agent:          a.peers.Address(),
+		Endpoint:       a.Settings.EndpointName,
+		Incarnation:    a.incarnation,
+		DispatchWindow: claim.DispatchWindow,
+		Retention:      claimRetention,
+		Interval:       claimInterval,
+		Linger:         claimLinger,
+		MaxQueue:       claimQueue,
+		MaxBacklog:     claimBacklog,
+		Now:            a.now,
+		Metrics:        a.Registry,
 	}
 }
 
@@ -71,10 +71,10 @@
 	switch v := v.(type) {
 	case claim.Granted:
 		return a.runClaimed(ctx, at, t, v.Grant)
-	case claim.Done:
-		return a.repeatDone(at, v.Record)
-	case claim.HeldBy:
-		return a.heldBy(at, v.Record)
+	case claim.AlreadyRun:
+		return a.repeatAlreadyRun(at, v.Record)
+	case claim.Held:
+		return a.held(at, v.Record)
 	}
 	return result.Of(claim.Err(v))
 }
@@ -105,17 +105,17 @@
 	now := a.now()
 	a.event(timeline.Claimed, at.req, "", 0, now)
 	if !now.Before(deadlineOf(at)) {
-		a.conclude(g, claim.NotRun, claim.Answer{})
+		a.storeOutcome(g, claim.NotRun, claim.Answer{})
 		return result.New(result.DeadlinePassed, "")
 	}
 	if !g.MayDispatch(now) {
 		// The agent was frozen between claim and dispatch. An operator may have
 		// released the claim since, and the order may have been sent again.
-		a.conclude(g, claim.NotRun, claim.Answer{})
+		a.storeOutcome(g, claim.NotRun, claim.Answer{})
 		return result.New(result.EndpointBusy, "the claim came too late").WithRetryAfter(leaveRetry)
 	}
 	err := a.dispatch(ctx, at, t)
-	a.conclude(g, stateOf(err), answerOf(at, err))
+	a.storeOutcome(g, stateOf(err), answerOf(at, err))
 	return err
 }
 
@@ -146,15 +146,15 @@
 	return ans
 }
 
-func (a *Agent) conclude(g claim.Grant, s claim.State, ans claim.Answer) {
-	if err := a.claims.Conclude(g, s, ans); err != nil {
+func (a *Agent) storeOutcome(g claim.Grant, s claim.State, ans claim.Answer) {
+	if err := a.claims.StoreOutcome(g, s, ans); err != nil {
 		// The claim stays open and operators see it.
 		a.Log.WithError(err).WithField("key", g.Record().Key().String()).Error("the outcome of a claimed request could not be stored")
 	}
 }
 
 // repeatDone answers a repeat of a key whose request was run before.
-func (a *Agent) repeatDone(at *attempt, r claim.Record) *result.Error {
+func (a *Agent) repeatAlreadyRun(at *attempt, r claim.Record) *result.Error {
 	switch r.State() {
 	case claim.Failed:
 		return result.New(result.EndpointFailed, "an earlier request with this key failed")
@@ -165,7 +165,7 @@
 	if !whole {
 		// The answer was too large to be stored; the agent that ran the request
 		// may still keep it.
-		return a.heldBy(at, r)
+		return a.held(at, r)
 	}
 	at.setAccepted(&peerpb.Accepted{Endpoint: r.Endpoint(), Incarnation: r.Incarnation(), Joined: true})
 	at.setHead(&peerpb.Head{Status: int32(ans.Status), ContentType: ans.ContentType})
@@ -176,7 +176,7 @@
 }
 
 // heldBy sends the entry to the agent whose attempt holds the claim.
-func (a *Agent) heldBy(at *attempt, r claim.Record) *result.Error {
+func (a *Agent) held(at *attempt, r claim.Record) *result.Error {
 	at.holder = r.Agent()
 	at.holderRequestID = r.RequestID()
 	if r.State() == claim.Unsettled {
--- a/internal/agent/guards_test.go
+++ b/internal/agent/guards_test.go
@@ -335,7 +335,7 @@
 		t.Fatal(err)
 	}
 	v := b.agent.claims.Claim(context.Background(), claim.Request{Key: key, BodyDigest: claimDigest(req), RequestID: "r", AttemptID: "r-1"})
-	b.agent.conclude(v.(claim.Granted).Grant, claim.Completed, claim.Answer{Status: 200, Body: []byte("pallet 7")})
+	b.agent.storeOutcome(v.(claim.Granted).Grant, claim.Completed, claim.Answer{Status: 200, Body: []byte("pallet 7")})
 	b.flush()
 	for i := range 8 {
 		at, _, rerr := b.agent.begin(order(fmt.Sprint("s-", i), "k"), time.Now())
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -148,7 +148,7 @@
 		},
 		Configuration: operator.Document{Writer: e.writer},
 		Claims: claimsOf{registry: &claim.Registry{
-			KV: e.platform, Window: claim.DispatchWindow, Margin: claim.ReleaseMargin,
+			KV: e.platform, DispatchWindow: claim.DispatchWindow, ReleaseMargin: claim.ReleaseMargin,
 			Retention: claimRetention, Now: e.now,
 		}},
 		Status:   statusOf{entry: e},
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -158,7 +158,7 @@
 			r := o.Record()
 			after = r.Key().String()
 			if matches(r, account, key) {
-				all = append(all, claimView(r, o.Rest()))
+				all = append(all, claimView(r, o.ReleasableAfter()))
 			}
 		}
 		if !page.More() || len(page.Claims()) == 0 {
@@ -169,19 +169,19 @@
 
 func matches(r claim.Record, account, key string) bool {
 	k := r.Key()
-	return (account == "" || k.Account() == account) && (key == "" || k.Idempotency() == key)
+	return (account == "" || k.Account() == account) && (key == "" || k.IdempotencyKey() == key)
 }
 
-func claimView(r claim.Record, rest time.Duration) operator.Claim {
+func claimView(r claim.Record, releasableAfter time.Duration) operator.Claim {
 	return operator.Claim{
 		Route:      r.Key().Service(),
 		Account:    r.Key().Account(),
-		Key:        r.Key().Idempotency(),
+		Key:        r.Key().IdempotencyKey(),
 		RequestID:  r.RequestID(),
 		Agent:      r.Endpoint(),
 		State:      r.State().String(),
-		AtMicros:   r.At().UnixMicro(),
-		RestMillis: rest.Milliseconds(),
+		AtMicros:   r.UpdatedAt().UnixMicro(),
+		RestMillis: releasableAfter.Milliseconds(),
 	}
 }
 
--- a/internal/platform/claim/batcher.go
+++ b/internal/platform/claim/batcher.go
@@ -13,10 +13,10 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Errors returned by Batcher.Run and Batcher.Conclude.
+// Errors returned by Batcher.Run and Batcher.StoreOutcome.
 var (
-	ErrFields  = errors.New("claim: Batcher requires KV, Now, Window, Retention, MaxQueue and MaxBacklog")
-	ErrBacklog = errors.New("claim: too many outcomes are waiting to be stored")
+	ErrMissingFields = errors.New("claim: Batcher requires KV, Now, DispatchWindow, Retention, MaxQueue and MaxBacklog")
+	ErrBacklogFull   = errors.New("claim: too many outcomes are waiting to be stored")
 )
 
 // Batcher makes claims and stores outcomes for one agent. Set the fields, then
@@ -31,14 +31,14 @@
 	Agent       string
 	Endpoint    string
 	Incarnation uint64
-	// Window is the dispatch window: how long after its claim was first sent a
-	// request may be dispatched.
-	Window time.Duration
-	// Retention is the minimum time that closed records are kept. Bucket is how
-	// long one lease is used for new records; zero means an eighth of
-	// Retention.
-	Retention time.Duration
-	Bucket    time.Duration
+	// DispatchWindow is the dispatch window: how long after its claim was first
+	// sent a request may be dispatched.
+	DispatchWindow time.Duration
+	// Retention is the minimum time that closed records are kept.
+	// BucketDuration is how long one lease is used for new records; zero means
+	// an eighth of Retention.
+	Retention      time.Duration
+	BucketDuration time.Duration
 	// Interval is the minimum time between two transactions. An idle Batcher
 	// sends at once.
 	Interval time.Duration
@@ -77,8 +77,8 @@
 	firstSentAt    time.Time // first send of a createClaim that may take effect
 	mayHaveApplied bool      // the outcome of a send is unknown
 	inFlight       bool      // part of the current transaction
-	abandoned      bool      // the caller no longer waits for the verdict
-	verdict        chan Verdict
+	abandoned      bool      // the caller no longer waits for the result
+	resultCh       chan Result
 }
 
 // Request describes the request to claim.
@@ -96,25 +96,25 @@
 		if b.Log == nil {
 			b.Log = logrus.StandardLogger()
 		}
-		if b.Bucket == 0 {
-			b.Bucket = b.Retention / 8
+		if b.BucketDuration == 0 {
+			b.BucketDuration = b.Retention / 8
 		}
 	})
 }
 
-// Claim claims a request and waits for the verdict until ctx ends. An attempt
+// Claim claims a request and waits for the result until ctx ends. An attempt
 // id must not be used twice.
-func (b *Batcher) Claim(ctx context.Context, r Request) Verdict {
+func (b *Batcher) Claim(ctx context.Context, r Request) Result {
 	b.init()
 	o, refused := b.enqueue(r)
 	if refused != nil {
-		return b.counters.countVerdict(NotMade{Err: refused})
+		return b.counters.countResult(NotClaimed{Err: refused})
 	}
 	select {
-	case v := <-o.verdict:
-		return b.counters.countVerdict(v)
+	case v := <-o.resultCh:
+		return b.counters.countResult(v)
 	case <-ctx.Done():
-		return b.counters.countVerdict(b.cancelClaim(o))
+		return b.counters.countResult(b.cancelClaim(o))
 	}
 }
 
@@ -137,7 +137,7 @@
 	o := &op{
 		mutation: createClaim{record: rec.withState(Claimed, Answer{}, now)},
 		queuedAt: now,
-		verdict:  make(chan Verdict, 1),
+		resultCh: make(chan Result, 1),
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -145,28 +145,28 @@
 		return nil, result.New(result.ShuttingDown, "claims have stopped")
 	}
 	if len(b.pendingClaims) >= b.MaxQueue {
-		return nil, result.New(result.PlatformDown, "too many claims wait for the platform").WithRetryAfter(b.Window)
+		return nil, result.New(result.PlatformDown, "too many claims wait for the platform").WithRetryAfter(b.DispatchWindow)
 	}
 	b.pendingClaims = append(b.pendingClaims, o)
 	b.signal()
 	return o, nil
 }
 
-// cancelClaim returns the verdict for a caller that stops waiting. A claim that
+// cancelClaim returns the result for a caller that stops waiting. A claim that
 // was never sent is certainly not made. One that was sent may take effect; it
 // is abandoned in the background, so that it does not stay open for operators
 // to settle.
-func (b *Batcher) cancelClaim(o *op) Verdict {
+func (b *Batcher) cancelClaim(o *op) Result {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
-	case v := <-o.verdict:
+	case v := <-o.resultCh:
 		return v
 	default:
 	}
 	if !o.inFlight && !o.mayHaveApplied {
 		b.pendingClaims = removeOp(b.pendingClaims, o)
-		return NotMade{Err: result.New(result.PlatformDown, "the request ended before its claim was sent")}
+		return NotClaimed{Err: result.New(result.PlatformDown, "the request ended before its claim was sent")}
 	}
 	o.abandoned = true
 	if !o.inFlight {
@@ -185,12 +185,12 @@
 	return ops
 }
 
-// Conclude queues the outcome of a granted claim, which is stored in the
+// StoreOutcome queues the outcome of a granted claim, which is stored in the
 // background and retried through outages. The state is Completed, Failed,
 // Unsettled or NotRun. NotRun gives the claim up and is valid only if the
-// request was not dispatched. Conclude returns ErrBacklog, and the claim stays
-// open for operators, when the backlog is full or Run has ended.
-func (b *Batcher) Conclude(g Grant, s State, a Answer) error {
+// request was not dispatched. StoreOutcome returns ErrBacklogFull, and the
+// claim stays open for operators, when the backlog is full or Run has ended.
+func (b *Batcher) StoreOutcome(g Grant, s State, a Answer) error {
 	b.init()
 	now := b.Now()
 	o := &op{mutation: storeOutcome{record: g.record.withState(s, a, now), revision: g.revision}, queuedAt: now}
@@ -198,7 +198,7 @@
 	defer b.mu.Unlock()
 	if b.stopped || len(b.pendingOutcomes)+b.inFlightOutcomes >= b.MaxBacklog {
 		b.counters.dropped.Inc(1)
-		return ErrBacklog
+		return ErrBacklogFull
 	}
 	b.pendingOutcomes = append(b.pendingOutcomes, o)
 	b.signal()
--- a/internal/platform/claim/batcher_test.go
+++ b/internal/platform/claim/batcher_test.go
@@ -32,7 +32,7 @@
 		b := newBatcher(d)
 		done := make(chan error, 1)
 		go func() { done <- b.Run(ctx) }()
-		r := &Registry{KV: d, Window: testWindow, Margin: testMargin, Retention: time.Hour, Now: time.Now}
+		r := &Registry{KV: d, DispatchWindow: testWindow, ReleaseMargin: testMargin, Retention: time.Hour, Now: time.Now}
 		f(&batcherTest{T: t, server: s, b: b, claims: r})
 		cancel()
 		if err := <-done; err != nil {
@@ -42,7 +42,7 @@
 	})
 }
 
-func (t *batcherTest) claim(k Key, attempt, digest string, wait time.Duration) Verdict {
+func (t *batcherTest) claim(k Key, attempt, digest string, wait time.Duration) Result {
 	ctx, cancel := context.WithTimeout(t.Context(), wait)
 	defer cancel()
 	return t.b.Claim(ctx, Request{Key: k, BodyDigest: digest, RequestID: attempt, AttemptID: attempt})
@@ -53,14 +53,14 @@
 	v := t.claim(k, attempt, "d", time.Minute)
 	g, ok := v.(Granted)
 	if !ok {
-		t.Fatalf("%s: verdict %T, want Granted", attempt, v)
+		t.Fatalf("%s: result %T, want Granted", attempt, v)
 	}
 	return g.Grant
 }
 
-func (t *batcherTest) conclude(g Grant, s State, a Answer) {
+func (t *batcherTest) storeOutcome(g Grant, s State, a Answer) {
 	t.Helper()
-	if err := t.b.Conclude(g, s, a); err != nil {
+	if err := t.b.StoreOutcome(g, s, a); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -93,12 +93,12 @@
 	withBatcher(t, func(t *batcherTest) {
 		k := testKey(1)
 		g := t.mustClaim(k, "a")
-		if _, ok := t.claim(k, "b", "d", time.Minute).(HeldBy); !ok {
-			t.Error("a second attempt was not answered with HeldBy")
+		if _, ok := t.claim(k, "b", "d", time.Minute).(Held); !ok {
+			t.Error("a second attempt was not answered with Held")
 		}
-		t.conclude(g, Completed, Answer{Status: 201, ContentType: "text/plain", Body: []byte("printed")})
+		t.storeOutcome(g, Completed, Answer{Status: 201, ContentType: "text/plain", Body: []byte("printed")})
 		t.flush()
-		v, ok := t.claim(k, "c", "d", time.Minute).(Done)
+		v, ok := t.claim(k, "c", "d", time.Minute).(AlreadyRun)
 		if a, complete := v.Record.Answer(); !ok || !complete || a.Status != 201 || string(a.Body) != "printed" {
 			t.Errorf("repeat got %v, complete %v", a, complete)
 		}
@@ -112,9 +112,9 @@
 
 func TestLargeAnswerIsNotKept(t *testing.T) {
 	withBatcher(t, func(t *batcherTest) {
-		t.conclude(t.mustClaim(testKey(1), "a"), Completed, Answer{Status: 200, Body: make([]byte, MaxAnswer+1)})
+		t.storeOutcome(t.mustClaim(testKey(1), "a"), Completed, Answer{Status: 200, Body: make([]byte, MaxAnswerBytes+1)})
 		t.flush()
-		v, ok := t.claim(testKey(1), "b", "d", time.Minute).(Done)
+		v, ok := t.claim(testKey(1), "b", "d", time.Minute).(AlreadyRun)
 		if _, complete := v.Record.Answer(); !ok || complete {
 			t.Error("an answer without its body is reported as complete")
 		}
@@ -187,15 +187,15 @@
 // answer.
 func TestOutcomeSurvivesOutage(t *testing.T) {
 	withBatcher(t, func(t *batcherTest) {
-		t.conclude(t.mustClaim(testKey(2), "lease"), Completed, Answer{})
+		t.storeOutcome(t.mustClaim(testKey(2), "lease"), Completed, Answer{})
 		t.flush()
 		g := t.mustClaim(testKey(1), "a")
 		t.server.SetDown(true)
-		t.conclude(g, Completed, Answer{Status: 200})
+		t.storeOutcome(g, Completed, Answer{Status: 200})
 		time.Sleep(time.Minute)
 		t.server.SetDown(false)
 		t.flush()
-		if _, ok := t.claim(testKey(1), "b", "d", time.Minute).(Done); !ok {
+		if _, ok := t.claim(testKey(1), "b", "d", time.Minute).(AlreadyRun); !ok {
 			t.Error("the outcome was lost in the outage")
 		}
 	})
@@ -209,9 +209,9 @@
 		old := t.server.Copy()
 		g := t.mustClaim(testKey(1), "a")
 		t.server.Restore(old)
-		t.conclude(g, Completed, Answer{Status: 200})
+		t.storeOutcome(g, Completed, Answer{Status: 200})
 		t.flush()
-		if _, ok := t.claim(testKey(1), "b", "d", time.Minute).(Done); !ok {
+		if _, ok := t.claim(testKey(1), "b", "d", time.Minute).(AlreadyRun); !ok {
 			t.Error("the outcome was lost with the claim")
 		}
 	})
@@ -222,10 +222,10 @@
 // order would run again.
 func TestClosedRecordsOutliveLapses(t *testing.T) {
 	withBatcher(t, func(t *batcherTest) {
-		t.conclude(t.mustClaim(testKey(1), "a"), Completed, Answer{Status: 200})
+		t.storeOutcome(t.mustClaim(testKey(1), "a"), Completed, Answer{Status: 200})
 		t.flush()
 		t.server.LapseLeases(time.Hour)
-		if _, ok := t.claim(testKey(1), "b", "d", time.Minute).(Done); !ok {
+		if _, ok := t.claim(testKey(1), "b", "d", time.Minute).(AlreadyRun); !ok {
 			t.Error("the closed record expired with the lease of a paused holder")
 		}
 		time.Sleep(28 * time.Hour)
@@ -238,13 +238,13 @@
 // with a new lease.
 func TestMissingLeaseIsReplaced(t *testing.T) {
 	withBatcher(t, func(t *batcherTest) {
-		t.conclude(t.mustClaim(testKey(1), "a"), Completed, Answer{Status: 200})
+		t.storeOutcome(t.mustClaim(testKey(1), "a"), Completed, Answer{Status: 200})
 		t.flush()
 		g := t.mustClaim(testKey(2), "b")
 		t.server.LapseLeases(100 * time.Hour)
-		t.conclude(g, Completed, Answer{Status: 200})
+		t.storeOutcome(g, Completed, Answer{Status: 200})
 		t.flush()
-		if _, ok := t.claim(testKey(2), "c", "d", time.Minute).(Done); !ok {
+		if _, ok := t.claim(testKey(2), "c", "d", time.Minute).(AlreadyRun); !ok {
 			t.Error("the outcome was not stored")
 		}
 	})
@@ -255,20 +255,20 @@
 		g := t.mustClaim(testKey(1), "a")
 		t.b.MaxBacklog, t.b.MaxQueue = 1, 1
 		t.server.SetDown(true)
-		t.conclude(g, Completed, Answer{})
-		if err := t.b.Conclude(g, Completed, Answer{}); err != ErrBacklog {
-			t.Errorf("error %v, want ErrBacklog", err)
+		t.storeOutcome(g, Completed, Answer{})
+		if err := t.b.StoreOutcome(g, Completed, Answer{}); err != ErrBacklogFull {
+			t.Errorf("error %v, want ErrBacklogFull", err)
 		}
 		t.server.SetDown(false)
 		t.flush()
 		t.server.SetSlow(testTimeout / 2)
-		verdicts := make(chan Verdict, 10)
+		results := make(chan Result, 10)
 		for i := range 10 {
-			go func() { verdicts <- t.claim(testKey(10+i), fmt.Sprint(i), "d", time.Minute) }()
+			go func() { results <- t.claim(testKey(10+i), fmt.Sprint(i), "d", time.Minute) }()
 		}
 		refused := 0
 		for range 10 {
-			if v, ok := (<-verdicts).(NotMade); ok {
+			if v, ok := (<-results).(NotClaimed); ok {
 				wantCode(t.T, v.Err, result.PlatformDown)
 				refused++
 			}
@@ -285,8 +285,8 @@
 		var wg sync.WaitGroup
 		for i := range 1000 {
 			wg.Go(func() {
-				a := Answer{Status: 200, Body: bytes.Repeat([]byte("x"), MaxAnswer)}
-				t.conclude(t.mustClaim(testKey(i), fmt.Sprint(i)), Completed, a)
+				a := Answer{Status: 200, Body: bytes.Repeat([]byte("x"), MaxAnswerBytes)}
+				t.storeOutcome(t.mustClaim(testKey(i), fmt.Sprint(i)), Completed, a)
 			})
 		}
 		wg.Wait()
@@ -300,7 +300,7 @@
 
 func TestWindowIsOpenUntilItsEnd(t *testing.T) {
 	sent := time.Now()
-	g := Grant{firstSentAt: sent, window: testWindow}
+	g := Grant{firstSentAt: sent, dispatchWindow: testWindow}
 	if !g.MayDispatch(sent.Add(testWindow-1)) || g.MayDispatch(sent.Add(testWindow)) {
 		t.Error("the window is not open exactly until its end")
 	}
--- a/internal/platform/claim/cluster_test.go
+++ b/internal/platform/claim/cluster_test.go
@@ -75,7 +75,7 @@
 		rng:      &lockedRand{r: rand.New(rand.NewSource(seed))},
 	}
 	direct := &kv.Direct{Server: c.server, Timeout: testTimeout}
-	c.claims = &Registry{KV: direct, Window: testWindow, Margin: testMargin, Retention: 24 * time.Hour, Now: time.Now}
+	c.claims = &Registry{KV: direct, DispatchWindow: testWindow, ReleaseMargin: testMargin, Retention: 24 * time.Hour, Now: time.Now}
 	for i := range agents {
 		b := newBatcher(direct)
 		b.Agent = fmt.Sprintf("127.0.0.1:%d", 7000+i)
@@ -90,17 +90,17 @@
 // newBatcher returns a Batcher with the intervals that internal/agent sets.
 func newBatcher(d *kv.Direct) *Batcher {
 	return &Batcher{
-		KV:         d,
-		Agent:      "127.0.0.1:7000",
-		Endpoint:   "press",
-		Window:     testWindow,
-		Retention:  24 * time.Hour,
-		Interval:   40 * time.Millisecond,
-		Linger:     80 * time.Millisecond,
-		MaxQueue:   1000,
-		MaxBacklog: 1000,
-		Now:        time.Now,
-		Metrics:    metrics.NewRegistry(),
+		KV:             d,
+		Agent:          "127.0.0.1:7000",
+		Endpoint:       "press",
+		DispatchWindow: testWindow,
+		Retention:      24 * time.Hour,
+		Interval:       40 * time.Millisecond,
+		Linger:         80 * time.Millisecond,
+		MaxQueue:       1000,
+		MaxBacklog:     1000,
+		Now:            time.Now,
+		Metrics:        metrics.NewRegistry(),
 	}
 }
 
@@ -122,7 +122,7 @@
 }
 
 // sendOrder sends one attempt of an order to an agent, as an entry does.
-func (c *testCluster) sendOrder(agent int, k Key, attempt string, wait time.Duration) Verdict {
+func (c *testCluster) sendOrder(agent int, k Key, attempt string, wait time.Duration) Result {
 	b := c.agents[agent]
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
@@ -152,7 +152,7 @@
 		return
 	}
 	c.history.recordBackgroundClose(k, attempt, s)
-	if err := b.Conclude(g, s, Answer{Status: 200, Body: []byte("printed")}); err != nil {
+	if err := b.StoreOutcome(g, s, Answer{Status: 200, Body: []byte("printed")}); err != nil {
 		panic(err)
 	}
 }
@@ -254,7 +254,7 @@
 				break
 			}
 			v := c.sendOrder(try%clusterAgents, testKey(k), fmt.Sprintf("k%dfinal%d", k, try), time.Minute)
-			if _, done := v.(Done); done {
+			if _, done := v.(AlreadyRun); done {
 				break
 			}
 			time.Sleep(time.Second)
--- a/internal/platform/claim/history_test.go
+++ b/internal/platform/claim/history_test.go
@@ -28,9 +28,9 @@
 
 // opOutput is the output of a recorded operation.
 type opOutput struct {
-	verdict       Verdict // of a claim
-	applied       bool    // of a release: it certainly took effect
-	effectUnknown bool    // it may have taken effect or still may
+	claimResult   Result // of a claim
+	applied       bool   // of a release: it certainly took effect
+	effectUnknown bool   // it may have taken effect or still may
 }
 
 // callTime returns the logical time at which an operation is called.
@@ -54,11 +54,11 @@
 	})
 }
 
-// recordClaim records a verdict. A claim whose verdict is unknown may take
+// recordClaim records a result. A claim whose result is unknown may take
 // effect at any later time, and is closed as not run in the background.
-func (h *history) recordClaim(call int64, k Key, attempt string, v Verdict) {
+func (h *history) recordClaim(call int64, k Key, attempt string, v Result) {
 	_, unknown := v.(Unknown)
-	h.record(call, opInput{key: k, attempt: attempt}, opOutput{verdict: v, effectUnknown: unknown})
+	h.record(call, opInput{key: k, attempt: attempt}, opOutput{claimResult: v, effectUnknown: unknown})
 	if unknown {
 		h.recordBackgroundClose(k, attempt, NotRun)
 	}
@@ -93,20 +93,20 @@
 func stepClaim(s keyState, in opInput, out opOutput) []any {
 	granted := s
 	granted.open = in.attempt
-	switch v := out.verdict.(type) {
+	switch v := out.claimResult.(type) {
 	case Granted:
 		if s.claimable() {
 			return []any{granted}
 		}
-	case HeldBy:
+	case Held:
 		if s.open != "" && s.open == v.Record.attemptID {
 			return []any{s}
 		}
-	case Done:
+	case AlreadyRun:
 		if s.open == "" && s.closed == v.Record.state && s.closedBy == v.Record.attemptID {
 			return []any{s}
 		}
-	case NotMade:
+	case NotClaimed:
 		return []any{s}
 	case Unknown:
 		if s.claimable() {
@@ -158,15 +158,15 @@
 
 // relevantOps omits operations that can't change the result of the check but
 // multiply its search: claims that were not made, and claims with an unknown
-// verdict that no other operation observed, which may as well have had no
+// result that no other operation observed, which may as well have had no
 // effect.
 func (h *history) relevantOps() []porcupine.Operation {
 	observed := make(map[string]bool)
 	for _, o := range h.ops {
-		switch v := o.Output.(opOutput).verdict.(type) {
-		case HeldBy:
+		switch v := o.Output.(opOutput).claimResult.(type) {
+		case Held:
 			observed[v.Record.attemptID] = true
-		case Done:
+		case AlreadyRun:
 			observed[v.Record.attemptID] = true
 		case Granted:
 			observed[o.Input.(opInput).attempt] = true
@@ -177,9 +177,9 @@
 	}
 	var ops []porcupine.Operation
 	for _, o := range h.ops {
-		v := o.Output.(opOutput).verdict
-		_, held := v.(HeldBy)
-		_, done := v.(Done)
+		v := o.Output.(opOutput).claimResult
+		_, held := v.(Held)
+		_, done := v.(AlreadyRun)
 		if held || done || observed[o.Input.(opInput).attempt] {
 			ops = append(ops, o)
 		}
--- a/internal/platform/claim/key.go
+++ b/internal/platform/claim/key.go
@@ -16,8 +16,8 @@
 // escaping.
 const maxKeyPartBytes = 256
 
-// ErrKey means that a part of a key is empty or too long.
-var ErrKey = errors.New("claim: a key's parts must have 1 to 256 bytes")
+// ErrInvalidKey means that a part of a key is empty or too long.
+var ErrInvalidKey = errors.New("claim: a key's parts must have 1 to 256 bytes")
 
 // Key identifies a claimed request. The same idempotency key used by two
 // accounts or for two services makes two different keys.
@@ -27,11 +27,12 @@
 	idempotencyKey string
 }
 
-// NewKey returns a Key, or ErrKey if a part is empty or longer than 256 bytes.
+// NewKey returns a Key, or ErrInvalidKey if a part is empty or longer than 256
+// bytes.
 func NewKey(service, account, idempotencyKey string) (Key, error) {
 	for _, s := range []string{service, account, idempotencyKey} {
 		if s == "" || len(s) > maxKeyPartBytes {
-			return Key{}, ErrKey
+			return Key{}, ErrInvalidKey
 		}
 	}
 	return Key{service: service, account: account, idempotencyKey: idempotencyKey}, nil
@@ -43,25 +44,25 @@
 // Account returns the account that sent the request.
 func (k Key) Account() string { return k.account }
 
-// Idempotency returns the idempotency key.
-func (k Key) Idempotency() string { return k.idempotencyKey }
+// IdempotencyKey returns the idempotency key.
+func (k Key) IdempotencyKey() string { return k.idempotencyKey }
 
 // String returns the key as a path with escaped parts, which ParseKey reads.
 func (k Key) String() string {
 	return url.PathEscape(k.service) + "/" + url.PathEscape(k.account) + "/" + url.PathEscape(k.idempotencyKey)
 }
 
-// ParseKey parses the path that Key.String returns. It returns ErrKey if s is
-// not such a path.
+// ParseKey parses the path that Key.String returns. It returns ErrInvalidKey if
+// s is not such a path.
 func ParseKey(s string) (Key, error) {
 	parts := strings.Split(s, "/")
 	if len(parts) != 3 {
-		return Key{}, ErrKey
+		return Key{}, ErrInvalidKey
 	}
 	for i, p := range parts {
 		unescaped, err := url.PathUnescape(p)
 		if err != nil {
-			return Key{}, ErrKey
+			return Key{}, ErrInvalidKey
 		}
 		parts[i] = unescaped
 	}
--- a/internal/platform/claim/lease.go
+++ b/internal/platform/claim/lease.go
@@ -9,8 +9,9 @@
 
 // bucketLease is the lease that the closed records of one time bucket share.
 // One lease per record would cost a write for each record; one lease per bucket
-// costs an agent eight writes in the retention time, with the default Bucket.
-// The lease is never kept alive, so a paused holder can't make it expire early.
+// costs an agent eight writes in the retention time, with the default
+// BucketDuration. The lease is never kept alive, so a paused holder can't make
+// it expire early.
 type bucketLease struct {
 	id        platform.LeaseID
 	grantedAt time.Time
@@ -27,10 +28,10 @@
 		return 0, nil
 	}
 	now := b.Now()
-	if l.id != 0 && now.Sub(l.grantedAt) < b.Bucket {
+	if l.id != 0 && now.Sub(l.grantedAt) < b.BucketDuration {
 		return l.id, nil
 	}
-	id, err := b.KV.Grant(ctx, b.Retention+b.Bucket)
+	id, err := b.KV.Grant(ctx, b.Retention+b.BucketDuration)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/platform/claim/loop.go
+++ b/internal/platform/claim/loop.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// MaxBatch is the maximum number of operations per transaction: the
+	// MaxBatchOps is the maximum number of operations per transaction: the
 	// service's limit less the operations of the largest nested transaction,
 	// which the service counts too.
-	MaxBatch = platform.MaxTxnOps - nestedOps
+	MaxBatchOps = platform.MaxTxnOps - nestedOps
 
 	// maxBatchBytes keeps a transaction below the service's request size limit
 	// of a megabyte and a half.
@@ -31,11 +31,11 @@
 )
 
 // Run sends queued operations until ctx ends. Claims that still wait then get
-// NotMade if none of their sends may have had an effect, otherwise Unknown. It
-// returns ErrFields if a required field is not set.
+// NotClaimed if none of their sends may have had an effect, otherwise Unknown.
+// It returns ErrMissingFields if a required field is not set.
 func (b *Batcher) Run(ctx context.Context) error {
-	if b.KV == nil || b.Now == nil || b.Window <= 0 || b.Retention <= 0 || b.MaxQueue <= 0 || b.MaxBacklog <= 0 {
-		return ErrFields
+	if b.KV == nil || b.Now == nil || b.DispatchWindow <= 0 || b.Retention <= 0 || b.MaxQueue <= 0 || b.MaxBacklog <= 0 {
+		return ErrMissingFields
 	}
 	b.init()
 	backoff := time.Duration(0)
@@ -90,9 +90,9 @@
 		return nil, wait
 	}
 	p := batchBuilder{keys: make(map[Key]bool)}
-	reservedForOutcomes := min(len(b.pendingOutcomes), MaxBatch/2)
-	b.pendingClaims = p.addOps(b.pendingClaims, MaxBatch-reservedForOutcomes)
-	b.pendingOutcomes = p.addOps(b.pendingOutcomes, MaxBatch)
+	reservedForOutcomes := min(len(b.pendingOutcomes), MaxBatchOps/2)
+	b.pendingClaims = p.addOps(b.pendingClaims, MaxBatchOps-reservedForOutcomes)
+	b.pendingOutcomes = p.addOps(b.pendingOutcomes, MaxBatchOps)
 	for _, o := range p.batch {
 		o.inFlight = true
 		if _, ok := o.mutation.(createClaim); !ok {
@@ -105,7 +105,7 @@
 // lingerRemaining returns how long the oldest outcome may still wait for a
 // claim. Zero or less means that outcomes are due or that there are none.
 func (b *Batcher) lingerRemaining(now time.Time) time.Duration {
-	if len(b.pendingOutcomes) == 0 || len(b.pendingOutcomes) >= MaxBatch {
+	if len(b.pendingOutcomes) == 0 || len(b.pendingOutcomes) >= MaxBatchOps {
 		return 0
 	}
 	return b.pendingOutcomes[0].queuedAt.Add(b.Linger).Sub(now)
@@ -191,10 +191,10 @@
 	b.stopped = true
 	for _, o := range b.pendingClaims {
 		if o.mayHaveApplied {
-			o.verdict <- Unknown{Err: errors.New("the agent stopped before the platform answered")}
+			o.resultCh <- Unknown{Err: errors.New("the agent stopped before the platform answered")}
 			continue
 		}
-		o.verdict <- NotMade{Err: result.New(result.ShuttingDown, "claims have stopped")}
+		o.resultCh <- NotClaimed{Err: result.New(result.ShuttingDown, "claims have stopped")}
 	}
 	b.pendingClaims = nil
 	if n := len(b.pendingOutcomes); n > 0 {
--- a/internal/platform/claim/loopback_test.go
+++ b/internal/platform/claim/loopback_test.go
@@ -40,7 +40,7 @@
 		runInBackground(t, c.Run)
 		b := &claim.Batcher{
 			KV: c, Agent: fmt.Sprint("127.0.0.1:", 7000+i), Endpoint: "press",
-			Window: timeout, Retention: time.Hour, MaxQueue: 10, MaxBacklog: 10,
+			DispatchWindow: timeout, Retention: time.Hour, MaxQueue: 10, MaxBacklog: 10,
 			Now: time.Now, Metrics: metrics.NewRegistry(),
 		}
 		runInBackground(t, b.Run)
@@ -56,14 +56,14 @@
 	if !ok {
 		t.Fatal("the claim was not granted")
 	}
-	if err := agents[0].Conclude(g.Grant, claim.Completed, claim.Answer{Status: 200}); err != nil {
+	if err := agents[0].StoreOutcome(g.Grant, claim.Completed, claim.Answer{Status: 200}); err != nil {
 		t.Fatal(err)
 	}
 	if err := agents[0].Flush(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	req.AttemptID = "b"
-	if v, ok := agents[1].Claim(t.Context(), req).(claim.Done); !ok || v.Record.AttemptID() != "a" {
+	if v, ok := agents[1].Claim(t.Context(), req).(claim.AlreadyRun); !ok || v.Record.AttemptID() != "a" {
 		t.Errorf("the repeat got %+v, want Done by attempt a", v)
 	}
 }
--- a/internal/platform/claim/metrics.go
+++ b/internal/platform/claim/metrics.go
@@ -43,18 +43,18 @@
 	}
 }
 
-// countVerdict counts v and returns it.
-func (c counters) countVerdict(v Verdict) Verdict {
+// countResult counts v and returns it.
+func (c counters) countResult(v Result) Result {
 	switch v.(type) {
 	case Granted:
 		c.granted.Inc(1)
-	case HeldBy:
+	case Held:
 		c.held.Inc(1)
-	case Done:
+	case AlreadyRun:
 		c.done.Inc(1)
 	case KeyReused:
 		c.keyReused.Inc(1)
-	case NotMade:
+	case NotClaimed:
 		c.notMade.Inc(1)
 	case Unknown:
 		c.unknown.Inc(1)
--- a/internal/platform/claim/mutation.go
+++ b/internal/platform/claim/mutation.go
@@ -114,7 +114,7 @@
 	var f storedRecords
 	ops := r.Ops()
 	if len(ops) != 2 {
-		return f, ErrRecord
+		return f, ErrMalformedRecord
 	}
 	var err error
 	if f.open, f.openRev, err = decodeRecordReply(ops[0]); err != nil {
@@ -133,9 +133,9 @@
 	return r, kv.Revision(), err
 }
 
-// interpretReply interprets the reply to a createClaim. It returns the verdict,
+// interpretReply interprets the reply to a createClaim. It returns the result,
 // or nil and the createClaim to send next.
-func (c createClaim) interpretReply(r platform.TxnReply) (Verdict, createClaim) {
+func (c createClaim) interpretReply(r platform.TxnReply) (Result, createClaim) {
 	if r.Succeeded() {
 		return Granted{Grant{record: c.record, revision: r.Revision()}}, c
 	}
@@ -150,25 +150,25 @@
 		c.precondition = 0
 		return nil, c
 	case f.closed.attemptID == c.record.attemptID:
-		return NotMade{Err: result.New(result.PlatformDown, "the claim was released before it was granted")}, c
+		return NotClaimed{Err: result.New(result.PlatformDown, "the claim was released before it was granted")}, c
 	case f.closed.state == NotRun:
 		c.precondition = precondition(f.closedRev)
 		return nil, c
 	case f.closed.bodyDigest != c.record.bodyDigest:
 		return KeyReused{Record: f.closed}, c
 	default:
-		return Done{Record: f.closed}, c
+		return AlreadyRun{Record: f.closed}, c
 	}
 }
 
-func (c createClaim) interpretOpen(open Record, revision int64) Verdict {
+func (c createClaim) interpretOpen(open Record, revision int64) Result {
 	switch {
 	case open.attemptID == c.record.attemptID:
 		return Granted{Grant{record: open, revision: revision}}
 	case open.bodyDigest != c.record.bodyDigest:
 		return KeyReused{Record: open}
 	default:
-		return HeldBy{Record: open}
+		return Held{Record: open}
 	}
 }
 
--- a/internal/platform/claim/record.go
+++ b/internal/platform/claim/record.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// MaxAnswer is the maximum size in bytes of an answer that is stored with a
+// MaxAnswerBytes is the maximum size in bytes of an answer that is stored with a
 // record. Together with the batch limit it keeps a transaction below a
 // megabyte.
-const MaxAnswer = 16 << 10
+const MaxAnswerBytes = 16 << 10
 
 // maxRecordBytes bounds an encoded record: the answer in base64 plus the other
 // fields.
-const maxRecordBytes = 2*MaxAnswer + 16<<10
+const maxRecordBytes = 2*MaxAnswerBytes + 16<<10
 
-// ErrRecord means that a stored record can't be decoded.
-var ErrRecord = errors.New("claim: the record can't be read")
+// ErrMalformedRecord means that a stored record can't be decoded.
+var ErrMalformedRecord = errors.New("claim: the record can't be read")
 
 // State is the state of a claimed request.
 type State int
@@ -62,7 +62,8 @@
 	Status int
 	// ContentType describes Body.
 	ContentType string
-	// Body is the answer's body. It is not stored when larger than MaxAnswer.
+	// Body is the answer's body. It is not stored when larger than
+	// MaxAnswerBytes.
 	Body []byte
 }
 
@@ -106,9 +107,9 @@
 // State returns the state of the claimed request.
 func (r Record) State() State { return r.state }
 
-// At returns when the state was set, by the wall clock of the process that set
-// it. It is informational only.
-func (r Record) At() time.Time { return r.updatedAt }
+// UpdatedAt returns when the state was set, by the wall clock of the process
+// that set it. It is informational only.
+func (r Record) UpdatedAt() time.Time { return r.updatedAt }
 
 // ReleasedBy returns the operator who released the claim, or "".
 func (r Record) ReleasedBy() string { return r.releasedBy }
@@ -123,7 +124,7 @@
 	r.state = s
 	r.updatedAt = time.UnixMicro(now.UnixMicro()).UTC()
 	r.answer = a
-	if len(a.Body) > MaxAnswer {
+	if len(a.Body) > MaxAnswerBytes {
 		r.answer.Body = nil
 		r.answerDropped = true
 	}
@@ -176,19 +177,20 @@
 	return b
 }
 
-// DecodeRecord decodes a record that Encode returned. Its errors wrap ErrRecord.
+// DecodeRecord decodes a record that Encode returned. Its errors wrap
+// ErrMalformedRecord.
 func DecodeRecord(b []byte) (Record, error) {
 	if len(b) > maxRecordBytes {
-		return Record{}, fmt.Errorf("%w: %d bytes", ErrRecord, len(b))
+		return Record{}, fmt.Errorf("%w: %d bytes", ErrMalformedRecord, len(b))
 	}
 	var j recordJSON
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&j); err != nil {
-		return Record{}, fmt.Errorf("%w: %w", ErrRecord, err)
+		return Record{}, fmt.Errorf("%w: %w", ErrMalformedRecord, err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return Record{}, fmt.Errorf("%w: data after the record", ErrRecord)
+		return Record{}, fmt.Errorf("%w: data after the record", ErrMalformedRecord)
 	}
 	return recordFromJSON(j)
 }
@@ -196,11 +198,11 @@
 func recordFromJSON(j recordJSON) (Record, error) {
 	k, err := NewKey(j.Service, j.Account, j.IdempotencyKey)
 	if err != nil {
-		return Record{}, fmt.Errorf("%w: %w", ErrRecord, err)
+		return Record{}, fmt.Errorf("%w: %w", ErrMalformedRecord, err)
 	}
 	s, ok := parseState(j.State)
-	if !ok || j.AttemptID == "" || len(j.Answer) > MaxAnswer {
-		return Record{}, fmt.Errorf("%w: state %q", ErrRecord, j.State)
+	if !ok || j.AttemptID == "" || len(j.Answer) > MaxAnswerBytes {
+		return Record{}, fmt.Errorf("%w: state %q", ErrMalformedRecord, j.State)
 	}
 	return Record{
 		key:           k,
--- a/internal/platform/claim/registry.go
+++ b/internal/platform/claim/registry.go
@@ -25,11 +25,11 @@
 type Registry struct {
 	// KV is the platform's key-value service.
 	KV platform.KV
-	// Window is the agents' dispatch window. Margin is added to it for the time
-	// that an agent needs between its check and the dispatch, and for clocks
-	// that run at different speeds.
-	Window time.Duration
-	Margin time.Duration
+	// DispatchWindow is the agents' dispatch window. ReleaseMargin is added to
+	// it for the time that an agent needs between its check and the dispatch,
+	// and for clocks that run at different speeds.
+	DispatchWindow time.Duration
+	ReleaseMargin  time.Duration
 	// Retention is how long a released record is kept.
 	Retention time.Duration
 	// Alive, if set, reports whether an agent's incarnation is still alive.
@@ -41,27 +41,28 @@
 	firstSeen map[int64]time.Time
 }
 
-// Open is an open claim as it is listed for operators.
-type Open struct {
+// OpenClaim is an open claim as it is listed for operators.
+type OpenClaim struct {
 	record          Record
 	releasableAfter time.Duration
 }
 
 // Record returns the claim.
-func (o Open) Record() Record { return o.record }
+func (o OpenClaim) Record() Record { return o.record }
 
-// Rest returns the time until the claim can be released. Zero means now.
-func (o Open) Rest() time.Duration { return o.releasableAfter }
+// ReleasableAfter returns the time until the claim can be released. Zero means
+// now.
+func (o OpenClaim) ReleasableAfter() time.Duration { return o.releasableAfter }
 
 // Page is a page of the list of open claims.
 type Page struct {
-	claims     []Open
+	claims     []OpenClaim
 	more       bool
 	unreadable int
 }
 
 // Claims returns the claims in the order of their keys.
-func (p Page) Claims() []Open { return p.claims }
+func (p Page) Claims() []OpenClaim { return p.claims }
 
 // More reports whether more claims follow this page.
 func (p Page) More() bool { return p.more }
@@ -88,7 +89,7 @@
 			p.unreadable++
 			continue
 		}
-		p.claims = append(p.claims, Open{record: rec, releasableAfter: max(0, g.remainingWindow(kv.Revision(), now))})
+		p.claims = append(p.claims, OpenClaim{record: rec, releasableAfter: max(0, g.remainingWindow(kv.Revision(), now))})
 	}
 	return p, nil
 }
@@ -127,7 +128,7 @@
 		return err
 	}
 	if rec.state == Claimed && g.Alive != nil && g.Alive(rec.agent, rec.incarnation) {
-		return result.New(result.ClaimRunning, "the agent at "+rec.agent+" lives").WithRetryAfter(g.Window)
+		return result.New(result.ClaimRunning, "the agent at "+rec.agent+" lives").WithRetryAfter(g.DispatchWindow)
 	}
 	if remaining := g.remainingWindow(revision, g.Now()); remaining > 0 {
 		return result.New(result.ClaimRunning, "the agent may still dispatch the request; look at the endpoint after that").WithRetryAfter(remaining)
@@ -162,7 +163,7 @@
 // first seen, so counting from then can only make the wait too long. The clocks
 // of agent and operator are not compared.
 func (g *Registry) remainingWindow(revision int64, now time.Time) time.Duration {
-	return g.firstSeenAt(revision, now).Add(g.Window + g.Margin).Sub(now)
+	return g.firstSeenAt(revision, now).Add(g.DispatchWindow + g.ReleaseMargin).Sub(now)
 }
 
 // commitRelease writes the release. It repeats the write until ctx ends while
--- a/internal/platform/claim/registry_test.go
+++ b/internal/platform/claim/registry_test.go
@@ -43,12 +43,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.conclude(g, Unsettled, Answer{})
+		t.storeOutcome(g, Unsettled, Answer{})
 		t.flush()
 		err = t.claims.commitRelease(t.Context(), storeOutcome{record: rec.withState(NotRun, Answer{}, time.Now()), revision: revision})
 		wantCode(t.T, err, result.Conflict)
 		wantCode(t.T, Err(t.claim(testKey(1), "b", "d", time.Minute)), result.OutcomeUnknown)
-		t.conclude(g, Completed, Answer{Status: 200})
+		t.storeOutcome(g, Completed, Answer{Status: 200})
 		t.flush()
 		t.wantOpenClaims(0)
 	})
--- a/internal/platform/claim/settle.go
+++ b/internal/platform/claim/settle.go
@@ -41,7 +41,7 @@
 // handleError handles an operation whose transaction was refused or got no
 // reply. The caller must hold mu.
 //
-// A claim gets NotMade only if each of its sends is known to have had no
+// A claim gets NotClaimed only if each of its sends is known to have had no
 // effect. After a send whose outcome is unknown, the claim stays queued until a
 // reply settles it or its caller stops waiting.
 func (b *Batcher) handleError(o *op, err error) {
@@ -60,7 +60,7 @@
 		b.requeue(o)
 	case !o.abandoned:
 		o.inFlight = false
-		o.verdict <- NotMade{Err: err}
+		o.resultCh <- NotClaimed{Err: err}
 	}
 }
 
@@ -110,12 +110,12 @@
 	g, granted := v.(Granted)
 	if granted {
 		g.Grant.firstSentAt = o.firstSentAt
-		g.Grant.window = b.Window
+		g.Grant.dispatchWindow = b.DispatchWindow
 		v = g
 	}
 	o.inFlight = false
 	if !o.abandoned {
-		o.verdict <- v
+		o.resultCh <- v
 		return
 	}
 	if granted {
--- a/internal/platform/claim/verdict.go
+++ b/internal/platform/claim/verdict.go
@@ -6,49 +6,49 @@
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
-// Verdict is the result of a claim: Granted, HeldBy, Done, KeyReused, NotMade
-// or Unknown.
-type Verdict interface{ isVerdict() }
+// Result is the result of a claim: Granted, Held, AlreadyRun, KeyReused,
+// NotClaimed or Unknown.
+type Result interface{ isResult() }
 
 // Granted means that the caller holds the claim and may dispatch the request
 // while Grant.MayDispatch returns true.
 type Granted struct{ Grant Grant }
 
-// HeldBy means that another attempt holds the claim, or that an earlier one
+// Held means that another attempt holds the claim, or that an earlier one
 // left it unsettled.
-type HeldBy struct{ Record Record }
+type Held struct{ Record Record }
 
-// Done means that the request was already run.
-type Done struct{ Record Record }
+// AlreadyRun means that the request was already run.
+type AlreadyRun struct{ Record Record }
 
 // KeyReused means that the key was already used for a request with a different
 // body.
 type KeyReused struct{ Record Record }
 
-// NotMade means that this attempt has no claim and will not get one: it did not
-// run the request.
-type NotMade struct{ Err error }
+// NotClaimed means that this attempt has no claim and will not get one: it did
+// not run the request.
+type NotClaimed struct{ Err error }
 
 // Unknown means that the claim may have been made or may still be made. The
 // attempt must not run the request, but can't report it as not run either.
 type Unknown struct{ Err error }
 
-func (Granted) isVerdict()   {}
-func (HeldBy) isVerdict()    {}
-func (Done) isVerdict()      {}
-func (KeyReused) isVerdict() {}
-func (NotMade) isVerdict()   {}
-func (Unknown) isVerdict()   {}
+func (Granted) isResult()    {}
+func (Held) isResult()       {}
+func (AlreadyRun) isResult() {}
+func (KeyReused) isResult()  {}
+func (NotClaimed) isResult() {}
+func (Unknown) isResult()    {}
 
 // Err returns the result error that a caller gets for v, or nil for Granted and
-// Done.
-func Err(v Verdict) error {
+// AlreadyRun.
+func Err(v Result) error {
 	switch v := v.(type) {
-	case HeldBy:
+	case Held:
 		return heldErr(v.Record)
 	case KeyReused:
 		return result.New(result.KeyReused, v.Record.key.idempotencyKey)
-	case NotMade:
+	case NotClaimed:
 		return v.Err
 	case Unknown:
 		return result.New(result.OutcomeUnknown, v.Err.Error())
@@ -66,10 +66,10 @@
 
 // Grant is a claim that the caller holds.
 type Grant struct {
-	record      Record
-	revision    int64
-	firstSentAt time.Time
-	window      time.Duration
+	record         Record
+	revision       int64
+	firstSentAt    time.Time
+	dispatchWindow time.Duration
 }
 
 // Record returns the claim as it is stored.
@@ -88,5 +88,5 @@
 func (g Grant) MayDispatch(now time.Time) bool {
 	monotonic := now.Sub(g.firstSentAt)
 	wall := now.Round(0).Sub(g.firstSentAt.Round(0))
-	return max(monotonic, wall) < g.window
+	return max(monotonic, wall) < g.dispatchWindow
 }
--- a/internal/platform/claim/writes_test.go
+++ b/internal/platform/claim/writes_test.go
@@ -42,7 +42,7 @@
 			id := fmt.Sprint(i)
 			v := b.Claim(ctx, Request{Key: testKey(i), BodyDigest: "d", RequestID: id, AttemptID: id})
 			time.Sleep(cluster.rng.durationBelow(200 * time.Millisecond))
-			if err := b.Conclude(v.(Granted).Grant, Completed, Answer{Status: 200}); err != nil {
+			if err := b.StoreOutcome(v.(Granted).Grant, Completed, Answer{Status: 200}); err != nil {
 				t.Error(err)
 			}
 		})
