--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -161,7 +161,7 @@
 
 // follow applies each change of the configuration.
 func (a *Agent) follow(ctx context.Context) error {
-	return a.store.EachChange(ctx, func(context.Context) { a.takeConfiguration() })
+	return a.store.OnChange(ctx, func(context.Context) { a.takeConfiguration() })
 }
 
 func (a *Agent) takeConfiguration() {
@@ -170,7 +170,7 @@
 	if !ok {
 		return
 	}
-	out := s.IsOut(config.Endpoint(a.Settings.EndpointName)) || s.IsOut(config.DataCentre(a.Settings.DataCentre))
+	out := s.IsOutOfService(config.Endpoint(a.Settings.EndpointName)) || s.IsOutOfService(config.DataCentre(a.Settings.DataCentre))
 	g := s.Head().Generation()
 	if v := a.view.Load(); v != nil && v.digest == in.Digest() {
 		a.apply(v.at(g, out))
--- a/internal/capacity/mesh.go
+++ b/internal/capacity/mesh.go
@@ -54,7 +54,7 @@
 		e.table = spread.Table{Self: self, Seed: 1}
 		others := append(append([]spread.Node(nil), all[:i]...), all[i+1:]...)
 		e.table.Set(others)
-		e.store.Offer(h, parts...)
+		e.store.Merge(h, parts...)
 		e.service = peer.Service{Clock: &e.clock, Store: &e.store, Now: meshNow}
 		e.changed = e.store.Subscribe()
 		e.learnt()
@@ -166,7 +166,7 @@
 	case i == 0:
 		return config.PutPreset{Name: "ordinary", Body: body}
 	case i <= outs:
-		return config.TakeOut{Target: config.Endpoint(fmt.Sprintf("endpoint-%d", i))}
+		return config.TakeOutOfService{Target: config.Endpoint(fmt.Sprintf("endpoint-%d", i))}
 	default:
 		return config.SwitchPreset{Name: "ordinary"}
 	}
--- a/internal/capacity/mesh_test.go
+++ b/internal/capacity/mesh_test.go
@@ -16,8 +16,8 @@
 	for _, n := range []int{1, 2, 3, 27, 190, 670} {
 		h, body := headOf(64, 8)
 		m := newMesh(n, spreadDataCentres, h, body)
-		next := after(h, 1000, config.TakeOut{Target: config.DataCentre("dc-1")})
-		m.nodes[n/2].store.Offer(next)
+		next := after(h, 1000, config.TakeOutOfService{Target: config.DataCentre("dc-1")})
+		m.nodes[n/2].store.Merge(next)
 		_, known, turns := m.spread(context.Background(), next.Generation(), true)
 		if known*20 < n*19 {
 			t.Errorf("rumours reach %d of %d entries", known, n)
@@ -35,10 +35,10 @@
 	h, body := headOf(64, 8)
 	m := newMesh(95, 19, h, body)
 	m.cut["dc-3"] = true
-	outer := after(h, 1000, config.TakeOut{Target: config.DataCentre("dc-1")})
-	inner := after(h, 2000, config.TakeOut{Target: config.Endpoint("in-dc-3")})
-	m.nodes[0].store.Offer(outer)
-	m.nodes[3].store.Offer(inner)
+	outer := after(h, 1000, config.TakeOutOfService{Target: config.DataCentre("dc-1")})
+	inner := after(h, 2000, config.TakeOutOfService{Target: config.Endpoint("in-dc-3")})
+	m.nodes[0].store.Merge(outer)
+	m.nodes[3].store.Merge(inner)
 	for range 10 {
 		m.rumours(context.Background())
 		m.turns(context.Background())
@@ -46,7 +46,7 @@
 	for _, e := range m.nodes {
 		cut := e.self.DataCentre == "dc-3"
 		s := e.store.Current()
-		if s.IsOut(config.DataCentre("dc-1")) == cut || s.IsOut(config.Endpoint("in-dc-3")) != cut {
+		if s.IsOutOfService(config.DataCentre("dc-1")) == cut || s.IsOutOfService(config.Endpoint("in-dc-3")) != cut {
 			t.Fatalf("%s in %s knows what the cut keeps from it, or not what it should", e.self.Name, e.self.DataCentre)
 		}
 	}
@@ -54,7 +54,7 @@
 	joined := func() bool {
 		for _, e := range m.nodes {
 			s := e.store.Current()
-			if !s.IsOut(config.DataCentre("dc-1")) || !s.IsOut(config.Endpoint("in-dc-3")) {
+			if !s.IsOutOfService(config.DataCentre("dc-1")) || !s.IsOutOfService(config.Endpoint("in-dc-3")) {
 				return false
 			}
 		}
--- a/internal/capacity/messages.go
+++ b/internal/capacity/messages.go
@@ -38,8 +38,8 @@
 		a, b := m.nodes[0], m.nodes[1]
 		m.exchange(ctx, a, b.self)
 		idle.values = append(idle.values, float64(m.bytes))
-		next := after(h, 10_000, config.TakeOut{Target: config.DataCentre("dc-1")})
-		a.store.Offer(next)
+		next := after(h, 10_000, config.TakeOutOfService{Target: config.DataCentre("dc-1")})
+		a.store.Merge(next)
 		m.bytes = 0
 		m.exchange(ctx, a, b.self)
 		changed.values = append(changed.values, float64(m.bytes))
@@ -47,7 +47,7 @@
 		apply.values = append(apply.values, timeOf(200, func() { after(h, 10_000, config.SwitchPreset{Name: "ordinary"}) }))
 		join.values = append(join.values, timeOf(200, func() {
 			var s config.Store
-			s.Offer(next, body)
+			s.Merge(next, body)
 		}))
 	}
 	notes := []string{"The document lists the last 128 changes and 256 orders; a quarter of", "the changes left an endpoint out."}
--- a/internal/capacity/spread.go
+++ b/internal/capacity/spread.go
@@ -57,7 +57,7 @@
 	for i := range spreadRuns {
 		h = after(h, 1000+i, config.SwitchPreset{Name: "ordinary"})
 		m.messages, m.bytes = 0, 0
-		m.nodes[i%n].store.Offer(h)
+		m.nodes[i%n].store.Merge(h)
 		rounds, known, turns := m.spread(ctx, h.Generation(), true)
 		c.rounds += float64(rounds) / spreadRuns
 		c.known += 100 * float64(known) / float64(n) / spreadRuns
@@ -66,7 +66,7 @@
 		c.bytes += float64(m.bytes) / float64(n) / spreadRuns
 		m.settle()
 		h = after(h, 5000+i, config.SwitchPreset{Name: "ordinary"})
-		m.nodes[i%n].store.Offer(h)
+		m.nodes[i%n].store.Merge(h)
 		_, _, turns = m.spread(ctx, h.Generation(), false)
 		c.plainTurns += float64(turns) / spreadRuns
 		m.settle()
--- a/internal/demo/readers_test.go
+++ b/internal/demo/readers_test.go
@@ -70,6 +70,6 @@
 		w := config.Writer{KV: s.client, Store: &config.Store{}}
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		return w.Repair(ctx, time.Now()) == nil && w.Store.Current().Head().IsOut(config.Endpoint("a-engine-0"))
+		return w.Repair(ctx, time.Now()) == nil && w.Store.Current().Head().IsOutOfService(config.Endpoint("a-engine-0"))
 	})
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -99,7 +99,7 @@
 		others: func() int { return len(e.directory.entries()) },
 	}
 	e.platform = process.Platform(&e.Settings.Process, platformBudget, e.TLS.Client, e.Dial, e.Registry)
-	e.writer = &config.Writer{KV: e.platform, Store: &e.store, Refresh: e.spreading.refresh}
+	e.writer = &config.Writer{KV: e.platform, Store: &e.store, SyncPeers: e.spreading.syncPeers}
 	e.directory = directory{
 		name: e.Settings.Name, dataCentre: e.Settings.DataCentre,
 		list: process.VMList(&e.Settings.Process, e.Dial, e.Registry), members: &e.members,
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -61,13 +61,13 @@
 
 // follow applies each change of the configuration.
 func (e *Entry) follow(ctx context.Context) error {
-	return e.store.EachChange(ctx, func(context.Context) { e.apply(e.now()) })
+	return e.store.OnChange(ctx, func(context.Context) { e.apply(e.now()) })
 }
 
 // handOn hands each change to the agents. It is apart from follow because an
 // agent that is frozen holds it up until a timeout.
 func (e *Entry) handOn(ctx context.Context) error {
-	return e.store.EachChange(ctx, e.members.pushAll)
+	return e.store.OnChange(ctx, e.members.pushAll)
 }
 
 func seedOf(name string) uint64 { return xxhash.Sum64String(name) }
--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -23,7 +23,7 @@
 	// regions takes, and a frozen entry holds up a change no longer.
 	exchangeTimeout = time.Second
 	// refreshPeers is how many peers are asked before a change is written.
-	refreshPeers = 3
+	syncPeerCount = 3
 	// readOn is how long an entry that lost its place as reader goes on, so
 	// that places that change hands leave no moment without readers.
 	readOn = 5 * time.Second
@@ -136,9 +136,9 @@
 }
 
 // refresh asks some peers for their configuration before a change is written.
-func (s *spreading) refresh(ctx context.Context) {
+func (s *spreading) syncPeers(ctx context.Context) {
 	s.mu.Lock()
-	nodes := s.table.Ask(refreshPeers)
+	nodes := s.table.Ask(syncPeerCount)
 	s.mu.Unlock()
 	s.exchange(ctx, nodes)
 }
@@ -206,7 +206,7 @@
 	e := s.entry
 	w := &config.Watcher{
 		Source: e.platform, Writer: e.writer,
-		Period: watchPeriod, Timeout: process.PlatformTimeout, Now: e.now,
+		ReadInterval: watchPeriod, Timeout: process.PlatformTimeout, Now: e.now,
 		Log: e.Log, Metrics: e.Registry,
 	}
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -39,7 +39,7 @@
 		}
 		v.preset = p
 	}
-	for _, o := range s.Head().Outs() {
+	for _, o := range s.Head().OutOfService() {
 		v.out(o.Target())
 	}
 	for _, h := range s.Holds() {
--- a/internal/entry/view_test.go
+++ b/internal/entry/view_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Offer(h, parts...)
+	s.Merge(h, parts...)
 	v, faults := newView(s.Current(), last)
 	if len(faults) > 0 || v == nil {
 		t.Fatalf("no view: %v", faults)
@@ -50,7 +50,7 @@
 func TestPresetIsReadOnce(t *testing.T) {
 	s := &config.Store{}
 	first := viewAfter(t, s, nil, "1", config.PutPreset{Name: "ordinary", Body: []byte(viewPreset)}, []byte(viewPreset))
-	out := viewAfter(t, s, first, "2", config.TakeOut{Target: config.Endpoint("e")})
+	out := viewAfter(t, s, first, "2", config.TakeOutOfService{Target: config.Endpoint("e")})
 	if out.preset != first.preset {
 		t.Error("the preset was read again")
 	}
--- a/internal/operator/changes.go
+++ b/internal/operator/changes.go
@@ -80,9 +80,9 @@
 	}
 	switch r.PathValue("way") {
 	case "out":
-		return s.change(req, config.TakeOut{Target: target(name)}, targetTimeout)
+		return s.change(req, config.TakeOutOfService{Target: target(name)}, targetTimeout)
 	case "in":
-		return s.change(req, config.BringIn{Target: target(name)}, targetTimeout)
+		return s.change(req, config.ReturnToService{Target: target(name)}, targetTimeout)
 	}
 	return nil, result.New(result.MalformedOrder, "the path must end with out or in")
 }
--- a/internal/operator/command/history_test.go
+++ b/internal/operator/command/history_test.go
@@ -105,7 +105,7 @@
 func checkTold(t *testing.T, all []told, h config.Head) {
 	t.Helper()
 	at := map[string][]uint64{}
-	for _, d := range h.Recent() {
+	for _, d := range h.RecentChanges() {
 		at[d.ChangeID()] = append(at[d.ChangeID()], d.Generation())
 	}
 	counts := map[result.Code]int{}
@@ -121,8 +121,8 @@
 			t.Errorf("%s was told as %s and was done", x.order, x.code)
 		}
 	}
-	if counts[result.OK] < historyOrders || h.Generation() != uint64(len(h.Recent())) {
-		t.Errorf("outcomes %v, generation %d of %d changes", counts, h.Generation(), len(h.Recent()))
+	if counts[result.OK] < historyOrders || h.Generation() != uint64(len(h.RecentChanges())) {
+		t.Errorf("outcomes %v, generation %d of %d changes", counts, h.Generation(), len(h.RecentChanges()))
 	}
 	t.Logf("outcomes %v", counts)
 }
--- a/internal/operator/order.go
+++ b/internal/operator/order.go
@@ -45,7 +45,7 @@
 // not checked again, because the repeat of a lost answer must tell the first
 // outcome, whatever has changed since.
 func check(s *config.Snapshot, o config.Order) error {
-	if s.Head().Accepted(o.ChangeID) {
+	if s.Head().ListsChange(o.ChangeID) {
 		return nil
 	}
 	switch c := o.Change.(type) {
@@ -53,10 +53,10 @@
 		return checkPut(s, c)
 	case config.SwitchPreset:
 		return checkSwitch(s, c)
-	case config.TakeOut:
+	case config.TakeOutOfService:
 		return checkTarget(s, c.Target)
-	case config.BringIn:
-		if s.IsOut(c.Target) {
+	case config.ReturnToService:
+		if s.IsOutOfService(c.Target) {
 			return nil
 		}
 		return checkTarget(s, c.Target)
@@ -102,7 +102,7 @@
 
 func outs(s *config.Snapshot) []config.Target {
 	var list []config.Target
-	for _, o := range s.Head().Outs() {
+	for _, o := range s.Head().OutOfService() {
 		list = append(list, o.Target())
 	}
 	for _, h := range s.Holds() {
--- a/internal/operator/parts.go
+++ b/internal/operator/parts.go
@@ -85,13 +85,13 @@
 	if err := d.Writer.Repair(ctx, now); err != nil {
 		return err
 	}
-	for _, digest := range d.Current().Missing() {
+	for _, digest := range d.Current().MissingParts() {
 		r, err := d.Writer.KV.Get(ctx, config.PartsPrefix+digest)
 		if err != nil {
 			return err
 		}
 		if kv, ok := r.First(); ok {
-			d.Writer.Store.Offer(config.Head{}, kv.Value())
+			d.Writer.Store.Merge(config.Head{}, kv.Value())
 		}
 	}
 	return nil
--- a/internal/operator/views.go
+++ b/internal/operator/views.go
@@ -100,7 +100,7 @@
 
 func outViews(c *config.Snapshot) []OutView {
 	list := []OutView{}
-	for _, o := range c.Head().Outs() {
+	for _, o := range c.Head().OutOfService() {
 		list = append(list, OutView{
 			Kind: o.Target().Kind().String(), Name: o.Target().Name(), By: o.By(),
 			AtMicros: o.At().UnixMicro(), Generation: o.Dot().Generation(),
--- a/internal/peer/digest_test.go
+++ b/internal/peer/digest_test.go
@@ -21,7 +21,7 @@
 		case i == 0:
 			o.Change = config.PutPreset{Name: "ordinary", Body: body}
 		case i <= outOfService:
-			o.Change = config.TakeOut{Target: t}
+			o.Change = config.TakeOutOfService{Target: t}
 		default:
 			o.Change = config.SwitchPreset{Name: "ordinary"}
 		}
@@ -32,7 +32,7 @@
 		h = next
 	}
 	s := &config.Store{}
-	s.Offer(h, body)
+	s.Merge(h, body)
 	return s
 }
 
@@ -41,7 +41,7 @@
 		s := newStore(b, changes, changes/2)
 		b.Run(fmt.Sprintf("changes=%d", changes), func(b *testing.B) {
 			b.ReportAllocs()
-			b.ReportMetric(float64(len(s.State())), "stateBytes")
+			b.ReportMetric(float64(len(s.FullMessage())), "stateBytes")
 			for b.Loop() {
 				ConfigDigest(s)
 			}
@@ -59,12 +59,12 @@
 		t.Error("digest changed without a change of the configuration")
 	}
 	h := s.Current().Head()
-	o := config.Order{ChangeID: "out", By: "operator", Change: config.TakeOut{Target: config.Endpoint("e")}}
+	o := config.Order{ChangeID: "out", By: "operator", Change: config.TakeOutOfService{Target: config.Endpoint("e")}}
 	next, err := config.Apply(h, o, time.UnixMicro(9))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Offer(next)
+	s.Merge(next)
 	if ConfigDigest(s) == before {
 		t.Error("digest did not change with the configuration")
 	}
@@ -72,7 +72,7 @@
 		t.Error("equal configurations have different digests")
 	}
 	incomplete := &config.Store{}
-	incomplete.Offer(next)
+	incomplete.Merge(next)
 	if ConfigDigest(incomplete) == ConfigDigest(s) {
 		t.Error("a store without a part has the same digest as one with it")
 	}
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -45,7 +45,7 @@
 // Sync implements peerpb.PeerServer.
 func (s *Service) Sync(_ context.Context, r *peerpb.SyncRequest) (*peerpb.SyncReply, error) {
 	s.Clock.Observe(timeline.Stamp(r.GetHlc()), s.Now())
-	msg, parts, err := s.Store.Exchange(r.GetHead(), r.GetWantParts())
+	msg, parts, err := s.Store.HandleMessage(r.GetHead(), r.GetWantParts())
 	if err != nil {
 		return nil, result.New(result.MalformedMsg, err.Error())
 	}
@@ -54,13 +54,13 @@
 		Hlc:       uint64(s.Clock.Next(s.Now())),
 		Head:      msg,
 		Parts:     limitParts(parts),
-		WantParts: s.Store.Current().Missing(),
+		WantParts: s.Store.Current().MissingParts(),
 	}, nil
 }
 
 func storeParts(s *config.Store, parts map[string][]byte) {
 	for _, b := range parts {
-		s.Offer(config.Head{}, b)
+		s.Merge(config.Head{}, b)
 	}
 }
 
@@ -81,20 +81,20 @@
 // ConfigDigest returns a digest of everything that a store holds. Two processes whose
 // digests differ have data to exchange.
 func ConfigDigest(s *config.Store) uint64 {
-	h := xxhash.Sum64(s.Summary())
-	return h + uint64(len(s.Current().Missing()))
+	h := xxhash.Sum64(s.DigestMessage())
+	return h + uint64(len(s.Current().MissingParts()))
 }
 
 // Exchange synchronizes the configurations of this process and a peer: both then hold
 // the join of the two. It stops after maxSyncRounds calls.
 func Exchange(ctx context.Context, c peerpb.PeerClient, s *config.Store, clock *timeline.Clock, now func() time.Time) error {
-	msg := s.Summary()
+	msg := s.DigestMessage()
 	var partsToSend map[string][]byte
 	for range maxSyncRounds {
 		req := &peerpb.SyncRequest{
 			Hlc:       uint64(clock.Next(now())),
 			Head:      msg,
-			WantParts: s.Current().Missing(),
+			WantParts: s.Current().MissingParts(),
 			Parts:     partsToSend,
 		}
 		reply, err := c.Sync(ctx, req)
@@ -102,7 +102,7 @@
 			return err
 		}
 		clock.Observe(timeline.Stamp(reply.GetHlc()), now())
-		msg, err = s.Finish(reply.GetHead(), reply.GetParts())
+		msg, err = s.HandleReply(reply.GetHead(), reply.GetParts())
 		if err != nil {
 			return err
 		}
@@ -111,7 +111,7 @@
 			return nil
 		}
 		if msg == nil {
-			msg = s.Summary()
+			msg = s.DigestMessage()
 		}
 	}
 	return nil
--- a/internal/platform/config/bench_test.go
+++ b/internal/platform/config/bench_test.go
@@ -10,7 +10,7 @@
 func headOfSize(b *testing.B, n int) Head {
 	h := mustApply(b, Head{}, "day", PutPreset{Name: "day", Body: []byte("d")})
 	for i := range n {
-		h = mustApply(b, h, fmt.Sprint("out", i), TakeOut{Target: Endpoint(fmt.Sprint("endpoint-", i))})
+		h = mustApply(b, h, fmt.Sprint("out", i), TakeOutOfService{Target: Endpoint(fmt.Sprint("endpoint-", i))})
 	}
 	for i := range maxRecent {
 		h = mustApply(b, h, fmt.Sprint("c", i), SwitchPreset{Name: "day"})
@@ -18,13 +18,13 @@
 	return h
 }
 
-func BenchmarkNewer(b *testing.B) {
+func BenchmarkJoinHeads(b *testing.B) {
 	for _, n := range []int{0, 10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			old := headOfSize(b, n)
-			h := mustApply(b, old, "next", TakeOut{Target: DataCentre("north")})
+			h := mustApply(b, old, "next", TakeOutOfService{Target: DataCentre("north")})
 			for b.Loop() {
-				Newer(old, h)
+				JoinHeads(old, h)
 			}
 			b.ReportMetric(float64(len(h.Encode())), "bytes/head")
 		})
--- a/internal/platform/config/change.go
+++ b/internal/platform/config/change.go
@@ -8,7 +8,7 @@
 )
 
 // Change is an operator's change of the configuration: a PutPreset,
-// SwitchPreset, TakeOut or BringIn.
+// SwitchPreset, TakeOutOfService or ReturnToService.
 type Change interface{ isChange() }
 
 // PutPreset stores a preset or replaces the body of a stored one. The first
@@ -22,12 +22,12 @@
 // SwitchPreset makes the named preset the one in force.
 type SwitchPreset struct{ Name string }
 
-// TakeOut takes a target out of service.
-type TakeOut struct{ Target Target }
+// TakeOutOfService takes a target out of service.
+type TakeOutOfService struct{ Target Target }
 
-// BringIn brings a target back into service. It removes every entry in the
-// document that keeps the target out of service.
-type BringIn struct{ Target Target }
+// ReturnToService brings a target back into service. It removes every entry in
+// the document that keeps the target out of service.
+type ReturnToService struct{ Target Target }
 
 // releaseHold records the release of a hold in the document. It removes the
 // entry made by that hold, if the document has one, and no other.
@@ -36,12 +36,12 @@
 // recordJoin gives the join of concurrent heads a generation of its own.
 type recordJoin struct{}
 
-func (PutPreset) isChange()    {}
-func (SwitchPreset) isChange() {}
-func (TakeOut) isChange()      {}
-func (BringIn) isChange()      {}
-func (releaseHold) isChange()  {}
-func (recordJoin) isChange()   {}
+func (PutPreset) isChange()        {}
+func (SwitchPreset) isChange()     {}
+func (TakeOutOfService) isChange() {}
+func (ReturnToService) isChange()  {}
+func (releaseHold) isChange()      {}
+func (recordJoin) isChange()       {}
 
 // Order is a change submitted by an operator.
 type Order struct {
@@ -69,14 +69,14 @@
 	switch c := o.Change.(type) {
 	case PutPreset:
 		name = c.Name
-		if len(c.Body) > MaxPart {
-			return result.Newf(result.BodyTooLarge, "the preset has %d bytes, the maximum is %d", len(c.Body), MaxPart)
+		if len(c.Body) > MaxPartBytes {
+			return result.Newf(result.BodyTooLarge, "the preset has %d bytes, the maximum is %d", len(c.Body), MaxPartBytes)
 		}
 	case SwitchPreset:
 		name = c.Name
-	case TakeOut:
+	case TakeOutOfService:
 		name = c.Target.name
-	case BringIn:
+	case ReturnToService:
 		name = c.Target.name
 	case releaseHold:
 		name = c.holdID
@@ -118,12 +118,12 @@
 		return h.putPreset(old, c)
 	case SwitchPreset:
 		return h.switchPreset(c.Name)
-	case TakeOut:
-		return h.takeOut(old, Out{target: c.Target, dot: h.dot, by: o.By, at: truncateToMicros(now)})
-	case BringIn:
-		h.outOfService = removeEntries(old.outOfService, func(p Out) bool { return p.target == c.Target })
+	case TakeOutOfService:
+		return h.takeOutOfService(old, OutOfServiceEntry{target: c.Target, dot: h.dot, by: o.By, at: truncateToMicros(now)})
+	case ReturnToService:
+		h.outOfService = removeEntries(old.outOfService, func(p OutOfServiceEntry) bool { return p.target == c.Target })
 	case releaseHold:
-		h.outOfService = removeEntries(old.outOfService, func(p Out) bool { return p.dot.changeID == c.holdID })
+		h.outOfService = removeEntries(old.outOfService, func(p OutOfServiceEntry) bool { return p.dot.changeID == c.holdID })
 		h.recordSettled(old, c.holdID, o.ChangeID)
 	}
 	return nil
@@ -156,11 +156,11 @@
 	return nil
 }
 
-// takeOut adds an entry even if the target is already out of service, so that
-// this order prevails over a concurrent order to bring the target in, which has
-// not seen the new entry.
-func (h *Head) takeOut(old Head, o Out) error {
-	entries := removeEntries(old.outOfService, func(p Out) bool { return p.target == o.target })
+// takeOutOfService adds an entry even if the target is already out of service,
+// so that this order prevails over a concurrent order to bring the target in,
+// which has not seen the new entry.
+func (h *Head) takeOutOfService(old Head, o OutOfServiceEntry) error {
+	entries := removeEntries(old.outOfService, func(p OutOfServiceEntry) bool { return p.target == o.target })
 	if len(entries) == maxOutOfService {
 		return result.Newf(result.MalformedOrder, "the maximum of %d targets out of service is reached", maxOutOfService)
 	}
@@ -187,8 +187,8 @@
 }
 
 // removeEntries returns the entries for which drop returns false.
-func removeEntries(entries []Out, drop func(Out) bool) []Out {
-	var kept []Out
+func removeEntries(entries []OutOfServiceEntry, drop func(OutOfServiceEntry) bool) []OutOfServiceEntry {
+	var kept []OutOfServiceEntry
 	for _, o := range entries {
 		if !drop(o) {
 			kept = append(kept, o)
--- a/internal/platform/config/codec.go
+++ b/internal/platform/config/codec.go
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// Limits of the document. Together they keep an encoded head below MaxHead.
+// Limits of the document. Together they keep an encoded head below
+// MaxHeadBytes.
 const (
-	// MaxHead is the maximum size of an encoded head in bytes. A head is sent
-	// between processes and must fit in one value of the service.
-	MaxHead = 768 << 10
-	// MaxPart is the maximum size of a part in bytes: the maximum value of the
-	// service less room for its key.
-	MaxPart = 1<<20 - 4<<10
+	// MaxHeadBytes is the maximum size of an encoded head in bytes. A head is
+	// sent between processes and must fit in one value of the service.
+	MaxHeadBytes = 768 << 10
+	// MaxPartBytes is the maximum size of a part in bytes: the maximum value of
+	// the service less room for its key.
+	MaxPartBytes = 1<<20 - 4<<10
 
 	maxName         = 64
 	maxPresets      = 64
@@ -28,7 +29,7 @@
 	digestLen       = 64
 )
 
-// Errors returned by DecodeHead, Store.Exchange and Store.Finish.
+// Errors returned by DecodeHead, Store.HandleMessage and Store.HandleReply.
 var (
 	ErrTooLarge  = errors.New("config: document is too large")
 	ErrMalformed = errors.New("config: document is malformed")
@@ -45,7 +46,7 @@
 	Since  uint64 `json:"since"`
 }
 
-type outEntryJSON struct {
+type outOfServiceJSON struct {
 	Kind       string `json:"kind"`
 	Name       string `json:"name"`
 	Generation uint64 `json:"generation"`
@@ -55,16 +56,16 @@
 }
 
 type headJSON struct {
-	Generation   uint64         `json:"generation"`
-	ChangeID     string         `json:"changeId"`
-	InForce      string         `json:"inForce"`
-	InForceSince uint64         `json:"inForceSince"`
-	Presets      []presetJSON   `json:"presets"`
-	Out          []outEntryJSON `json:"out"`
-	Floor        uint64         `json:"floor"`
-	Recent       []dotJSON      `json:"recent"`
-	Settled      []dotJSON      `json:"settled"`
-	Joined       bool           `json:"joined,omitempty"`
+	Generation   uint64             `json:"generation"`
+	ChangeID     string             `json:"changeId"`
+	InForce      string             `json:"inForce"`
+	InForceSince uint64             `json:"inForceSince"`
+	Presets      []presetJSON       `json:"presets"`
+	Out          []outOfServiceJSON `json:"out"`
+	Floor        uint64             `json:"floor"`
+	Recent       []dotJSON          `json:"recent"`
+	Settled      []dotJSON          `json:"settled"`
+	Joined       bool               `json:"joined,omitempty"`
 }
 
 // Encode returns the head as JSON with camelCase keys. Equal heads have equal
@@ -78,7 +79,7 @@
 		InForce:      h.inForce,
 		InForceSince: h.inForceSince,
 		Presets:      []presetJSON{},
-		Out:          []outEntryJSON{},
+		Out:          []outOfServiceJSON{},
 		Floor:        h.floor,
 		Recent:       dotsToJSON(h.recent),
 		Settled:      dotsToJSON(h.settled),
@@ -88,7 +89,7 @@
 		j.Presets = append(j.Presets, presetJSON{Name: p.name, Digest: p.digest, Since: p.since})
 	}
 	for _, o := range h.outOfService {
-		j.Out = append(j.Out, outEntryJSON{
+		j.Out = append(j.Out, outOfServiceJSON{
 			Kind:       o.target.kind.String(),
 			Name:       o.target.name,
 			Generation: o.dot.generation,
@@ -122,8 +123,8 @@
 // keys, names or numbers out of range, unsorted lists. The error wraps
 // ErrTooLarge or ErrMalformed.
 func DecodeHead(b []byte) (Head, error) {
-	if len(b) > MaxHead {
-		return Head{}, fmt.Errorf("%w: %d bytes, the maximum is %d", ErrTooLarge, len(b), MaxHead)
+	if len(b) > MaxHeadBytes {
+		return Head{}, fmt.Errorf("%w: %d bytes, the maximum is %d", ErrTooLarge, len(b), MaxHeadBytes)
 	}
 	var j headJSON
 	if err := strictUnmarshal(b, &j); err != nil {
@@ -160,11 +161,11 @@
 		h.presets = append(h.presets, Preset{name: p.Name, digest: p.Digest, since: p.Since})
 	}
 	for _, o := range j.Out {
-		out, err := outEntryFromJSON(o)
+		entry, err := outOfServiceEntryFromJSON(o)
 		if err != nil {
 			return Head{}, err
 		}
-		h.outOfService = append(h.outOfService, out)
+		h.outOfService = append(h.outOfService, entry)
 	}
 	h.recent = dotsFromJSON(j.Recent)
 	h.settled = dotsFromJSON(j.Settled)
@@ -179,12 +180,12 @@
 	return ds
 }
 
-func outEntryFromJSON(j outEntryJSON) (Out, error) {
+func outOfServiceEntryFromJSON(j outOfServiceJSON) (OutOfServiceEntry, error) {
 	t, err := parseTarget(j.Kind, j.Name)
 	if err != nil {
-		return Out{}, err
+		return OutOfServiceEntry{}, err
 	}
-	return Out{
+	return OutOfServiceEntry{
 		target: t,
 		dot:    Dot{generation: j.Generation, changeID: j.ChangeID},
 		by:     j.By,
--- a/internal/platform/config/codec_test.go
+++ b/internal/platform/config/codec_test.go
@@ -20,8 +20,8 @@
 
 func sampleHead(t testing.TB) Head {
 	h := mustApply(t, Head{}, "c1", PutPreset{Name: "day", Body: []byte("x")})
-	h = mustApply(t, h, "c2", TakeOut{Target: DataCentre("a")})
-	return mustApply(t, h, "c3", TakeOut{Target: Endpoint("10.0.0.1:80")})
+	h = mustApply(t, h, "c2", TakeOutOfService{Target: DataCentre("a")})
+	return mustApply(t, h, "c3", TakeOutOfService{Target: Endpoint("10.0.0.1:80")})
 }
 
 func FuzzDecodeHead(f *testing.F) {
@@ -60,7 +60,7 @@
 			}
 		})
 	}
-	if _, err := DecodeHead(make([]byte, MaxHead+1)); !errors.Is(err, ErrTooLarge) {
+	if _, err := DecodeHead(make([]byte, MaxHeadBytes+1)); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("error %v, want ErrTooLarge", err)
 	}
 }
@@ -71,12 +71,12 @@
 		order Order
 		want  result.Code
 	}{
-		{"no id", Order{By: "op", Change: BringIn{Target: DataCentre("a")}}, result.MalformedOrder},
-		{"no operator", Order{ChangeID: "c", Change: BringIn{Target: DataCentre("a")}}, result.MalformedOrder},
+		{"no id", Order{By: "op", Change: ReturnToService{Target: DataCentre("a")}}, result.MalformedOrder},
+		{"no operator", Order{ChangeID: "c", Change: ReturnToService{Target: DataCentre("a")}}, result.MalformedOrder},
 		{"no change", Order{ChangeID: "c", By: "op"}, result.MalformedOrder},
-		{"bad name", Order{ChangeID: "c", By: "op", Change: TakeOut{Target: DataCentre("a b")}}, result.MalformedOrder},
+		{"bad name", Order{ChangeID: "c", By: "op", Change: TakeOutOfService{Target: DataCentre("a b")}}, result.MalformedOrder},
 		{"unknown preset", Order{ChangeID: "c", By: "op", Change: SwitchPreset{Name: "x"}}, result.UnknownPreset},
-		{"large", Order{ChangeID: "c", By: "op", Change: PutPreset{Name: "x", Body: make([]byte, MaxPart+1)}}, result.BodyTooLarge},
+		{"large", Order{ChangeID: "c", By: "op", Change: PutPreset{Name: "x", Body: make([]byte, MaxPartBytes+1)}}, result.BodyTooLarge},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Apply(Head{}, c.order, epoch)
--- a/internal/platform/config/delta.go
+++ b/internal/platform/config/delta.go
@@ -56,8 +56,8 @@
 	return slices.DeleteFunc(all, func(p presetJSON) bool { return slices.Contains(old, p) })
 }
 
-func addedOutEntries(old, all []outEntryJSON) []outEntryJSON {
-	return slices.DeleteFunc(all, func(o outEntryJSON) bool { return slices.Contains(old, o) })
+func addedOutEntries(old, all []outOfServiceJSON) []outOfServiceJSON {
+	return slices.DeleteFunc(all, func(o outOfServiceJSON) bool { return slices.Contains(old, o) })
 }
 
 func addedDots(old, all []dotJSON) []dotJSON {
@@ -102,7 +102,7 @@
 	return all
 }
 
-func compareOutEntries(a, b outEntryJSON) int {
+func compareOutEntries(a, b outOfServiceJSON) int {
 	return cmp.Or(
 		cmp.Compare(a.Kind, b.Kind),
 		cmp.Compare(a.Name, b.Name),
--- a/internal/platform/config/delta_test.go
+++ b/internal/platform/config/delta_test.go
@@ -30,9 +30,9 @@
 	case 0:
 		o.Change = PutPreset{Name: fmt.Sprintf("p%d", r.rng.IntN(3)), Body: []byte(id)}
 	case 1, 2:
-		o.Change = TakeOut{Target: target}
+		o.Change = TakeOutOfService{Target: target}
 	case 3:
-		o.Change = BringIn{Target: target}
+		o.Change = ReturnToService{Target: target}
 	case 4:
 		r.store.addHold(newHold(o, target, time.UnixMicro(int64(r.n))))
 		return
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.store.Offer(h)
+	r.store.Merge(h)
 }
 
 // exchange runs an exchange between two stores and returns the number of bytes
@@ -52,14 +52,14 @@
 func exchange(t *testing.T, a, b *Store) int {
 	t.Helper()
 	size := 0
-	msg := a.Summary()
+	msg := a.DigestMessage()
 	for range 8 {
-		reply, _, err := b.Exchange(msg, nil)
+		reply, _, err := b.HandleMessage(msg, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		size += len(msg) + len(reply)
-		msg, err = a.Finish(reply, nil)
+		msg, err = a.HandleReply(reply, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,7 +85,7 @@
 func assertSame(t *testing.T, what string, got, want *Store) {
 	t.Helper()
 	if got.Current().digest != want.Current().digest {
-		t.Errorf("%s:\n%s\nwant\n%s", what, got.State(), want.State())
+		t.Errorf("%s:\n%s\nwant\n%s", what, got.FullMessage(), want.FullMessage())
 	}
 }
 
@@ -123,7 +123,7 @@
 		a.step(t)
 	}
 	b := &Store{}
-	if n := exchange(t, b, a.store); n < len(a.store.State())/2 {
+	if n := exchange(t, b, a.store); n < len(a.store.FullMessage())/2 {
 		t.Errorf("a new process received the whole document in %d bytes", n)
 	}
 	for _, behind := range []int{1, 4, maxHistory / 2} {
@@ -146,13 +146,13 @@
 	}
 	b := &Store{}
 	exchange(t, b, a.store)
-	o := Order{ChangeID: "out-of-b", By: "operator", Change: TakeOut{Target: DataCentre("b")}}
+	o := Order{ChangeID: "out-of-b", By: "operator", Change: TakeOutOfService{Target: DataCentre("b")}}
 	h, err := Apply(a.store.Current().Head(), o, time.UnixMicro(1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	before := a.store.findState(a.store.Current().digest)
-	a.store.Offer(h)
+	a.store.Merge(h)
 	msg := deltaMessage(before, a.store.Current())
 	damaged := bytes.Replace(msg, []byte(`"name":"b"`), []byte(`"name":"c"`), 1)
 	wrongBase := bytes.Replace(msg, []byte(before.digest), []byte("00000000000000000000000000000000"), 1)
@@ -160,17 +160,17 @@
 		if bytes.Equal(bad, msg) {
 			t.Fatal("the message was not modified")
 		}
-		reply, _, err := b.Exchange(bad, nil)
+		reply, _, err := b.HandleMessage(bad, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if b.Current().IsOut(DataCentre("c")) || b.Current().digest != before.digest {
+		if b.Current().IsOutOfService(DataCentre("c")) || b.Current().digest != before.digest {
 			t.Error("an invalid delta was applied")
 		}
 		if !bytes.Contains(reply, []byte(`"whole":true`)) {
 			t.Errorf("the reply does not request the whole document: %s", reply)
 		}
-		next, err := a.store.Finish(reply, nil)
+		next, err := a.store.HandleReply(reply, nil)
 		if err != nil || !bytes.Contains(next, []byte(`"head":`)) {
 			t.Fatalf("the whole document was not sent: error %v, message %s", err, next)
 		}
--- a/internal/platform/config/example_test.go
+++ b/internal/platform/config/example_test.go
@@ -9,15 +9,15 @@
 
 // Two processes change the configuration concurrently, for example after a
 // restore from an older copy. The join keeps both changes.
-func ExampleNewer() {
+func ExampleJoinHeads() {
 	now := time.Unix(0, 0)
 	order := func(id string, c config.Change) config.Order {
 		return config.Order{ChangeID: id, By: "aigerim", Change: c}
 	}
 	base, _ := config.Apply(config.Head{}, order("1", config.PutPreset{Name: "day", Body: []byte("[preset]")}), now)
-	a, _ := config.Apply(base, order("2a", config.TakeOut{Target: config.DataCentre("north")}), now)
-	b, _ := config.Apply(base, order("2b", config.TakeOut{Target: config.Endpoint("desk-1")}), now)
-	h := config.Newer(a, b)
-	fmt.Println(h.Generation(), h.IsOut(config.DataCentre("north")), h.IsOut(config.Endpoint("desk-1")))
+	a, _ := config.Apply(base, order("2a", config.TakeOutOfService{Target: config.DataCentre("north")}), now)
+	b, _ := config.Apply(base, order("2b", config.TakeOutOfService{Target: config.Endpoint("desk-1")}), now)
+	h := config.JoinHeads(a, b)
+	fmt.Println(h.Generation(), h.IsOutOfService(config.DataCentre("north")), h.IsOutOfService(config.Endpoint("desk-1")))
 	// Output: 2 true true
 }
--- a/internal/platform/config/exchange.go
+++ b/internal/platform/config/exchange.go
@@ -8,12 +8,12 @@
 )
 
 // maxMessage is the maximum size of an exchange message in bytes.
-const maxMessage = MaxHead + maxHolds*1<<10
+const maxMessage = MaxHeadBytes + maxHolds*1<<10
 
 // maxReplyParts limits the total size in bytes of the parts in one reply, to
 // stay below the message size that peers accept. The peer requests the
 // remaining parts with its next message.
-const maxReplyParts = 2 * MaxPart
+const maxReplyParts = 2 * MaxPartBytes
 
 // message is sent between peers. It always contains the digest of the sender's
 // state. If the receiver lacks something, it also contains the holds and either
@@ -31,12 +31,12 @@
 	Whole bool `json:"whole,omitempty"`
 }
 
-// Summary returns the message that starts an exchange, which must not be
+// DigestMessage returns the message that starts an exchange, which must not be
 // modified. It is encoded once per change of the configuration.
-func (s *Store) Summary() []byte { return s.Current().summary }
+func (s *Store) DigestMessage() []byte { return s.Current().digestMessage }
 
-// State returns a message with the whole document and all holds.
-func (s *Store) State() []byte { return fullMessage(s.Current()) }
+// FullMessage returns a message with the whole document and all holds.
+func (s *Store) FullMessage() []byte { return fullMessage(s.Current()) }
 
 func fullMessage(c *Snapshot) []byte {
 	return mustMarshal(message{
@@ -66,11 +66,11 @@
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-// Exchange processes a peer's message. It joins the peer's state into the store
-// and returns the reply and those wanted parts that are known, up to
+// HandleMessage processes a peer's message. It joins the peer's state into the
+// store and returns the reply and those wanted parts that are known, up to
 // maxReplyParts bytes. For a message that cannot be decoded the error wraps
 // ErrMalformed or ErrTooLarge.
-func (s *Store) Exchange(msg []byte, want []string) ([]byte, map[string][]byte, error) {
+func (s *Store) HandleMessage(msg []byte, want []string) ([]byte, map[string][]byte, error) {
 	r, err := s.receive(msg)
 	if err != nil {
 		return nil, nil, err
@@ -79,7 +79,7 @@
 	parts := selectParts(c, want)
 	switch {
 	case r.digest == c.digest:
-		return c.summary, parts, nil
+		return c.digestMessage, parts, nil
 	case r.fullRequested:
 		return fullMessage(c), parts, nil
 	case r.deltaRejected:
@@ -90,19 +90,19 @@
 	}
 	// The peer's state is unknown here. The peer replies with a delta if it
 	// knows the state with this digest, or else with its whole document.
-	return c.summary, parts, nil
+	return c.digestMessage, parts, nil
 }
 
-// Finish processes a peer's reply to Summary, State or an earlier result of
-// Finish. It returns the message to send next, or nil if the exchange is
-// complete. The errors are those of Exchange.
-func (s *Store) Finish(reply []byte, parts map[string][]byte) ([]byte, error) {
+// HandleReply processes a peer's reply to DigestMessage, FullMessage or an
+// earlier result of HandleReply. It returns the message to send next, or nil if
+// the exchange is complete. The errors are those of HandleMessage.
+func (s *Store) HandleReply(reply []byte, parts map[string][]byte) ([]byte, error) {
 	r, err := s.receive(reply)
 	if err != nil {
 		return nil, err
 	}
 	for _, b := range parts {
-		s.Offer(Head{}, b)
+		s.Merge(Head{}, b)
 	}
 	c := s.Current()
 	switch {
--- a/internal/platform/config/faults_test.go
+++ b/internal/platform/config/faults_test.go
@@ -14,7 +14,7 @@
 // injectFaults submits unique orders through random processes while processes
 // are partitioned, responses are lost, and the service is slow or restored from
 // older copies. It returns the orders that must be in force in the end.
-func (s *system) injectFaults(rng *rand.Rand) (outs []Target, presets []string) {
+func (s *system) injectFaults(rng *rand.Rand) (outOfService []Target, presets []string) {
 	copies := []kv.Copy{s.server.Copy()}
 	seen := make(map[int]map[Target]bool)
 	for i := range 60 {
@@ -33,8 +33,8 @@
 			s.exchange(p, rng.Intn(len(s.processes)))
 		case 5:
 			target := Endpoint(fmt.Sprint("e", i))
-			if _, err := s.submit(p, fmt.Sprint("out", i), 0, TakeOut{Target: target}); result.CodeOf(err) != result.WriteUnknown {
-				outs = append(outs, target)
+			if _, err := s.submit(p, fmt.Sprint("out", i), 0, TakeOutOfService{Target: target}); result.CodeOf(err) != result.WriteUnknown {
+				outOfService = append(outOfService, target)
 			}
 		case 6:
 			name := fmt.Sprint("p", i)
@@ -45,7 +45,7 @@
 			s.server.SetSlow(time.Duration(rng.Intn(1500)) * time.Millisecond)
 		}
 	}
-	return outs, presets
+	return outOfService, presets
 }
 
 // wantNothingReverted checks that targets seen out of service by a process
@@ -54,12 +54,12 @@
 	for p := range s.processes {
 		c := s.processes[p].Store.Current()
 		for target := range seen[p] {
-			if !c.IsOut(target) {
+			if !c.IsOutOfService(target) {
 				s.Errorf("process %d: %v is in service again", p, target)
 			}
 		}
 		seen[p] = make(map[Target]bool)
-		for _, o := range c.Head().Outs() {
+		for _, o := range c.Head().OutOfService() {
 			seen[p][o.Target()] = true
 		}
 		for _, d := range c.Holds() {
@@ -93,7 +93,7 @@
 	for seed := range int64(60) {
 		t.Run(fmt.Sprintf("seed%d", seed), func(t *testing.T) {
 			withSystem(t, 4, func(s *system) {
-				outs, presets := s.injectFaults(rand.New(rand.NewSource(seed)))
+				outOfService, presets := s.injectFaults(rand.New(rand.NewSource(seed)))
 				s.heal()
 				want := s.readStored(0)
 				for p := range s.processes {
@@ -102,8 +102,8 @@
 						t.Errorf("process %d has not converged", p)
 					}
 				}
-				for _, o := range outs {
-					if !want.IsOut(o) {
+				for _, o := range outOfService {
+					if !want.IsOutOfService(o) {
 						t.Errorf("%v was lost", o)
 					}
 				}
--- a/internal/platform/config/head.go
+++ b/internal/platform/config/head.go
@@ -73,9 +73,9 @@
 	return t.name < o.name
 }
 
-// Out is an entry of the document that keeps a target out of service. A target
-// may have several; bringing it in removes them all.
-type Out struct {
+// OutOfServiceEntry is an entry of the document that keeps a target out of
+// service. A target may have several; bringing it in removes them all.
+type OutOfServiceEntry struct {
 	target Target
 	dot    Dot
 	by     string
@@ -83,19 +83,19 @@
 }
 
 // Target returns the target that is out of service.
-func (o Out) Target() Target { return o.target }
+func (o OutOfServiceEntry) Target() Target { return o.target }
 
 // Dot returns the change that took the target out of service.
-func (o Out) Dot() Dot { return o.dot }
+func (o OutOfServiceEntry) Dot() Dot { return o.dot }
 
 // By returns the name of the operator who submitted the order.
-func (o Out) By() string { return o.by }
+func (o OutOfServiceEntry) By() string { return o.by }
 
 // At returns when the order was received, by the clock of the receiving
 // process.
-func (o Out) At() time.Time { return o.at }
+func (o OutOfServiceEntry) At() time.Time { return o.at }
 
-func (o Out) less(p Out) bool {
+func (o OutOfServiceEntry) less(p OutOfServiceEntry) bool {
 	if o.target != p.target {
 		return o.target.less(p.target)
 	}
@@ -132,12 +132,12 @@
 	dot          Dot
 	inForce      string
 	inForceSince uint64
-	presets      []Preset // sorted by name
-	outOfService []Out    // sorted by target and dot
-	floor        uint64   // all changes up to this generation count as seen
-	recent       []Dot    // changes above floor, sorted
-	settled      []Dot    // orders to take out and releases of holds, sorted
-	joined       bool     // join of concurrent heads that has no generation of its own yet
+	presets      []Preset            // sorted by name
+	outOfService []OutOfServiceEntry // sorted by target and dot
+	floor        uint64              // all changes up to this generation count as seen
+	recent       []Dot               // changes above floor, sorted
+	settled      []Dot               // orders to take out and releases of holds, sorted
+	joined       bool                // join of concurrent heads that has no generation of its own yet
 }
 
 // Generation returns the generation, which never decreases.
@@ -163,22 +163,24 @@
 // Presets returns all presets, sorted by name.
 func (h Head) Presets() []Preset { return append([]Preset(nil), h.presets...) }
 
-// Outs returns the entries that keep targets out of service.
-func (h Head) Outs() []Out { return append([]Out(nil), h.outOfService...) }
+// OutOfService returns the entries that keep targets out of service.
+func (h Head) OutOfService() []OutOfServiceEntry {
+	return append([]OutOfServiceEntry(nil), h.outOfService...)
+}
 
-// IsOut reports whether the target itself is out of service.
-func (h Head) IsOut(t Target) bool {
+// IsOutOfService reports whether the target itself is out of service.
+func (h Head) IsOutOfService(t Target) bool {
 	i := sort.Search(len(h.outOfService), func(i int) bool { return !h.outOfService[i].target.less(t) })
 	return i < len(h.outOfService) && h.outOfService[i].target == t
 }
 
-// Recent returns the changes listed in the head, oldest first.
-func (h Head) Recent() []Dot { return append([]Dot(nil), h.recent...) }
+// RecentChanges returns the changes listed in the head, oldest first.
+func (h Head) RecentChanges() []Dot { return append([]Dot(nil), h.recent...) }
 
-// Accepted reports whether the head lists a change with the id. The head lists
-// at least the latest maxRecent changes, and orders to take a target out and
-// releases of holds for longer.
-func (h Head) Accepted(changeID string) bool {
+// ListsChange reports whether the head lists a change with the id. The head
+// lists at least the latest maxRecent changes, and orders to take a target out
+// and releases of holds for longer.
+func (h Head) ListsChange(changeID string) bool {
 	return containsID(h.recent, changeID) || containsID(h.settled, changeID)
 }
 
--- a/internal/platform/config/hold.go
+++ b/internal/platform/config/hold.go
@@ -57,9 +57,9 @@
 // hold, its release.
 func (h Hold) recordedIn(head Head) bool {
 	if h.release != nil {
-		return head.Accepted(h.release.changeID)
+		return head.ListsChange(h.release.changeID)
 	}
-	return head.Accepted(h.changeID)
+	return head.ListsChange(h.changeID)
 }
 
 // joinHold returns the later state of one hold. If both are released, the
--- a/internal/platform/config/hold_test.go
+++ b/internal/platform/config/hold_test.go
@@ -15,26 +15,26 @@
 func TestHoldIsWrittenAfterPartition(t *testing.T) {
 	withSystem(t, 3, func(s *system) {
 		s.processes[0].partitioned, s.processes[1].partitioned = true, true
-		_, err := s.submit(0, "hold", 0, TakeOut{Target: north})
+		_, err := s.submit(0, "hold", 0, TakeOutOfService{Target: north})
 		wantCode(t, err, result.HeldLocally)
 		s.exchange(0, 1)
-		s.wantOut(0, north, true)
-		s.wantOut(1, north, true)
-		s.mustSubmit(2, "other", TakeOut{Target: Endpoint("x")})
+		s.wantOutOfService(0, north, true)
+		s.wantOutOfService(1, north, true)
+		s.mustSubmit(2, "other", TakeOutOfService{Target: Endpoint("x")})
 		s.processes[0].partitioned = false
 		s.repair(0)
-		if h := s.readStored(2); !h.IsOut(north) || !h.IsOut(Endpoint("x")) {
+		if h := s.readStored(2); !h.IsOutOfService(north) || !h.IsOutOfService(Endpoint("x")) {
 			t.Errorf("the hold or the concurrent order is missing in the document: %s", h.Encode())
 		}
-		s.mustSubmit(2, "in", BringIn{Target: north})
+		s.mustSubmit(2, "in", ReturnToService{Target: north})
 		for i := range 2 * maxRecent {
 			s.mustSubmit(2, fmt.Sprint("c", i), PutPreset{Name: "day", Body: []byte{byte(i)}})
 		}
-		s.wantOut(1, north, true)
+		s.wantOutOfService(1, north, true)
 		s.processes[1].partitioned = false
 		s.repair(1)
-		s.wantOut(1, north, false)
-		if h := s.readStored(2); h.IsOut(north) {
+		s.wantOutOfService(1, north, false)
+		if h := s.readStored(2); h.IsOutOfService(north) {
 			t.Error("the hold was written again after the data centre was brought in")
 		}
 	})
@@ -46,22 +46,22 @@
 func TestReleaseEndsOnlyItsHold(t *testing.T) {
 	withSystem(t, 3, func(s *system) {
 		s.processes[0].partitioned, s.processes[1].partitioned = true, true
-		_, err := s.submit(0, "hold", 0, TakeOut{Target: north})
+		_, err := s.submit(0, "hold", 0, TakeOutOfService{Target: north})
 		wantCode(t, err, result.HeldLocally)
-		_, err = s.submit(0, "hold2", 0, TakeOut{Target: Endpoint("x")})
+		_, err = s.submit(0, "hold2", 0, TakeOutOfService{Target: Endpoint("x")})
 		wantCode(t, err, result.HeldLocally)
 		s.exchange(0, 1)
 		s.processes[1].partitioned = false
 		s.repair(1)
-		s.mustSubmit(2, "theirs", TakeOut{Target: Endpoint("x")})
+		s.mustSubmit(2, "theirs", TakeOutOfService{Target: Endpoint("x")})
 		for _, target := range []Target{north, Endpoint("x")} {
-			_, err = s.submit(0, "in-"+target.Name(), 0, BringIn{Target: target})
+			_, err = s.submit(0, "in-"+target.Name(), 0, ReturnToService{Target: target})
 			wantCode(t, err, result.HeldLocally)
-			s.wantOut(0, target, false)
+			s.wantOutOfService(0, target, false)
 		}
 		s.processes[0].partitioned = false
 		s.repair(0)
-		if h := s.readStored(2); h.IsOut(north) || !h.IsOut(Endpoint("x")) {
+		if h := s.readStored(2); h.IsOutOfService(north) || !h.IsOutOfService(Endpoint("x")) {
 			t.Errorf("after the release: %s", h.Encode())
 		}
 	})
@@ -72,18 +72,18 @@
 func TestReleasedHoldStaysReleased(t *testing.T) {
 	withSystem(t, 2, func(s *system) {
 		s.processes[0].partitioned, s.processes[1].partitioned = true, true
-		_, _ = s.submit(0, "hold", 0, TakeOut{Target: north})
+		_, _ = s.submit(0, "hold", 0, TakeOutOfService{Target: north})
 		s.exchange(0, 1)
-		_, err := s.submit(0, "in", 0, BringIn{Target: north})
+		_, err := s.submit(0, "in", 0, ReturnToService{Target: north})
 		wantCode(t, err, result.HeldLocally)
 		s.processes[0].partitioned = false
 		s.repair(0)
 		s.processes[1].partitioned = false
 		s.repair(1)
-		if h := s.readStored(0); h.IsOut(north) {
+		if h := s.readStored(0); h.IsOutOfService(north) {
 			t.Errorf("the released hold was written: %s", h.Encode())
 		}
-		s.wantOut(1, north, false)
+		s.wantOutOfService(1, north, false)
 	})
 }
 
@@ -95,14 +95,14 @@
 		if !ok || p.Name() != "day" || string(body) != "d" {
 			t.Errorf("preset %v, body %q", p, body)
 		}
-		reply, _, err := s.processes[0].Store.Exchange(s.processes[1].Store.Summary(), nil)
+		reply, _, err := s.processes[0].Store.HandleMessage(s.processes[1].Store.DigestMessage(), nil)
 		if err != nil || len(reply) > 100 {
 			t.Errorf("a reply between equal stores has %d bytes, error %v", len(reply), err)
 		}
-		if _, _, err := s.processes[0].Store.Exchange([]byte(`{"digest":"","head":{}}`), nil); err != nil {
+		if _, _, err := s.processes[0].Store.HandleMessage([]byte(`{"digest":"","head":{}}`), nil); err != nil {
 			t.Errorf("an empty head was rejected: %v", err)
 		}
-		if _, _, err := s.processes[0].Store.Exchange([]byte("x"), nil); err == nil {
+		if _, _, err := s.processes[0].Store.HandleMessage([]byte("x"), nil); err == nil {
 			t.Error("a malformed message was accepted")
 		}
 	})
@@ -114,18 +114,18 @@
 	withSystem(t, 1, func(s *system) {
 		h := Head{}
 		for i := range maxOutOfService {
-			h = mustApply(s.T, h, fmt.Sprint("out", i), TakeOut{Target: Endpoint(fmt.Sprint(i))})
+			h = mustApply(s.T, h, fmt.Sprint("out", i), TakeOutOfService{Target: Endpoint(fmt.Sprint(i))})
 		}
 		_, _, err := s.processes[0].compareAndSwap(s.Context(), storedHead{}, h)
 		wantCode(t, err, result.OK)
 		s.processes[0].partitioned = true
-		_, err = s.submit(0, "hold", 0, TakeOut{Target: north})
+		_, err = s.submit(0, "hold", 0, TakeOutOfService{Target: north})
 		wantCode(t, err, result.HeldLocally)
 		s.processes[0].partitioned = false
-		s.mustSubmit(0, "in", BringIn{Target: Endpoint("0")})
-		s.wantOut(0, north, true)
+		s.mustSubmit(0, "in", ReturnToService{Target: Endpoint("0")})
+		s.wantOutOfService(0, north, true)
 		s.repair(0)
-		if h := s.readStored(0); !h.IsOut(north) {
+		if h := s.readStored(0); !h.IsOutOfService(north) {
 			t.Error("the hold was not written when there was room")
 		}
 	})
--- a/internal/platform/config/join.go
+++ b/internal/platform/config/join.go
@@ -5,7 +5,7 @@
 	"sort"
 )
 
-// Newer returns the join of two heads. It is commutative, associative and
+// JoinHeads returns the join of two heads. It is commutative, associative and
 // idempotent. The join has the higher generation of both and includes every
 // change that either has accepted. If one head descends from the other, the
 // join is that head.
@@ -14,7 +14,7 @@
 // older head from a peer, a delayed watch or a service restored from an older
 // copy. Work would otherwise return to a data centre that operators took out of
 // service.
-func Newer(a, b Head) Head {
+func JoinHeads(a, b Head) Head {
 	h := Head{dot: a.dot, floor: max(a.floor, b.floor)}
 	if h.dot.less(b.dot) {
 		h.dot = b.dot
@@ -24,7 +24,7 @@
 	if laterInForce(b, a) {
 		h.inForce, h.inForceSince = b.inForce, b.inForceSince
 	}
-	h.outOfService = joinOutEntries(a, b)
+	h.outOfService = joinOutOfService(a, b)
 	h.recent = joinDots(a.recent, b.recent, h.floor)
 	h.settled = joinDots(a.settled, b.settled, 0)
 	h.joined = isUnrecordedJoin(a, b)
@@ -35,7 +35,7 @@
 // isUnrecordedJoin reports whether the join of a and b is a document that no
 // process has written yet.
 func isUnrecordedJoin(a, b Head) bool {
-	ab, ba := Covers(a, b), Covers(b, a)
+	ab, ba := Includes(a, b), Includes(b, a)
 	switch {
 	case ab && ba:
 		return a.joined || b.joined
@@ -81,22 +81,22 @@
 	return ps
 }
 
-// joinOutEntries returns the entries that both heads have, and those of one
+// joinOutOfService returns the entries that both heads have, and those of one
 // head that the other has not seen. An entry that only one head has and the
 // other has seen was removed there.
-func joinOutEntries(a, b Head) []Out {
-	var entries []Out
+func joinOutOfService(a, b Head) []OutOfServiceEntry {
+	var entries []OutOfServiceEntry
 	for _, o := range a.outOfService {
-		p, both := b.findOutEntry(o)
+		p, both := b.findOutOfServiceEntry(o)
 		switch {
 		case both:
-			entries = append(entries, laterOutEntry(o, p))
+			entries = append(entries, laterOutOfServiceEntry(o, p))
 		case !b.seen(o.dot):
 			entries = append(entries, o)
 		}
 	}
 	for _, o := range b.outOfService {
-		if _, both := a.findOutEntry(o); !both && !a.seen(o.dot) {
+		if _, both := a.findOutOfServiceEntry(o); !both && !a.seen(o.dot) {
 			entries = append(entries, o)
 		}
 	}
@@ -104,21 +104,22 @@
 	return entries
 }
 
-// findOutEntry returns the head's entry with the target and change of o. The
-// entries are sorted, so joining two heads of n entries takes O(n log n) time.
-func (h Head) findOutEntry(o Out) (Out, bool) {
+// findOutOfServiceEntry returns the head's entry with the target and change of
+// o. The entries are sorted, so joining two heads of n entries takes O(n log n)
+// time.
+func (h Head) findOutOfServiceEntry(o OutOfServiceEntry) (OutOfServiceEntry, bool) {
 	i := sort.Search(len(h.outOfService), func(i int) bool { return !h.outOfService[i].less(o) })
 	if i == len(h.outOfService) || h.outOfService[i].target != o.target || h.outOfService[i].dot != o.dot {
-		return Out{}, false
+		return OutOfServiceEntry{}, false
 	}
 	return h.outOfService[i], true
 }
 
-// laterOutEntry chooses between two entries with the same target and change:
-// the later one, then the one with the greater operator name. They differ if
-// the order was submitted again through another process after the service had
-// been restored from a copy without it.
-func laterOutEntry(a, b Out) Out {
+// laterOutOfServiceEntry chooses between two entries with the same target and
+// change: the later one, then the one with the greater operator name. They
+// differ if the order was submitted again through another process after the
+// service had been restored from a copy without it.
+func laterOutOfServiceEntry(a, b OutOfServiceEntry) OutOfServiceEntry {
 	if a.at.Equal(b.at) && a.by > b.by || a.at.After(b.at) {
 		return a
 	}
@@ -151,9 +152,9 @@
 		slices.Equal(h.recent, o.recent) && slices.Equal(h.settled, o.settled)
 }
 
-// Covers reports whether a includes every change that b includes, so that their
-// join is a.
-func Covers(a, b Head) bool {
+// Includes reports whether a includes every change that b includes, so that
+// their join is a.
+func Includes(a, b Head) bool {
 	if a.dot.less(b.dot) || a.floor < b.floor {
 		return false
 	}
--- a/internal/platform/config/join_test.go
+++ b/internal/platform/config/join_test.go
@@ -61,20 +61,20 @@
 
 func targetOf(c Change) (Target, bool) {
 	switch c := c.(type) {
-	case TakeOut:
+	case TakeOutOfService:
 		return c.Target, true
-	case BringIn:
+	case ReturnToService:
 		return c.Target, true
 	default:
 		return Target{}, false
 	}
 }
 
-// isOut reports whether the target has an order to take it out that no later
-// order for the target has seen.
-func (n modelHead) isOut(t Target) bool {
+// isOutOfService reports whether the target has an order to take it out that no
+// later order for the target has seen.
+func (n modelHead) isOutOfService(t Target) bool {
 	for _, e := range n {
-		if out, ok := e.change.(TakeOut); ok && out.Target == t && !n.superseded(e) {
+		if out, ok := e.change.(TakeOutOfService); ok && out.Target == t && !n.superseded(e) {
 			return true
 		}
 	}
@@ -129,13 +129,13 @@
 
 func wantModel(t *rapid.T, h Head, n modelHead) {
 	for d := range n {
-		if !h.Accepted(d.changeID) || d.generation > h.Generation() {
+		if !h.ListsChange(d.changeID) || d.generation > h.Generation() {
 			t.Fatalf("change %v is missing in the head", d)
 		}
 	}
 	for _, target := range joinTargets {
-		if h.IsOut(target) != n.isOut(target) {
-			t.Fatalf("%v is out of service: %v, want %v", target, h.IsOut(target), n.isOut(target))
+		if h.IsOutOfService(target) != n.isOutOfService(target) {
+			t.Fatalf("%v is out of service: %v, want %v", target, h.IsOutOfService(target), n.isOutOfService(target))
 		}
 	}
 	want := n.presets()
@@ -158,9 +158,9 @@
 	case 1:
 		return SwitchPreset{Name: name}
 	case 2, 3:
-		return TakeOut{Target: target}
+		return TakeOutOfService{Target: target}
 	default:
-		return BringIn{Target: target}
+		return ReturnToService{Target: target}
 	}
 }
 
@@ -175,7 +175,7 @@
 			i := rapid.IntRange(0, replicas-1).Draw(t, "replica")
 			if rapid.Bool().Draw(t, "join") {
 				j := rapid.IntRange(0, replicas-1).Draw(t, "from")
-				heads[i] = Newer(heads[i], heads[j])
+				heads[i] = JoinHeads(heads[i], heads[j])
 				models[i] = models[i].join(models[j])
 			} else {
 				o := Order{ChangeID: fmt.Sprint("c", step), By: "op", Change: drawChange(t)}
@@ -208,32 +208,32 @@
 }
 
 func wantLaws(t *rapid.T, a, b, c Head) {
-	ab := Newer(a, b)
-	wantSame(t, "commutative", ab, Newer(b, a))
-	wantSame(t, "idempotent", ab, Newer(ab, b))
-	wantSame(t, "associative", Newer(ab, c), Newer(a, Newer(b, c)))
-	if !Covers(ab, a) || !Covers(ab, b) || ab.Generation() != max(a.Generation(), b.Generation()) {
-		t.Fatalf("the join does not cover the joined heads")
+	ab := JoinHeads(a, b)
+	wantSame(t, "commutative", ab, JoinHeads(b, a))
+	wantSame(t, "idempotent", ab, JoinHeads(ab, b))
+	wantSame(t, "associative", JoinHeads(ab, c), JoinHeads(a, JoinHeads(b, c)))
+	if !Includes(ab, a) || !Includes(ab, b) || ab.Generation() != max(a.Generation(), b.Generation()) {
+		t.Fatalf("the join does not include the joined heads")
 	}
 }
 
 func TestLongHistoryStaysBounded(t *testing.T) {
 	h := Head{}
 	for i := range 3 * maxSettled {
-		c := Change(TakeOut{Target: DataCentre("a")})
+		c := Change(TakeOutOfService{Target: DataCentre("a")})
 		if i%2 == 1 {
-			c = BringIn{Target: DataCentre("a")}
+			c = ReturnToService{Target: DataCentre("a")}
 		}
 		next, err := Apply(h, Order{ChangeID: fmt.Sprint("c", i), By: "op", Change: c}, epoch)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !Covers(next, h) || Covers(h, next) || Newer(h, next).Generation() != next.Generation() {
+		if !Includes(next, h) || Includes(h, next) || JoinHeads(h, next).Generation() != next.Generation() {
 			t.Fatalf("generation %d does not succeed the one before", next.Generation())
 		}
 		h = next
 	}
-	if _, err := DecodeHead(h.Encode()); err != nil || len(h.recent) != maxRecent || len(h.Encode()) > MaxHead {
+	if _, err := DecodeHead(h.Encode()); err != nil || len(h.recent) != maxRecent || len(h.Encode()) > MaxHeadBytes {
 		t.Errorf("%d recent changes, %d bytes, error %v", len(h.recent), len(h.Encode()), err)
 	}
 }
--- a/internal/platform/config/parts.go
+++ b/internal/platform/config/parts.go
@@ -14,7 +14,7 @@
 	if err := w.rewriteLost(ctx); err != nil {
 		return err
 	}
-	for _, d := range w.Store.Current().Missing() {
+	for _, d := range w.Store.Current().MissingParts() {
 		r, err := w.KV.Get(ctx, PartsPrefix+d)
 		if err != nil {
 			return err
@@ -24,7 +24,7 @@
 			w.markLost(d)
 			continue
 		}
-		w.Store.Offer(Head{}, kv.Value())
+		w.Store.Merge(Head{}, kv.Value())
 	}
 	return nil
 }
--- a/internal/platform/config/repair.go
+++ b/internal/platform/config/repair.go
@@ -35,7 +35,7 @@
 // the changes in between would be undone. Every writer repairs before it
 // applies a change, by the same compare-and-swap.
 func (w *Writer) repair(ctx context.Context, cur storedHead, now time.Time) (storedHead, bool, error) {
-	w.Store.Offer(cur.head)
+	w.Store.Merge(cur.head)
 	next, err := mergeKnown(cur.head, w.Store.Current(), now)
 	if err != nil {
 		return storedHead{}, false, err
@@ -48,7 +48,7 @@
 	}
 	written, ok, err := w.compareAndSwap(ctx, cur, next)
 	if ok && err == nil {
-		w.Store.Offer(next)
+		w.Store.Merge(next)
 	}
 	return written, ok, err
 }
@@ -57,7 +57,7 @@
 // join of concurrent heads gets a generation of its own, so that no two written
 // documents share one.
 func mergeKnown(stored Head, known *Snapshot, now time.Time) (Head, error) {
-	h := Newer(stored, known.head)
+	h := JoinHeads(stored, known.head)
 	if h.joined {
 		n, err := Apply(h, Order{ChangeID: joinChangeID(h), By: "join", Change: recordJoin{}}, now)
 		if err != nil {
@@ -88,7 +88,7 @@
 	if hold.recordedIn(h) {
 		return h, nil
 	}
-	o := Order{ChangeID: hold.changeID, By: hold.by, Change: TakeOut{Target: hold.target}}
+	o := Order{ChangeID: hold.changeID, By: hold.by, Change: TakeOutOfService{Target: hold.target}}
 	if hold.Released() {
 		o = Order{ChangeID: hold.release.changeID, By: hold.release.by, Change: releaseHold{holdID: hold.changeID}}
 	}
--- a/internal/platform/config/store.go
+++ b/internal/platform/config/store.go
@@ -16,19 +16,19 @@
 	parts  map[string][]byte // by digest
 	preset Preset            // the latest preset in force whose body is known
 
-	digest  string // of head and holds
-	summary []byte // the message that starts an exchange
+	digest        string // of head and holds
+	digestMessage []byte // the message that starts an exchange
 }
 
 var emptySnapshot = (&Snapshot{}).computeDigest()
 
-// computeDigest sets the digest and the summary once per change, because
+// computeDigest sets the digest and the digest message once per change, because
 // processes compare digests with each load report: at 128 agents that report up
 // to 20 times a second, encoding the document for each report would take a
 // fifth of a core.
 func (s *Snapshot) computeDigest() *Snapshot {
 	s.digest = snapshotDigest(s)
-	s.summary = mustMarshal(message{Digest: s.digest})
+	s.digestMessage = mustMarshal(message{Digest: s.digest})
 	return s
 }
 
@@ -53,9 +53,9 @@
 	return b, ok
 }
 
-// IsOut reports whether the document or a local hold keeps the target itself
-// out of service.
-func (s *Snapshot) IsOut(t Target) bool { return s.head.IsOut(t) || s.isHeld(t) }
+// IsOutOfService reports whether the document or a local hold keeps the target
+// itself out of service.
+func (s *Snapshot) IsOutOfService(t Target) bool { return s.head.IsOutOfService(t) || s.isHeld(t) }
 
 func (s *Snapshot) isHeld(t Target) bool {
 	for _, hold := range s.holds {
@@ -66,9 +66,9 @@
 	return false
 }
 
-// Missing returns the digests of the parts that the document references and the
-// store lacks. The part of the preset in force comes first.
-func (s *Snapshot) Missing() []string {
+// MissingParts returns the digests of the parts that the document references
+// and the store lacks. The part of the preset in force comes first.
+func (s *Snapshot) MissingParts() []string {
 	var ds []string
 	if p, ok := s.head.InForce(); ok && !s.hasPart(p.digest) {
 		ds = append(ds, p.digest)
@@ -87,7 +87,7 @@
 }
 
 // Store holds the newest configuration that the process has seen, in memory.
-// New documents are joined by Newer, so an older document never replaces a
+// New documents are joined by JoinHeads, so an older document never replaces a
 // newer one. The zero Store is empty and ready for use. A Store is safe for
 // concurrent use; Current takes no lock.
 type Store struct {
@@ -124,16 +124,16 @@
 	return emptySnapshot
 }
 
-// Offer joins a document and parts into the store and reports whether that
+// Merge joins a document and parts into the store and reports whether that
 // changed the configuration. Parts that the document does not reference are
 // dropped.
-func (s *Store) Offer(h Head, parts ...[]byte) bool {
+func (s *Store) Merge(h Head, parts ...[]byte) bool {
 	return s.join(h, nil, parts)
 }
 
-// EachChange calls f immediately and after each change until ctx is done. It
+// OnChange calls f immediately and after each change until ctx is done. It
 // returns nil.
-func (s *Store) EachChange(ctx context.Context, f func(context.Context)) error {
+func (s *Store) OnChange(ctx context.Context, f func(context.Context)) error {
 	c := s.Subscribe()
 	defer s.Unsubscribe(c)
 	for {
@@ -167,7 +167,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.Current()
-	next := &Snapshot{head: Newer(old.head, h), preset: old.preset}
+	next := &Snapshot{head: JoinHeads(old.head, h), preset: old.preset}
 	next.holds = joinHolds(old.holds, holds, next.head)
 	next.parts = joinParts(old, next.head, slices.Concat(parts, s.retainedParts))
 	if p, ok := next.head.InForce(); ok && next.hasPart(p.digest) {
--- a/internal/platform/config/validate.go
+++ b/internal/platform/config/validate.go
@@ -36,8 +36,8 @@
 	return true
 }
 
-// validate checks the properties of every head that Apply and Newer return. A
-// join may have twice as many presets and out-of-service entries as Apply
+// validate checks the properties of every head that Apply and JoinHeads return.
+// A join may have twice as many presets and out-of-service entries as Apply
 // allows.
 func (h Head) validate() error {
 	if h.dot.generation == 0 {
--- a/internal/platform/config/watcher.go
+++ b/internal/platform/config/watcher.go
@@ -26,10 +26,10 @@
 	// Writer repairs the document and writes holds into it. Its Store receives
 	// the document that was read.
 	Writer *Writer
-	// Period is the interval between reads that are independent of watch
+	// ReadInterval is the interval between reads that are independent of watch
 	// events. It limits for how long a watch with delayed events can hide a
 	// change.
-	Period time.Duration
+	ReadInterval time.Duration
 	// Timeout limits each repair and the following read of parts.
 	Timeout time.Duration
 	// Now returns the current time.
@@ -54,7 +54,7 @@
 	events := make(chan platform.WatchEvent)
 	done := make(chan error, 1)
 	go func() { done <- w.Source.Watch(ctx, HeadKey, 0, events) }()
-	t := time.NewTicker(w.Period)
+	t := time.NewTicker(w.ReadInterval)
 	defer t.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -100,7 +100,7 @@
 			w.logErrorChange(err)
 			continue
 		}
-		w.Writer.Store.Offer(h)
+		w.Writer.Store.Merge(h)
 	}
 	if len(e.Deleted) > 0 {
 		w.sync(ctx)
--- a/internal/platform/config/watcher_test.go
+++ b/internal/platform/config/watcher_test.go
@@ -41,14 +41,14 @@
 	changes chan struct{}
 }
 
-func startWatcher(t *testing.T, s *kv.Server, period time.Duration) *watchedProcess {
+func startWatcher(t *testing.T, s *kv.Server, readInterval time.Duration) *watchedProcess {
 	t.Helper()
 	c := &platform.Client{Addrs: []string{s.Addr()}, Timeout: testTimeout, Metrics: metrics.NewRegistry()}
 	runInBackground(t, c.Run)
 	w := &config.Writer{KV: c, Store: &config.Store{}}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	x := &config.Watcher{Source: c, Writer: w, Period: period, Timeout: testTimeout, Now: time.Now, Log: log, Metrics: metrics.NewRegistry()}
+	x := &config.Watcher{Source: c, Writer: w, ReadInterval: readInterval, Timeout: testTimeout, Now: time.Now, Log: log, Metrics: metrics.NewRegistry()}
 	runInBackground(t, x.Run)
 	return &watchedProcess{T: t, client: c, writer: w, changes: w.Store.Subscribe()}
 }
@@ -74,8 +74,8 @@
 	}
 }
 
-func isOut(target config.Target) func(*config.Snapshot) bool {
-	return func(s *config.Snapshot) bool { return s.IsOut(target) }
+func isOutOfService(target config.Target) func(*config.Snapshot) bool {
+	return func(s *config.Snapshot) bool { return s.IsOutOfService(target) }
 }
 
 func inForce(name, body string) func(*config.Snapshot) bool {
@@ -107,11 +107,11 @@
 func TestPeriodicReadFindsDelayedChange(t *testing.T) {
 	s := startServer(t)
 	a, b := startWatcher(t, s, time.Hour), startWatcher(t, s, 10*time.Millisecond)
-	a.submit("first", config.TakeOut{Target: config.Endpoint("x")})
-	b.waitFor("the first order", isOut(config.Endpoint("x")))
+	a.submit("first", config.TakeOutOfService{Target: config.Endpoint("x")})
+	b.waitFor("the first order", isOutOfService(config.Endpoint("x")))
 	s.HoldWatches(true)
-	a.submit("second", config.TakeOut{Target: config.DataCentre("north")})
-	b.waitFor("the order that the watch delays", isOut(config.DataCentre("north")))
+	a.submit("second", config.TakeOutOfService{Target: config.DataCentre("north")})
+	b.waitFor("the order that the watch delays", isOutOfService(config.DataCentre("north")))
 }
 
 // Changes are compacted before a delayed watch has sent them, which breaks the
@@ -119,13 +119,13 @@
 func TestWatchGapCausesRead(t *testing.T) {
 	s := startServer(t)
 	a, b := startWatcher(t, s, time.Hour), startWatcher(t, s, time.Hour)
-	a.submit("first", config.TakeOut{Target: config.Endpoint("x")})
-	b.waitFor("the first order", isOut(config.Endpoint("x")))
+	a.submit("first", config.TakeOutOfService{Target: config.Endpoint("x")})
+	b.waitFor("the first order", isOutOfService(config.Endpoint("x")))
 	s.HoldWatches(true)
-	a.submit("second", config.TakeOut{Target: config.DataCentre("north")})
+	a.submit("second", config.TakeOutOfService{Target: config.DataCentre("north")})
 	s.Compact()
 	s.HoldWatches(false)
-	b.waitFor("the compacted order", isOut(config.DataCentre("north")))
+	b.waitFor("the compacted order", isOutOfService(config.DataCentre("north")))
 }
 
 // The service is restored from a copy without an order. The restore breaks the
@@ -136,10 +136,10 @@
 	a := startWatcher(t, s, time.Hour)
 	a.submit("day", config.PutPreset{Name: "day", Body: []byte("d")})
 	old := s.Copy()
-	a.submit("out", config.TakeOut{Target: config.DataCentre("north")})
+	a.submit("out", config.TakeOutOfService{Target: config.DataCentre("north")})
 	s.Restore(old)
 	b := startWatcher(t, s, 10*time.Millisecond)
-	b.waitFor("the order lost by the restore", isOut(config.DataCentre("north")))
+	b.waitFor("the order lost by the restore", isOutOfService(config.DataCentre("north")))
 	b.waitFor("the preset", inForce("day", "d"))
 }
 
@@ -148,16 +148,16 @@
 func TestUnreadableDocumentKeepsConfiguration(t *testing.T) {
 	s := startServer(t)
 	a := startWatcher(t, s, 10*time.Millisecond)
-	a.submit("out", config.TakeOut{Target: config.DataCentre("north")})
+	a.submit("out", config.TakeOutOfService{Target: config.DataCentre("north")})
 	p := platform.Put{Key: config.HeadKey, Value: []byte("{")}
 	if _, err := a.client.PutIf(t.Context(), p); err != nil {
 		t.Fatal(err)
 	}
-	o := config.Order{ChangeID: "x", By: "op", Change: config.BringIn{Target: config.DataCentre("north")}}
+	o := config.Order{ChangeID: "x", By: "op", Change: config.ReturnToService{Target: config.DataCentre("north")}}
 	if _, err := a.writer.Submit(t.Context(), o, time.Now()); err == nil {
 		t.Error("a change was applied to a document that cannot be decoded")
 	}
-	if !a.writer.Store.Current().IsOut(config.DataCentre("north")) {
+	if !a.writer.Store.Current().IsOutOfService(config.DataCentre("north")) {
 		t.Error("the order is no longer in force")
 	}
 }
--- a/internal/platform/config/writer.go
+++ b/internal/platform/config/writer.go
@@ -29,10 +29,10 @@
 	KV platform.KV
 	// Store holds the configuration known to the process.
 	Store *Store
-	// Refresh, if set, exchanges the configuration with peers. It is called
+	// SyncPeers, if set, exchanges the configuration with peers. It is called
 	// before each change, so that even a process that was disconnected while
 	// newer changes were made detects a service restored from an older copy.
-	Refresh func(ctx context.Context)
+	SyncPeers func(ctx context.Context)
 
 	mu        sync.Mutex      // guards lostParts
 	lostParts map[string]bool // digests of parts missing in the service
@@ -71,8 +71,8 @@
 	if err := o.validate(); err != nil {
 		return Head{}, err
 	}
-	if w.Refresh != nil {
-		w.Refresh(ctx)
+	if w.SyncPeers != nil {
+		w.SyncPeers(ctx)
 	}
 	a := &attempt{w: w, order: o, now: now}
 	for {
@@ -112,7 +112,7 @@
 	if err != nil || !ok {
 		return Head{}, false, err
 	}
-	if cur.head.Accepted(a.order.ChangeID) {
+	if cur.head.ListsChange(a.order.ChangeID) {
 		return cur.head, true, nil
 	}
 	if cur.revision != a.pendingRevision {
@@ -142,16 +142,16 @@
 	if err != nil || !ok {
 		return Head{}, false, err
 	}
-	a.offer(next)
+	a.mergeIntoStore(next)
 	return next, true, nil
 }
 
-func (a *attempt) offer(h Head) {
+func (a *attempt) mergeIntoStore(h Head) {
 	if p, put := a.order.Change.(PutPreset); put {
-		a.w.Store.Offer(h, p.Body)
+		a.w.Store.Merge(h, p.Body)
 		return
 	}
-	a.w.Store.Offer(h)
+	a.w.Store.Merge(h)
 }
 
 // failureResult returns the result of a change after the service did not
@@ -161,9 +161,9 @@
 // undo the second.
 func (a *attempt) failureResult(err error) (Head, error) {
 	switch c := a.order.Change.(type) {
-	case TakeOut:
+	case TakeOutOfService:
 		return a.holdLocally(c.Target)
-	case BringIn:
+	case ReturnToService:
 		if h, err := a.releaseHolds(c.Target); err != nil {
 			return h, err
 		}
@@ -200,7 +200,7 @@
 // out of service. Its error is nil if there is no hold that can be released.
 func (a *attempt) releaseHolds(t Target) (Head, error) {
 	c := a.w.Store.Current()
-	if a.outcomeUnknown || c.head.IsOut(t) {
+	if a.outcomeUnknown || c.head.IsOutOfService(t) {
 		return Head{}, nil
 	}
 	r := release{changeID: a.order.ChangeID, by: a.order.By}
@@ -247,8 +247,8 @@
 		c = platform.RevisionIs{Key: HeadKey, Revision: cur.revision}
 	}
 	b := next.Encode()
-	if len(b) > MaxHead {
-		return storedHead{}, false, result.Newf(result.MalformedOrder, "the document would have %d bytes, the maximum is %d", len(b), MaxHead)
+	if len(b) > MaxHeadBytes {
+		return storedHead{}, false, result.Newf(result.MalformedOrder, "the document would have %d bytes, the maximum is %d", len(b), MaxHeadBytes)
 	}
 	r, err := w.KV.Txn(ctx, platform.Txn{
 		If:   []platform.Compare{c},
--- a/internal/platform/config/writer_test.go
+++ b/internal/platform/config/writer_test.go
@@ -75,27 +75,27 @@
 func (s *system) exchange(a, b int) {
 	s.Helper()
 	x, y := s.processes[a].Store, s.processes[b].Store
-	msg := x.Summary()
+	msg := x.DigestMessage()
 	for round := 0; msg != nil || round < 2; round++ {
 		if round == 10 {
 			s.Fatalf("processes %d and %d do not agree after 10 rounds", a, b)
 		}
 		if msg == nil {
-			msg = x.Summary() // another round to get the parts
+			msg = x.DigestMessage() // another round to get the parts
 		}
-		reply, parts, err := y.Exchange(msg, x.Current().Missing())
+		reply, parts, err := y.HandleMessage(msg, x.Current().MissingParts())
 		if err != nil {
 			s.Fatal(err)
 		}
-		if msg, err = x.Finish(reply, parts); err != nil {
+		if msg, err = x.HandleReply(reply, parts); err != nil {
 			s.Fatal(err)
 		}
 	}
 }
 
-func (s *system) wantOut(p int, t Target, want bool) {
+func (s *system) wantOutOfService(p int, t Target, want bool) {
 	s.Helper()
-	if got := s.processes[p].Store.Current().IsOut(t); got != want {
+	if got := s.processes[p].Store.Current().IsOutOfService(t); got != want {
 		s.Errorf("process %d: %v is out of service: %v, want %v", p, t, got, want)
 	}
 }
@@ -140,11 +140,11 @@
 	withSystem(t, 3, func(s *system) {
 		var wg sync.WaitGroup
 		for i := range 30 {
-			wg.Go(func() { s.mustSubmit(i%3, fmt.Sprint("c", i), TakeOut{Target: Endpoint(fmt.Sprint(i))}) })
+			wg.Go(func() { s.mustSubmit(i%3, fmt.Sprint("c", i), TakeOutOfService{Target: Endpoint(fmt.Sprint(i))}) })
 		}
 		wg.Wait()
-		if h := s.readStored(0); h.Generation() != 30 || len(h.Outs()) != 30 {
-			t.Errorf("generation %d, %d targets out of service, want 30 of each", h.Generation(), len(h.Outs()))
+		if h := s.readStored(0); h.Generation() != 30 || len(h.OutOfService()) != 30 {
+			t.Errorf("generation %d, %d targets out of service, want 30 of each", h.Generation(), len(h.OutOfService()))
 		}
 	})
 }
@@ -154,13 +154,13 @@
 // was made.
 func TestLostResponseIsResolvedByChangeID(t *testing.T) {
 	withSystem(t, 1, func(s *system) {
-		s.mustSubmit(0, "a", TakeOut{Target: north})
+		s.mustSubmit(0, "a", TakeOutOfService{Target: north})
 		s.server.LoseAnswers(1)
-		s.mustSubmit(0, "b", BringIn{Target: north})
-		if h := s.readStored(0); h.Generation() != 2 || h.IsOut(north) {
-			t.Errorf("generation %d, out of service: %v, want 2 and false", h.Generation(), h.IsOut(north))
+		s.mustSubmit(0, "b", ReturnToService{Target: north})
+		if h := s.readStored(0); h.Generation() != 2 || h.IsOutOfService(north) {
+			t.Errorf("generation %d, out of service: %v, want 2 and false", h.Generation(), h.IsOutOfService(north))
 		}
-		s.mustSubmit(0, "b", BringIn{Target: north})
+		s.mustSubmit(0, "b", ReturnToService{Target: north})
 		if h := s.readStored(0); h.Generation() != 2 {
 			t.Errorf("a repeated order created generation %d", h.Generation())
 		}
@@ -192,7 +192,7 @@
 		s.server.SetDown(true)
 		_, err := s.submit(0, "b", 0, SwitchPreset{Name: "day"})
 		wantCode(t, err, result.PlatformRefused)
-		_, err = s.submit(0, "c", 0, BringIn{Target: north})
+		_, err = s.submit(0, "c", 0, ReturnToService{Target: north})
 		wantCode(t, err, result.PlatformRefused)
 		s.server.SetDown(false)
 		if h := s.readStored(0); h.Generation() != 1 {
@@ -251,21 +251,21 @@
 		s.repair(1)
 		s.repair(2)
 		old := s.server.Copy()
-		s.mustSubmit(0, "out", TakeOut{Target: north})
+		s.mustSubmit(0, "out", TakeOutOfService{Target: north})
 		g := s.mustSubmit(0, "late", PutPreset{Name: "late", Body: []byte("l")}).Generation()
 		s.server.Restore(old)
-		s.mustSubmit(1, "fork", TakeOut{Target: Endpoint("x")})
+		s.mustSubmit(1, "fork", TakeOutOfService{Target: Endpoint("x")})
 		s.repair(0)
 		s.repair(1)
 		h := s.readStored(2)
-		if !h.IsOut(north) || !h.IsOut(Endpoint("x")) || h.Generation() <= g || !h.Accepted("late") {
+		if !h.IsOutOfService(north) || !h.IsOutOfService(Endpoint("x")) || h.Generation() <= g || !h.ListsChange("late") {
 			t.Errorf("document after the restore: %s", h.Encode())
 		}
 		body, err := s.processes[2].KV.Get(s.Context(), PartsPrefix+Digest([]byte("l")))
 		if _, ok := body.First(); err != nil || !ok {
 			t.Error("the part lost by the restore was not written again")
 		}
-		s.wantOut(1, north, true)
+		s.wantOutOfService(1, north, true)
 	})
 }
 
@@ -275,10 +275,10 @@
 func TestChangeAfterRestoreRepairsFirst(t *testing.T) {
 	withSystem(t, 1, func(s *system) {
 		old := s.server.Copy()
-		s.mustSubmit(0, "out", TakeOut{Target: north})
+		s.mustSubmit(0, "out", TakeOutOfService{Target: north})
 		s.server.Restore(old)
-		s.mustSubmit(0, "b", TakeOut{Target: Endpoint("x")})
-		if h := s.readStored(0); !h.IsOut(north) || h.Generation() != 2 {
+		s.mustSubmit(0, "b", TakeOutOfService{Target: Endpoint("x")})
+		if h := s.readStored(0); !h.IsOutOfService(north) || h.Generation() != 2 {
 			t.Errorf("stored document: %s", h.Encode())
 		}
 	})
