--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -55,7 +55,7 @@
 	attemptCount atomic.Uint64
 	peers        *peer.Server
 	ranks        *rank.Runner
-	rankConns    peer.Conns
+	rankConns    peer.ConnPool
 	stopWork     context.CancelFunc
 	// announced says that the agent has told that it leaves, and leaving that
 	// it takes no more work.
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -39,7 +39,7 @@
 func (a *Agent) newBatcher() *claim.Batcher {
 	return &claim.Batcher{
 		KV:             a.platform,
-		Agent:          a.peers.Address(),
+		Agent:          a.peers.ListenAddr(),
 		Endpoint:       a.Settings.EndpointName,
 		Incarnation:    a.incarnation,
 		DispatchWindow: claim.DispatchWindow,
--- a/internal/agent/ranks.go
+++ b/internal/agent/ranks.go
@@ -40,7 +40,7 @@
 		return nil, err
 	}
 	incarnation := uint64(a.now().UnixNano())
-	a.rankConns = peer.Conns{TLS: a.TLS.Client, Dial: a.Dial}
+	a.rankConns = peer.ConnPool{TLS: a.TLS.Client, Dial: a.Dial}
 	return &rank.Runner{
 		Group: s.Group, Index: a.Settings.RankIndex(), Peers: rankPeers(s), Incarnation: incarnation,
 		Engine: &endpoint.Ranks{Client: a.client},
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -83,12 +83,12 @@
 }
 
 // Address returns where other processes are met, as IP:port.
-func (a *Agent) Address() string { return a.peers.Address() }
+func (a *Agent) Address() string { return a.peers.ListenAddr() }
 
 func (a *Agent) service() *peer.Service {
 	return &peer.Service{
 		Name: a.Settings.Name, DataCentre: a.Settings.DataCentre,
-		Clock: &a.clock, Ring: a.ring, Store: &a.store,
+		Clock: &a.clock, Events: a.ring, Store: &a.store,
 		State: a.status, Now: a.now,
 	}
 }
--- a/internal/capacity/mesh.go
+++ b/internal/capacity/mesh.go
@@ -85,7 +85,7 @@
 		}
 	}
 	for _, e := range tell {
-		for _, to := range e.table.OnChange() {
+		for _, to := range e.table.RumourTargets() {
 			m.exchange(ctx, e, to)
 		}
 	}
@@ -94,7 +94,7 @@
 // turns lets each entry take its periodic turn.
 func (m *mesh) turns(ctx context.Context) {
 	for _, e := range m.nodes {
-		if to, ok := e.table.Periodic(); ok && !m.dead[e.self.Name] {
+		if to, ok := e.table.NextExchange(); ok && !m.dead[e.self.Name] {
 			m.exchange(ctx, e, to)
 		}
 	}
@@ -102,8 +102,8 @@
 
 func (m *mesh) exchange(ctx context.Context, e *meshNode, to spread.Node) {
 	c := &meshClient{mesh: m, from: e, to: m.byName[to.Name]}
-	err := peer.Exchange(ctx, c, &e.store, &e.clock, meshNow)
-	e.table.Answered(to.Name, err == nil)
+	err := peer.SyncConfig(ctx, c, &e.store, &e.clock, meshNow)
+	e.table.RecordResponse(to.Name, err == nil)
 }
 
 // knowing returns how many entries have at least the generation.
@@ -121,7 +121,7 @@
 func (m *mesh) readers(dc string) int {
 	n := 0
 	for _, e := range m.nodes {
-		if e.self.DataCentre == dc && !m.dead[e.self.Name] && e.table.Watches() {
+		if e.self.DataCentre == dc && !m.dead[e.self.Name] && e.table.IsReader() {
 			n++
 		}
 	}
--- a/internal/capacity/mesh_test.go
+++ b/internal/capacity/mesh_test.go
@@ -78,12 +78,12 @@
 	m := newMesh(60, 3, h, body)
 	ctx := context.Background()
 	for _, dc := range []string{"dc-0", "dc-1", "dc-2"} {
-		if n := m.readers(dc); n != spread.Watchers {
-			t.Errorf("%s has %d readers, want %d", dc, n, spread.Watchers)
+		if n := m.readers(dc); n != spread.ReadersPerDataCentre {
+			t.Errorf("%s has %d readers, want %d", dc, n, spread.ReadersPerDataCentre)
 		}
 	}
 	for _, e := range m.nodes {
-		if e.self.DataCentre == "dc-0" && e.table.Watches() {
+		if e.self.DataCentre == "dc-0" && e.table.IsReader() {
 			m.dead[e.self.Name] = true
 		}
 	}
@@ -93,14 +93,14 @@
 	for range 24 {
 		m.turns(ctx)
 	}
-	if n := m.readers("dc-0"); n != spread.Watchers {
-		t.Errorf("dc-0 has %d readers after the others died, want %d", n, spread.Watchers)
+	if n := m.readers("dc-0"); n != spread.ReadersPerDataCentre {
+		t.Errorf("dc-0 has %d readers after the others died, want %d", n, spread.ReadersPerDataCentre)
 	}
 	clear(m.dead)
 	for range 40 {
 		m.turns(ctx)
 	}
-	if n := m.readers("dc-0"); n != spread.Watchers {
-		t.Errorf("dc-0 has %d readers after the others came back, want %d", n, spread.Watchers)
+	if n := m.readers("dc-0"); n != spread.ReadersPerDataCentre {
+		t.Errorf("dc-0 has %d readers after the others came back, want %d", n, spread.ReadersPerDataCentre)
 	}
 }
--- a/internal/demo/readers_test.go
+++ b/internal/demo/readers_test.go
@@ -33,7 +33,7 @@
 			}
 			idle = e
 		}
-		return n == spread.Watchers
+		return n == spread.ReadersPerDataCentre
 	})
 	return idle
 }
@@ -44,7 +44,7 @@
 // that learns from the service alone gives the endpoint work.
 func TestHoldAtAnyEntryReachesThePlatform(t *testing.T) {
 	s := &System{
-		DataCentres: []string{"a"}, Entries: spread.Watchers + 2, Engines: 1,
+		DataCentres: []string{"a"}, Entries: spread.ReadersPerDataCentre + 2, Engines: 1,
 		EngineSettings: engine.Settings{Capacity: 8, ColdBound: 2, WarmAfter: 4, TokenMicros: 200},
 		Preset:         Preset("ordinary", 1),
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -59,7 +59,7 @@
 	view      atomic.Pointer[view]
 	scheduler scheduler
 	members   members
-	conns     peer.Conns
+	conns     peer.ConnPool
 	pace      pace
 	counters  counters
 	sequence  atomic.Uint64
@@ -167,12 +167,12 @@
 func (e *Entry) CallerAddress() string { return e.callers.Address() }
 
 // PeerAddress returns where other processes are met, as IP:port.
-func (e *Entry) PeerAddress() string { return e.peers.Address() }
+func (e *Entry) PeerAddress() string { return e.peers.ListenAddr() }
 
 func (e *Entry) service() *peer.Service {
 	return &peer.Service{
 		Name: e.Settings.Name, DataCentre: e.Settings.DataCentre,
-		Clock: &e.clock, Ring: e.ring, Store: &e.store,
+		Clock: &e.clock, Events: e.ring, Store: &e.store,
 		State: e.status, Now: e.now,
 	}
 }
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -53,7 +53,7 @@
 // members are the agents of the entry's subset. Set the exported fields before
 // Run.
 type members struct {
-	conns *peer.Conns
+	conns *peer.ConnPool
 	store *config.Store
 	clock *timeline.Clock
 	ring  *timeline.Ring
@@ -96,7 +96,7 @@
 	m.mu.Unlock()
 	for _, one := range gone {
 		one.end()
-		m.conns.Drop(one.addr)
+		m.conns.Remove(one.addr)
 		m.drop(one)
 	}
 }
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -23,7 +23,7 @@
 
 // everyone returns this process and all that it knows of, by name.
 func (e *Entry) everyone() map[string]string {
-	all := map[string]string{e.Settings.Name: e.peers.Address()}
+	all := map[string]string{e.Settings.Name: e.peers.ListenAddr()}
 	for _, v := range e.directory.entries() {
 		all[v.ID()] = v.Address()
 	}
--- a/internal/entry/push.go
+++ b/internal/entry/push.go
@@ -60,7 +60,7 @@
 	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
 	// A peer that can't be reached is tried again at its next report.
-	_ = peer.Exchange(ctx, peerpb.NewPeerClient(cc), m.store, m.clock, m.now)
+	_ = peer.SyncConfig(ctx, peerpb.NewPeerClient(cc), m.store, m.clock, m.now)
 }
 
 // pushAll hands a change to the agents that do not get it from another entry
--- a/internal/entry/silent_test.go
+++ b/internal/entry/silent_test.go
@@ -44,7 +44,7 @@
 			t.Error(err)
 		}
 	})
-	conns := &peer.Conns{}
+	conns := &peer.ConnPool{}
 	defer conns.Close()
 	heard := 0
 	m := &members{
@@ -54,7 +54,7 @@
 	m.ring = &timeline.Ring{Clock: m.clock}
 	waitCtx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
-	m.follow(waitCtx, &member{addr: srv.Address(), attempts: map[*job]context.CancelCauseFunc{}})
+	m.follow(waitCtx, &member{addr: srv.ListenAddr(), attempts: map[*job]context.CancelCauseFunc{}})
 	if waitCtx.Err() != nil || heard == 0 {
 		t.Errorf("the stream of a frozen agent was followed to the end of the test, %d reports", heard)
 	}
--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -62,7 +62,7 @@
 	for {
 		select {
 		case <-changed:
-			s.exchange(ctx, s.onChange())
+			s.exchange(ctx, s.rumourTargets())
 		case <-t.C:
 			s.exchange(ctx, s.periodic())
 		case <-ctx.Done():
@@ -71,10 +71,10 @@
 	}
 }
 
-func (s *spreading) onChange() []spread.Node {
+func (s *spreading) rumourTargets() []spread.Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.OnChange()
+	return s.table.RumourTargets()
 }
 
 // periodic takes in the newest list of entries and returns whose turn it is.
@@ -83,7 +83,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Set(nodes)
-	n, ok := s.table.Periodic()
+	n, ok := s.table.NextExchange()
 	if !ok {
 		return nil
 	}
@@ -122,7 +122,7 @@
 	}
 	limited, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	err = peer.Exchange(limited, peerpb.NewPeerClient(cc), &e.store, &e.clock, e.now)
+	err = peer.SyncConfig(limited, peerpb.NewPeerClient(cc), &e.store, &e.clock, e.now)
 	if ctx.Err() != nil {
 		return
 	}
@@ -132,21 +132,21 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.Answered(n.Name, err == nil)
+	s.table.RecordResponse(n.Name, err == nil)
 }
 
 // refresh asks some peers for their configuration before a change is written.
 func (s *spreading) syncPeers(ctx context.Context) {
 	s.mu.Lock()
-	nodes := s.table.Ask(syncPeerCount)
+	nodes := s.table.SamplePeers(syncPeerCount)
 	s.mu.Unlock()
 	s.exchange(ctx, nodes)
 }
 
-func (s *spreading) watches() bool {
+func (s *spreading) isReader() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Watches()
+	return s.table.IsReader()
 }
 
 // read follows the platform's document while this entry is one of its data
@@ -158,7 +158,7 @@
 		now := s.entry.now()
 		s.reach()
 		switch {
-		case s.watches():
+		case s.isReader():
 			last = now
 			if w == nil {
 				w = s.startReading(ctx)
--- a/internal/frontend/apply.go
+++ b/internal/frontend/apply.go
@@ -153,7 +153,7 @@
 
 func (f *Frontend) removeMember(name string, now time.Time) {
 	f.state.SetEntry(name, false, now)
-	f.peerConns.Drop(f.members.remove(name))
+	f.peerConns.Remove(f.members.remove(name))
 	if name == f.Settings.Name {
 		f.leaseSuspect.Raise()
 	}
--- a/internal/frontend/document.go
+++ b/internal/frontend/document.go
@@ -143,10 +143,10 @@
 		return nil, err
 	}
 	p, err := fleetpb.NewEntryClient(conn).Document(ctx, &fleetpb.DocumentRequest{
-		Held: f.documents.Newest().Revision, Asker: f.peerServer.Address(),
+		Held: f.documents.Newest().Revision, Asker: f.peerServer.ListenAddr(),
 	})
 	if err != nil {
-		f.peerConns.DropSilent(address)
+		f.peerConns.RemoveUnresponsive(address)
 	}
 	return p, err
 }
--- a/internal/frontend/follow.go
+++ b/internal/frontend/follow.go
@@ -50,7 +50,7 @@
 		case answer == readers.OwnState:
 			f.Log.WithFields(logrus.Fields{"entry": name}).Info("entry gets its store updates from this one")
 		case err != nil:
-			f.peerConns.DropSilent(local[name].Address)
+			f.peerConns.RemoveUnresponsive(local[name].Address)
 			f.Log.WithFields(logrus.Fields{"entry": name, "cause": err.Error()}).Info("entry did not return store updates")
 		default:
 			f.Log.WithFields(logrus.Fields{"entry": name}).Info("entry cannot reach the store")
--- a/internal/frontend/follow_test.go
+++ b/internal/frontend/follow_test.go
@@ -183,7 +183,7 @@
 		f := &Frontend{Settings: &settings.Relay{}, Log: process.NewBoundedLog("entry", "a"), Output: io.Discard}
 		f.Settings.PlatformAddresses = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}
 		f.build()
-		f.peerConns = &peer.Conns{}
+		f.peerConns = &peer.ConnPool{}
 		ep := standin.StartEndpoint("i-1", 1)
 		t.Cleanup(ep.Close)
 		key, value := ep.Entry("s", "a", "ready")
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -84,7 +84,7 @@
 	callerServer *caller.Server
 	readyServer  *caller.Server
 	peerServer   *peer.Server
-	peerConns    *peer.Conns
+	peerConns    *peer.ConnPool
 	stopping     atomic.Bool
 	bounds       atomic.Pointer[settings.Bounds]
 	storeStatus  readers.Freshness
@@ -135,7 +135,7 @@
 		Addr: s.ReadyAddress.String(), BodyLimit: maxBodyBytes, MaxConns: maxConns,
 		ReadTimeout: readTimeout, IdleTimeout: idleTimeout, Forwarder: readiness{f},
 	}
-	f.peerConns = &peer.Conns{}
+	f.peerConns = &peer.ConnPool{}
 	f.peerServer = &peer.Server{Addr: s.PeerAddress.String(), Register: func(g grpc.ServiceRegistrar) {
 		fleetpb.RegisterEntryServer(g, &service{frontend: f})
 	}}
@@ -200,7 +200,7 @@
 func (f *Frontend) Run(ctx context.Context) error {
 	registrar := &fleet.Registrar{Store: f.store, OnError: f.callFailed, RenewNow: &f.leaseSuspect, Member: fleet.Member{
 		Kind: fleet.Entry, Name: f.Settings.Name, DataCentre: f.Settings.DataCentre,
-		Address: f.peerServer.Address(),
+		Address: f.peerServer.ListenAddr(),
 	}}
 	parts := []process.Part{
 		f.mirror.Run, registrar.Run, f.workReporter.run, f.forwardWork, f.refreshFromPeers, f.fetchDocuments, f.watchSettings, f.peerServer.Run, f.relay.CloseIdleConns,
--- a/internal/frontend/work.go
+++ b/internal/frontend/work.go
@@ -158,6 +158,6 @@
 	f.Log.WithFields(logrus.Fields{"entry": m.Name, "cause": err.Error()}).Debug("work report not delivered")
 	r.tree.NoteFailure(m.Name, boottime.Now())
 	if status.Code(err) == codes.DeadlineExceeded {
-		f.peerConns.DropSilent(m.Address)
+		f.peerConns.RemoveUnresponsive(m.Address)
 	}
 }
--- a/internal/frontend/work_test.go
+++ b/internal/frontend/work_test.go
@@ -85,7 +85,7 @@
 		}},
 		Log: process.NewBoundedLog("a", "x"), Output: io.Discard,
 	}
-	f.peerConns = &peer.Conns{}
+	f.peerConns = &peer.ConnPool{}
 	f.build()
 	key := func(name string) kv.KeyValue {
 		m := fleet.Member{Kind: fleet.Entry, Name: name}
--- a/internal/peer/conns.go
+++ b/internal/peer/conns.go
@@ -35,9 +35,9 @@
 	keepaliveTimeout  = 5 * time.Second
 )
 
-// Conns maintains one connection to each peer. Set the exported fields before the
-// first call. A Conns is safe for concurrent use.
-type Conns struct {
+// ConnPool maintains one connection to each peer. Set the exported fields before the
+// first call. A ConnPool is safe for concurrent use.
+type ConnPool struct {
 	// TLS is the client configuration for mutual TLS; nil means plain TCP.
 	TLS *tls.Config
 	// Dial opens connections; nil means TCP. Tests use it to cut connections.
@@ -51,30 +51,30 @@
 // Get returns the connection to the peer at addr, which is IP:port, and creates it if
 // there is none. It does not wait until the connection is ready. It returns an error
 // for an invalid address and after Close.
-func (c *Conns) Get(addr string) (*grpc.ClientConn, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closed {
+func (p *ConnPool) Get(addr string) (*grpc.ClientConn, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
 		return nil, eris.New("connections are closed")
 	}
-	if cc, ok := c.conns[addr]; ok {
+	if cc, ok := p.conns[addr]; ok {
 		return cc, nil
 	}
-	cc, err := grpc.NewClient("passthrough:///"+addr, c.options()...)
+	cc, err := grpc.NewClient("passthrough:///"+addr, p.options()...)
 	if err != nil {
 		return nil, eris.Wrap(err, "peer "+addr)
 	}
-	if c.conns == nil {
-		c.conns = map[string]*grpc.ClientConn{}
+	if p.conns == nil {
+		p.conns = map[string]*grpc.ClientConn{}
 	}
-	c.conns[addr] = cc
+	p.conns[addr] = cc
 	return cc, nil
 }
 
-func (c *Conns) options() []grpc.DialOption {
+func (p *ConnPool) options() []grpc.DialOption {
 	creds := insecure.NewCredentials()
-	if c.TLS != nil {
-		creds = credentials.NewTLS(c.TLS)
+	if p.TLS != nil {
+		creds = credentials.NewTLS(p.TLS)
 	}
 	reconnect := backoff.DefaultConfig
 	reconnect.BaseDelay = 50 * time.Millisecond
@@ -88,46 +88,47 @@
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 		grpc.WithDisableServiceConfig(),
 	}
-	if c.Dial != nil {
-		opts = append(opts, grpc.WithContextDialer(c.Dial))
+	if p.Dial != nil {
+		opts = append(opts, grpc.WithContextDialer(p.Dial))
 	}
 	return opts
 }
 
-// Drop closes the connection to a peer that has left, if there is one.
-func (c *Conns) Drop(addr string) {
-	c.mu.Lock()
-	cc := c.conns[addr]
-	delete(c.conns, addr)
-	c.mu.Unlock()
+// Remove closes the connection to a peer that has left, if there is one.
+func (p *ConnPool) Remove(addr string) {
+	p.mu.Lock()
+	cc := p.conns[addr]
+	delete(p.conns, addr)
+	p.mu.Unlock()
 	if cc != nil {
 		_ = cc.Close()
 	}
 }
 
-// DropSilent closes the connection to a peer that did not respond in time, if it is
-// ready: the peer may never respond on it again while a new connection would work.
+// RemoveUnresponsive closes the connection to a peer that did not respond in time, if
+// it is ready: the peer may never respond on it again while a new connection would
+// work.
 //
 // A connection that is still being set up is kept. When a hundred agents start at
 // once and connect to each other over links of some Mbit/s, each call that times out
 // during the setup would otherwise restart it, and no connection would ever become
 // ready.
-func (c *Conns) DropSilent(addr string) {
-	c.mu.Lock()
-	cc := c.conns[addr]
-	c.mu.Unlock()
+func (p *ConnPool) RemoveUnresponsive(addr string) {
+	p.mu.Lock()
+	cc := p.conns[addr]
+	p.mu.Unlock()
 	if cc != nil && cc.GetState() == connectivity.Ready {
-		c.Drop(addr)
+		p.Remove(addr)
 	}
 }
 
 // Close closes all connections. Get then returns an error.
-func (c *Conns) Close() {
-	c.mu.Lock()
-	conns := c.conns
-	c.conns = nil
-	c.closed = true
-	c.mu.Unlock()
+func (p *ConnPool) Close() {
+	p.mu.Lock()
+	conns := p.conns
+	p.conns = nil
+	p.closed = true
+	p.mu.Unlock()
 	for _, cc := range conns {
 		_ = cc.Close()
 	}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -34,7 +34,7 @@
 	ln net.Listener
 }
 
-// Listen opens the listener, so that Address can be used before Run. It returns a
+// Listen opens the listener, so that ListenAddr can be used before Run. It returns a
 // result.AddressInUse error if it can't listen on Addr.
 func (s *Server) Listen() error {
 	ln, err := net.Listen("tcp", s.Addr)
@@ -45,9 +45,9 @@
 	return nil
 }
 
-// Address returns the address of the listener, as IP:port. Listen must have succeeded
-// before.
-func (s *Server) Address() string { return s.ln.Addr().String() }
+// ListenAddr returns the address of the listener, as IP:port. Listen must have
+// succeeded before.
+func (s *Server) ListenAddr() string { return s.ln.Addr().String() }
 
 // Run serves until ctx ends, after calling Listen if that has not been done. When ctx
 // ends, Run aborts open calls; for a graceful shutdown ctx must end only after they
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -32,7 +32,7 @@
 	Name       string
 	DataCentre string
 	Clock      *timeline.Clock
-	Ring       *timeline.Ring
+	Events     *timeline.Ring
 	Store      *config.Store
 	// State returns the status of the process; it must not be nil.
 	State func() *peerpb.StatusReply
@@ -85,9 +85,9 @@
 	return h + uint64(len(s.Current().MissingParts()))
 }
 
-// Exchange synchronizes the configurations of this process and a peer: both then hold
-// the join of the two. It stops after maxSyncRounds calls.
-func Exchange(ctx context.Context, c peerpb.PeerClient, s *config.Store, clock *timeline.Clock, now func() time.Time) error {
+// SyncConfig synchronizes the configurations of this process and a peer: both then
+// hold the join of the two. It stops after maxSyncRounds calls.
+func SyncConfig(ctx context.Context, c peerpb.PeerClient, s *config.Store, clock *timeline.Clock, now func() time.Time) error {
 	msg := s.DigestMessage()
 	var partsToSend map[string][]byte
 	for range maxSyncRounds {
@@ -134,7 +134,7 @@
 	if d := r.GetDataCentre(); d != "" && d != s.DataCentre {
 		return nil
 	}
-	events := s.Ring.Select(timeline.Filter{
+	events := s.Events.Select(timeline.Filter{
 		RequestID: r.GetRequestId(),
 		Endpoint:  r.GetEndpoint(),
 		Kind:      timeline.Kind(r.GetKind()),
--- a/internal/peer/spread/doc.go
+++ b/internal/peer/spread/doc.go
@@ -3,11 +3,11 @@
 //
 // # Readers
 //
-// Each data centre has Watchers readers: the first responsive ones of its entries in
-// the order of rendezvous hashing (Thaler and Ravishankar, 1998). Each entry computes
-// this order from the list of VMs. While the lists of entries differ, there may be
-// some additional readers. An entry that does not respond to an exchange is replaced
-// by the next one in the order until it responds again or leaves the list.
+// Each data centre has ReadersPerDataCentre readers: the first responsive ones of its
+// entries in the order of rendezvous hashing (Thaler and Ravishankar, 1998). Each
+// entry computes this order from the list of VMs. While the lists of entries differ,
+// there may be some additional readers. An entry that does not respond to an exchange
+// is replaced by the next one in the order until it responds again or leaves the list.
 //
 // # Propagation of changes
 //
--- a/internal/peer/spread/table.go
+++ b/internal/peer/spread/table.go
@@ -9,10 +9,11 @@
 )
 
 const (
-	// Watchers is the number of readers in a data centre. With three, one may be frozen
-	// and another disconnected. In 19 data centres this makes 57 watches; a watch for each
-	// of 670 entries would take a third of the reads that the service handles.
-	Watchers = 3
+	// ReadersPerDataCentre is the number of readers in a data centre. With three, one may
+	// be frozen and another disconnected. In 19 data centres this makes 57 watches; a
+	// watch for each of 670 entries would take a third of the reads that the service
+	// handles.
+	ReadersPerDataCentre = 3
 	// Fanout is the number of peers that an entry sends a change to, one of them in
 	// another data centre. With four, rumours alone miss about one entry in fifty, which
 	// anti-entropy then reaches. Each additional one would cost every entry one more
@@ -23,14 +24,14 @@
 	// connections to all of 670 entries would exceed the 32 MB that a node has for
 	// control. With localPeers an entry has some 50 open connections.
 	localPeers = 8
-	// readerInterval is the interval, in rounds of Periodic, between exchanges with a
+	// readerInterval is the interval, in rounds of NextExchange, between exchanges with a
 	// reader of the data centre. A reader exchanges with all entries of its data centre.
 	// With 35 of them, an interval of two rounds would cost it 5 KB/s; this one costs
-	// 3 KB/s. A failed reader is detected within Watchers times this number of rounds,
-	// which is 6 s.
+	// 3 KB/s. A failed reader is detected within ReadersPerDataCentre times this number
+	// of rounds, which is 6 s.
 	readerInterval = 4
-	// unresponsiveInterval is the interval, in rounds of Periodic, between exchanges with
-	// an unresponsive entry.
+	// unresponsiveInterval is the interval, in rounds of NextExchange, between exchanges
+	// with an unresponsive entry.
 	unresponsiveInterval = 8
 )
 
@@ -81,8 +82,8 @@
 	}
 }
 
-// Answered records whether the named entry responded to an exchange.
-func (t *Table) Answered(name string, ok bool) {
+// RecordResponse records whether the named entry responded to an exchange.
+func (t *Table) RecordResponse(name string, ok bool) {
 	if ok {
 		delete(t.unresponsive, name)
 		return
@@ -93,14 +94,14 @@
 	t.unresponsive[name] = true
 }
 
-// Watches reports whether this entry is a reader.
+// IsReader reports whether this entry is a reader.
 //
 // A data centre must not stop receiving changes because its readers are dead or
 // frozen while the lagging list of VMs still names them: an operator would see changes
 // take effect in other data centres but not in this one. Each entry therefore skips
 // the entries that did not respond to it. In case of doubt there are too many readers
 // and never none.
-func (t *Table) Watches() bool {
+func (t *Table) IsReader() bool {
 	for _, n := range t.readers() {
 		if n.Name == t.Self.Name {
 			return true
@@ -117,18 +118,18 @@
 		if !t.unresponsive[n.Name] {
 			responsive++
 		}
-		if responsive == Watchers {
+		if responsive == ReadersPerDataCentre {
 			return t.ranked[:i+1]
 		}
 	}
 	return t.ranked
 }
 
-// OnChange returns the entries to send a change to: at most Fanout peers, one of them
+// RumourTargets returns the entries to send a change to: at most Fanout peers, one of them
 // in another data centre. If there are too few local peers, further remote ones are
 // added. It skips unresponsive entries, because a rumour sent to them would not
-// spread; Periodic returns them from time to time.
-func (t *Table) OnChange() []Node {
+// spread; NextExchange returns them from time to time.
+func (t *Table) RumourTargets() []Node {
 	local, remote := t.peers()
 	targets := t.sample(remote, 1)
 	targets = append(targets, t.sample(local, Fanout-len(targets))...)
@@ -169,28 +170,28 @@
 // entry to entry.
 func (t *Table) score(n Node) uint64 { return xxhash.Sum64String(t.Self.Name + "\x00" + n.Name) }
 
-// Periodic returns the entry to exchange with in this round, or false if there are no
+// NextExchange returns the entry to exchange with in this round, or false if there are no
 // other entries. Every readerInterval rounds it returns a reader of the data centre,
 // in turn and including unresponsive ones, so that a failed reader is replaced within
 // a few rounds and takes over again once it responds. In other rounds it returns a
 // peer or an unresponsive entry.
-func (t *Table) Periodic() (Node, bool) {
+func (t *Table) NextExchange() (Node, bool) {
 	if len(t.nodes) == 0 {
 		return Node{}, false
 	}
 	t.round++
 	readers := slices.DeleteFunc(slices.Clone(t.readers()), func(n Node) bool { return n.Name == t.Self.Name })
 	if t.round%readerInterval != 1 || len(readers) == 0 {
-		return t.periodicPeer(), true
+		return t.exchangePeer(), true
 	}
 	return readers[t.round/readerInterval%len(readers)], true
 }
 
-// periodicPeer returns a random peer, or every unresponsiveInterval rounds an
+// exchangePeer returns a random peer, or every unresponsiveInterval rounds an
 // unresponsive entry. There must be another entry. In a data centre that is
 // disconnected from the others most entries are unresponsive; if they were selected
 // as often as peers, there would be few exchanges between peers.
-func (t *Table) periodicPeer() Node {
+func (t *Table) exchangePeer() Node {
 	local, remote := t.peers()
 	peers := append(local, remote...)
 	var unresponsive []Node
@@ -205,8 +206,8 @@
 	return t.sample(peers, 1)[0]
 }
 
-// Ask returns up to n random peers.
-func (t *Table) Ask(n int) []Node {
+// SamplePeers returns up to n random peers.
+func (t *Table) SamplePeers(n int) []Node {
 	local, remote := t.peers()
 	return t.sample(append(local, remote...), n)
 }
--- a/internal/peer/spread/table_test.go
+++ b/internal/peer/spread/table_test.go
@@ -28,10 +28,10 @@
 		t := newTable(all, i)
 		for _, s := range unresponsive {
 			if s != node.Name {
-				t.Answered(s, false)
+				t.RecordResponse(s, false)
 			}
 		}
-		if node.DataCentre == dc && t.Watches() {
+		if node.DataCentre == dc && t.IsReader() {
 			n++
 		}
 	}
@@ -40,7 +40,7 @@
 
 func TestEachDataCentreHasReaders(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 9, 35, 120} {
-		want := min(n, Watchers)
+		want := min(n, ReadersPerDataCentre)
 		if got := countReaders(newNodes(n, 1), "d0"); got != want {
 			t.Errorf("%d entries: %d readers, want %d", n, got, want)
 		}
@@ -62,11 +62,11 @@
 				}
 			}
 			table.Set(others)
-			if table.Watches() {
+			if table.IsReader() {
 				n++
 			}
 		}
-		if n < Watchers {
+		if n < ReadersPerDataCentre {
 			t.Fatalf("%d watch", n)
 		}
 	}
@@ -78,10 +78,10 @@
 		table := newTable(all, i)
 		for _, o := range all {
 			if o != all[i] {
-				table.Answered(o.Name, false)
+				table.RecordResponse(o.Name, false)
 			}
 		}
-		if !table.Watches() {
+		if !table.IsReader() {
 			t.Errorf("%s finds all others unresponsive and is not a reader", all[i].Name)
 		}
 	}
@@ -95,28 +95,28 @@
 			first = r[0].Name
 		}
 	}
-	if got := countReaders(all, "d0", first); got != Watchers+1 {
+	if got := countReaders(all, "d0", first); got != ReadersPerDataCentre+1 {
 		// The unresponsive entry itself is still a reader, in addition to its replacement.
-		t.Errorf("%d readers, want %d", got, Watchers+1)
+		t.Errorf("%d readers, want %d", got, ReadersPerDataCentre+1)
 	}
 	table := newTable(all, 0)
 	before := len(table.readers())
-	table.Answered(first, false)
-	table.Answered(first, true)
+	table.RecordResponse(first, false)
+	table.RecordResponse(first, true)
 	if len(table.readers()) != before {
 		t.Error("a responsive entry is not a reader again")
 	}
 }
 
-func TestOnChange(t *testing.T) {
+func TestRumourTargets(t *testing.T) {
 	all := newNodes(60, 3)
 	table := newTable(all, 0)
 	unresponsive := all[3].Name
-	table.Answered(unresponsive, false)
+	table.RecordResponse(unresponsive, false)
 	for range 200 {
 		remote := 0
 		seen := map[string]bool{all[0].Name: true, unresponsive: true}
-		targets := table.OnChange()
+		targets := table.RumourTargets()
 		for _, n := range targets {
 			if seen[n.Name] {
 				t.Fatalf("%s is returned twice, is the entry itself or is unresponsive", n.Name)
@@ -131,17 +131,17 @@
 		}
 	}
 	single := newTable(newNodes(8, 8), 0)
-	if n := len(single.OnChange()); n != Fanout {
+	if n := len(single.RumourTargets()); n != Fanout {
 		t.Errorf("only entry of its data centre: %d entries returned", n)
 	}
-	if n := len(newTable(newNodes(1, 1), 0).OnChange()); n != 0 {
+	if n := len(newTable(newNodes(1, 1), 0).RumourTargets()); n != 0 {
 		t.Errorf("only entry: %d entries returned", n)
 	}
 }
 
-// Periodic must return only a few entries, since connections to all would exceed the
+// NextExchange must return only a few entries, since connections to all would exceed the
 // memory of a node, but each of them, and readers often.
-func TestPeriodicCoversPeersAndReaders(t *testing.T) {
+func TestNextExchangeCoversPeersAndReaders(t *testing.T) {
 	for _, n := range []int{2, 9, 30, 670} {
 		all := newNodes(n, 19)
 		table := newTable(all, 0)
@@ -152,9 +152,9 @@
 		}
 		contacts := map[string]int{}
 		for range 2000 {
-			p, ok := table.Periodic()
+			p, ok := table.NextExchange()
 			if !ok {
-				t.Fatal("Periodic returned no entry")
+				t.Fatal("NextExchange returned no entry")
 			}
 			contacts[p.Name]++
 		}
@@ -168,11 +168,11 @@
 				t.Errorf("%d entries: %s was never returned", n, name)
 			}
 		}
-		if len(contacts) > localPeers+18+Watchers {
+		if len(contacts) > localPeers+18+ReadersPerDataCentre {
 			t.Errorf("%d entries: %d were returned", n, len(contacts))
 		}
 		for _, r := range table.readers() {
-			if r != table.Self && contacts[r.Name] < 2000/readerInterval/Watchers {
+			if r != table.Self && contacts[r.Name] < 2000/readerInterval/ReadersPerDataCentre {
 				t.Errorf("%d entries: reader %s was returned %d times in 2000 rounds", n, r.Name, contacts[r.Name])
 			}
 		}
@@ -213,9 +213,9 @@
 	all := newNodes(670, 19)
 	table := newTable(all, 0)
 	unresponsive := all[300].Name
-	table.Answered(unresponsive, false)
+	table.RecordResponse(unresponsive, false)
 	for range 2000 {
-		if p, _ := table.Periodic(); p.Name == unresponsive {
+		if p, _ := table.NextExchange(); p.Name == unresponsive {
 			return
 		}
 	}
--- a/internal/ranker/gather.go
+++ b/internal/ranker/gather.go
@@ -39,7 +39,7 @@
 	if 2*len(failed) <= len(subgroups) {
 		for _, i := range failed {
 			t.tree.NoteFailure(delegates[i].Name, boottime.Now())
-			t.ranker.conns.DropSilent(delegates[i].Address)
+			t.ranker.conns.RemoveUnresponsive(delegates[i].Address)
 		}
 		parallel(len(failed), func(n int) { poll(failed[n]) })
 	}
--- a/internal/ranker/loads.go
+++ b/internal/ranker/loads.go
@@ -108,7 +108,7 @@
 	case err != nil:
 		t.loads.sentLists.Forget(m.Name)
 		t.loads.tree.NoteFailure(m.Name, boottime.Now())
-		t.ranker.conns.DropSilent(m.Address)
+		t.ranker.conns.RemoveUnresponsive(m.Address)
 		t.ranker.Log.WithFields(logrus.Fields{"entry": m.Name, "cause": err.Error()}).Debug("cannot report loads to entry")
 	case resp.GetUnknownList():
 		t.loads.sentLists.Forget(m.Name)
--- a/internal/ranker/looker.go
+++ b/internal/ranker/looker.go
@@ -242,7 +242,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failures[m.Name] = agentFailure{retryAt: boottime.Now().Add(agentBackoff)}
-	p.Ranker.conns.DropSilent(m.Address)
+	p.Ranker.conns.RemoveUnresponsive(m.Address)
 	p.Ranker.Log.WithFields(logrus.Fields{"dependency": "agent", "agent": m.Name, "cause": err.Error()}).Warn("agent does not answer, its engine is asked directly")
 }
 
--- a/internal/ranker/looker_test.go
+++ b/internal/ranker/looker_test.go
@@ -24,7 +24,7 @@
 	t.Cleanup(group.Close)
 	r := &Ranker{
 		Settings: &settings.Ranker{Process: settings.Process{Name: "own"}},
-		Log:      process.NewBoundedLog("own", "a"), conns: &peer.Conns{},
+		Log:      process.NewBoundedLog("own", "a"), conns: &peer.ConnPool{},
 	}
 	t.Cleanup(r.conns.Close)
 	members := make([]*fleet.Member, 0, n)
--- a/internal/ranker/ranker.go
+++ b/internal/ranker/ranker.go
@@ -66,7 +66,7 @@
 	store    *platform.Store
 	engine   *platform.Engine
 	peers    *peer.Server
-	conns    *peer.Conns
+	conns    *peer.ConnPool
 	counters counters
 	// leader tracks which agent leads the group.
 	leader leaderTracker
@@ -128,7 +128,7 @@
 	r.countHistory = newCountHistory(boottime.Now())
 	r.delegate = newDelegate(r)
 	r.groupKnown = make(chan struct{})
-	r.conns = &peer.Conns{}
+	r.conns = &peer.ConnPool{}
 	r.peers = &peer.Server{Addr: s.PeerAddress.String(), Register: func(g grpc.ServiceRegistrar) {
 		fleetpb.RegisterAgentServer(g, &service{ranker: r})
 	}}
@@ -173,7 +173,7 @@
 	}
 	registrar := &fleet.Registrar{Store: r.store, OnError: r.logStoreFailure, RenewNow: &r.leaseInDoubt, OnRecovered: r.storeReturned.Raise, Member: fleet.Member{
 		Kind: fleet.Agent, Name: r.Settings.Name, DataCentre: r.Settings.DataCentre,
-		Address: r.peers.Address(), Endpoint: r.Settings.EndpointAddress.String(), Group: group,
+		Address: r.peers.ListenAddr(), Endpoint: r.Settings.EndpointAddress.String(), Group: group,
 	}}
 	return registrar.Run(ctx)
 }
