--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -24,7 +24,7 @@
 	// claimLinger is how long an outcome waits for a claim to go with.
 	claimLinger = 80 * time.Millisecond
 	// claimQueue and claimBacklog bound what is held: some 300 bytes each, and
-	// up to claim.MaxAnswer for an outcome.
+	// up to claim.MaxAnswerBytes for an outcome.
 	claimQueue   = 1024
 	claimBacklog = 512
 	// settleTime is how long after its deadline the outcome of a request that
@@ -153,7 +153,7 @@
 	}
 }
 
-// repeatDone answers a repeat of a key whose request was run before.
+// repeatAlreadyRun answers a repeat of a key whose request was run before.
 func (a *Agent) repeatAlreadyRun(at *attempt, r claim.Record) *result.Error {
 	switch r.State() {
 	case claim.Failed:
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// heldBy sends the entry to the agent whose attempt holds the claim.
+// held sends the entry to the agent whose attempt holds the claim.
 func (a *Agent) held(at *attempt, r claim.Record) *result.Error {
 	at.holder = r.Agent()
 	at.holderRequestID = r.RequestID()
--- a/internal/caller/admission/holder.go
+++ b/internal/caller/admission/holder.go
@@ -32,10 +32,10 @@
 type lenderState struct {
 	// echo is the newest stamp received from the lender.
 	echo ShareStamp
-	// lastNumber and sentAt are the number and the sending time of the newest
-	// report to the lender.
-	lastNumber uint64
-	sentAt     time.Time
+	// lastSequence and sentAt are the sequence number and the sending time of
+	// the newest report to the lender.
+	lastSequence uint64
+	sentAt       time.Time
 	// wanted is ShareReply.Wanted of the last reply.
 	wanted []string
 }
@@ -212,7 +212,7 @@
 		h.lenders[lender] = l
 	}
 	h.Sequence++
-	l.lastNumber, l.sentAt = h.Sequence, now
+	l.lastSequence, l.sentAt = h.Sequence, now
 	r := ShareReport{Holder: h.Entry, Sequence: h.Sequence, Echo: l.echo}
 	for name, a := range h.accounts {
 		// lenderOf computes one hash per entry, so it is called only for the
@@ -263,7 +263,7 @@
 // because only the sending time of that report is known.
 func (h *ShareHolder) Reply(lender string, r ShareReply) {
 	l := h.lenders[lender]
-	if l == nil || r.Sequence != l.lastNumber {
+	if l == nil || r.Sequence != l.lastSequence {
 		return
 	}
 	l.echo = r.Stamp
--- a/internal/caller/admission/lender.go
+++ b/internal/caller/admission/lender.go
@@ -22,8 +22,8 @@
 
 // holderState is the state of one holder.
 type holderState struct {
-	// lastNumber is the number of the newest report of the holder.
-	lastNumber uint64
+	// lastSequence is the sequence number of the newest report of the holder.
+	lastSequence uint64
 	// depositsUntil is when the deposits of the newest report expire.
 	depositsUntil time.Time
 	lastReport    time.Time
@@ -84,10 +84,10 @@
 		h = &holderState{}
 		l.holders[r.Holder] = h
 	}
-	if r.Sequence <= h.lastNumber {
+	if r.Sequence <= h.lastSequence {
 		return ShareReply{}, false
 	}
-	h.lastNumber = r.Sequence
+	h.lastSequence = r.Sequence
 	h.lastReport = now
 	h.depositsUntil = l.depositExpiry(r.Echo)
 	l.recordDemand(r)
--- a/internal/caller/parse.go
+++ b/internal/caller/parse.go
@@ -58,7 +58,7 @@
 	if err != nil || ms <= 0 || ms > maxDeadline.Milliseconds() {
 		return result.Newf(result.BadHeader, "%s: a whole number from 1 to %d is allowed", headerDeadline, maxDeadline.Milliseconds())
 	}
-	r.budget = time.Duration(ms) * time.Millisecond
+	r.timeout = time.Duration(ms) * time.Millisecond
 	return nil
 }
 
@@ -152,14 +152,14 @@
 		if err != nil {
 			return result.New(result.MalformedRequest, "the path is not a fetch id")
 		}
-		f.serial = n
+		f.attemptSerial = n
 	}
 	if v := hr.URL.Query().Get("from"); v != "" {
 		n, err := strconv.ParseUint(v, 10, 64)
 		if err != nil {
 			return result.New(result.MalformedRequest, "from: a whole number is allowed")
 		}
-		f.from = n
+		f.firstPiece = n
 	}
 	r.kind = f
 	return nil
--- a/internal/caller/raw.go
+++ b/internal/caller/raw.go
@@ -13,7 +13,7 @@
 )
 
 // readRaw copies the request, because nbhttp reuses its memory. Its errors carry a result code.
-func (s *Server) readRaw(hr *http.Request) (*Raw, error) {
+func (s *Server) readRaw(hr *http.Request) (*RawRequest, error) {
 	now := time.Now
 	if s.Now != nil {
 		now = s.Now
@@ -21,12 +21,12 @@
 	if err := checkFraming(hr); err != nil {
 		return nil, err
 	}
-	r := &Raw{
-		Method: hr.Method,
-		Host:   strings.ToLower(hr.Host),
-		Target: hr.RequestURI,
-		Header: hr.Header.Clone(),
-		At:     now(),
+	r := &RawRequest{
+		Method:     hr.Method,
+		Host:       strings.ToLower(hr.Host),
+		Target:     hr.RequestURI,
+		Header:     hr.Header.Clone(),
+		ReceivedAt: now(),
 	}
 	if r.Target == "" {
 		r.Target = hr.URL.RequestURI()
@@ -68,9 +68,9 @@
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Expect": true,
 }
 
-// EndToEnd returns the headers of h that are forwarded, without hop-by-hop headers and those that
-// Connection lists. The values are shared with h.
-func EndToEnd(h http.Header) http.Header {
+// EndToEndHeaders returns the headers of h that are forwarded, without hop-by-hop headers and
+// those that Connection lists. The values are shared with h.
+func EndToEndHeaders(h http.Header) http.Header {
 	dropped := map[string]bool{}
 	for _, v := range h.Values("Connection") {
 		for _, name := range strings.Split(v, ",") {
@@ -86,8 +86,8 @@
 	return kept
 }
 
-// AnswerRaw sends a complete response with the given headers.
-func (w *Reply) AnswerRaw(status int, h http.Header, body []byte) error {
+// SendRaw sends a complete response with the given headers.
+func (w *Reply) SendRaw(status int, h http.Header, body []byte) error {
 	head := w.rawHead(status, h)
 	if status != http.StatusNoContent && status != http.StatusNotModified {
 		head += "Content-Length: " + strconv.Itoa(len(body)) + "\r\n"
@@ -99,9 +99,9 @@
 	return err
 }
 
-// BeginRaw begins a response of unknown length with the given headers. It returns an error for a
-// request over HTTP/1.0, which has no chunked encoding.
-func (w *Reply) BeginRaw(status int, h http.Header) error {
+// BeginRawStream begins a response of unknown length with the given headers. It returns an error
+// for a request over HTTP/1.0, which has no chunked encoding.
+func (w *Reply) BeginRawStream(status int, h http.Header) error {
 	if w.protoMinor == 0 {
 		return result.New(result.MalformedRequest, "streamed answers need HTTP/1.1")
 	}
@@ -111,9 +111,9 @@
 	return w.send([]byte(w.rawHead(status, h) + "Transfer-Encoding: chunked\r\n\r\n"))
 }
 
-// Break aborts a response that cannot be completed. Its connection closes without the end of the
+// Abort aborts a response that cannot be completed. Its connection closes without the end of the
 // body, so that the caller does not treat the partial response as complete.
-func (w *Reply) Break() { w.truncated = true }
+func (w *Reply) Abort() { w.truncated = true }
 
 func (w *Reply) rawHead(status int, h http.Header) string {
 	var b strings.Builder
--- a/internal/caller/reply.go
+++ b/internal/caller/reply.go
@@ -19,8 +19,8 @@
 	// HeaderFetchID carries the fetch id, which names the request, the endpoint and the attempt
 	// whose response can be fetched again.
 	HeaderFetchID = "X-Fetch-Id"
-	// HeaderResult carries the numeric result code.
-	HeaderResult = "X-Result-Code"
+	// HeaderResultCode carries the numeric result code.
+	HeaderResultCode = "X-Result-Code"
 
 	contentJSON = "application/json"
 
@@ -50,15 +50,15 @@
 	draining *atomic.Bool
 }
 
-// Within makes the reply's writes fail once ctx is done, so that a caller that stops reading
+// SetContext makes the reply's writes fail once ctx is done, so that a caller that stops reading
 // occupies the entry no longer than the request's deadline.
-func (w *Reply) Within(ctx context.Context) { w.ctx = ctx }
+func (w *Reply) SetContext(ctx context.Context) { w.ctx = ctx }
 
 // Started reports whether part of a response has been sent.
 func (w *Reply) Started() bool { return w.started }
 
-// Whole sends a complete response.
-func (w *Reply) Whole(status int, contentType, fetchID string, body []byte) {
+// Send sends a complete response.
+func (w *Reply) Send(status int, contentType, fetchID string, body []byte) {
 	head := w.head(status, contentType, fetchID, result.OK)
 	head += "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n"
 	w.started = true
@@ -68,9 +68,9 @@
 	}
 }
 
-// Stream begins a response of unknown length. It returns an error for a request over HTTP/1.0,
-// which has no chunked encoding to mark the end of such a response.
-func (w *Reply) Stream(status int, contentType, fetchID string) error {
+// BeginStream begins a response of unknown length. It returns an error for a request over
+// HTTP/1.0, which has no chunked encoding to mark the end of such a response.
+func (w *Reply) BeginStream(status int, contentType, fetchID string) error {
 	if w.protoMinor == 0 {
 		return result.New(result.MalformedRequest, "streamed answers need HTTP/1.1")
 	}
@@ -82,9 +82,9 @@
 	return w.send([]byte(head))
 }
 
-// Piece sends b as one chunk of a streamed response. It blocks while the caller reads slowly and
-// returns an error if the caller has disconnected.
-func (w *Reply) Piece(b []byte) error {
+// WriteChunk sends b as one chunk of a streamed response. It blocks while the caller reads slowly
+// and returns an error if the caller has disconnected.
+func (w *Reply) WriteChunk(b []byte) error {
 	if len(b) == 0 {
 		return nil
 	}
@@ -96,8 +96,8 @@
 	return w.send(chunk)
 }
 
-// End completes a streamed response.
-func (w *Reply) End() error {
+// EndStream completes a streamed response.
+func (w *Reply) EndStream() error {
 	if err := w.send([]byte("0\r\n\r\n")); err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 	if w.started {
 		w.truncated = true
 		if w.streaming {
-			_ = w.Piece([]byte("event: error\ndata: " + string(body) + "\n\n"))
+			_ = w.WriteChunk([]byte("event: error\ndata: " + string(body) + "\n\n"))
 		}
 		return
 	}
@@ -180,7 +180,7 @@
 	writeHeader(&b, "Content-Type", contentType)
 	writeHeader(&b, headerRequestID, w.requestID)
 	writeHeader(&b, HeaderFetchID, fetchID)
-	writeHeader(&b, HeaderResult, strconv.Itoa(int(code)))
+	writeHeader(&b, HeaderResultCode, strconv.Itoa(int(code)))
 	if w.closeAfter {
 		writeHeader(&b, "Connection", "close")
 	}
--- a/internal/caller/request.go
+++ b/internal/caller/request.go
@@ -50,9 +50,9 @@
 
 // Fetch is a request for the response to an earlier request.
 type Fetch struct {
-	from     uint64
-	endpoint string
-	serial   uint64
+	firstPiece    uint64
+	endpoint      string
+	attemptSerial uint64
 }
 
 // Health is the check whether the process is alive.
@@ -76,11 +76,11 @@
 // PrefixHash returns the hash of the start of the prompt.
 func (c Chat) PrefixHash() uint64 { return c.prefixHash }
 
-// From returns the number of the first piece that the caller has not received.
-func (f Fetch) From() uint64 { return f.from }
+// FirstPiece returns the number of the first piece that the caller has not received.
+func (f Fetch) FirstPiece() uint64 { return f.firstPiece }
 
-// Serial returns the serial number of the attempt in the fetch id, or zero if it has none.
-func (f Fetch) Serial() uint64 { return f.serial }
+// AttemptSerial returns the serial number of the attempt in the fetch id, or zero if it has none.
+func (f Fetch) AttemptSerial() uint64 { return f.attemptSerial }
 
 // Endpoint returns the endpoint in the fetch id, or "" if the caller knows only the request id.
 func (f Fetch) Endpoint() string { return f.endpoint }
@@ -96,7 +96,7 @@
 	contentType    string
 	body           []byte
 	priority       string
-	budget         time.Duration
+	timeout        time.Duration
 	idempotencyKey string
 }
 
@@ -134,8 +134,8 @@
 // Priority returns the name of the priority, or "" if the caller sets none.
 func (r *Request) Priority() string { return r.priority }
 
-// Budget returns the time until the deadline, or zero if the route's default applies.
-func (r *Request) Budget() time.Duration { return r.budget }
+// Timeout returns the time until the deadline, or zero if the route's default applies.
+func (r *Request) Timeout() time.Duration { return r.timeout }
 
 // IdempotencyKey returns the caller's idempotency key, or "" if there is none.
 func (r *Request) IdempotencyKey() string { return r.idempotencyKey }
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -51,11 +51,11 @@
 // returns. Its ctx is cancelled when the caller disconnects. Forward may keep and modify the header
 // and the body.
 type Forwarder interface {
-	Forward(ctx context.Context, r *Raw, w *Reply)
+	Forward(ctx context.Context, r *RawRequest, w *Reply)
 }
 
-// Raw is a request as it was received.
-type Raw struct {
+// RawRequest is a request as it was received.
+type RawRequest struct {
 	Method string
 	// Host is in lower case.
 	Host string
@@ -63,8 +63,8 @@
 	Target, Path string
 	Header       http.Header
 	Body         []byte
-	// At is the time at which the request had been received completely.
-	At time.Time
+	// ReceivedAt is the time at which the request had been received completely.
+	ReceivedAt time.Time
 }
 
 // Server accepts callers' connections at one address and serves their requests. Set the exported
@@ -87,14 +87,14 @@
 	Handler Handler
 	// Forwarder, if not nil, serves all requests in place of Handler.
 	Forwarder Forwarder
-	// Now is the clock for Raw.At. Nil selects time.Now.
+	// Now is the clock for RawRequest.ReceivedAt. Nil selects time.Now.
 	Now func() time.Time
 
-	engine    *nbhttp.Engine
-	conns     sync.Map // *nbio.Conn to *conn
-	running   inflight.Counter
-	rejecting atomic.Bool
-	draining  atomic.Bool
+	engine         *nbhttp.Engine
+	conns          sync.Map // *nbio.Conn to *conn
+	activeRequests inflight.Counter
+	rejecting      atomic.Bool
+	draining       atomic.Bool
 }
 
 // Listen listens on Addr and starts to serve. It returns an error with result code BadSetting if
@@ -145,15 +145,15 @@
 // Address returns the address that the server listens on, as IP:port.
 func (s *Server) Address() string { return s.Addr }
 
-// Running returns the number of requests that have not been fully answered.
-func (s *Server) Running() int { return s.running.Running() }
+// ActiveRequests returns the number of requests that have not been fully answered.
+func (s *Server) ActiveRequests() int { return s.activeRequests.Running() }
 
-// Online returns the number of open connections.
-func (s *Server) Online() int { return s.engine.Online() }
+// OpenConns returns the number of open connections.
+func (s *Server) OpenConns() int { return s.engine.Online() }
 
-// Announce makes callers reconnect elsewhere: from now on, each response closes its connection.
-// New requests are still accepted.
-func (s *Server) Announce() { s.draining.Store(true) }
+// StartDraining makes callers reconnect elsewhere: from now on, each response closes its
+// connection. New requests are still accepted.
+func (s *Server) StartDraining() { s.draining.Store(true) }
 
 // CloseIdle closes the connections on which no request is being received or answered.
 func (s *Server) CloseIdle() {
@@ -165,9 +165,10 @@
 	})
 }
 
-// Refuse makes the server answer each further request with shuttingDown. It does not apply to
-// requests that Passer serves, nor to /healthz, except that their responses close the connection.
-func (s *Server) Refuse() {
+// RejectRequests makes the server answer each further request with shuttingDown. It does not apply
+// to requests that Forwarder serves, nor to /healthz, except that their responses close the
+// connection.
+func (s *Server) RejectRequests() {
 	s.draining.Store(true)
 	s.rejecting.Store(true)
 }
@@ -176,10 +177,10 @@
 // It must be called after Listen.
 func (s *Server) Run(ctx context.Context, drain time.Duration) error {
 	<-ctx.Done()
-	s.Refuse()
+	s.RejectRequests()
 	drainCtx, cancel := context.WithTimeout(context.Background(), drain)
 	defer cancel()
-	s.running.Wait(drainCtx)
+	s.activeRequests.Wait(drainCtx)
 	s.engine.Stop()
 	return nil
 }
@@ -266,22 +267,22 @@
 	reply := &Reply{netConn: nc, conn: c, closeAfter: hr.Close, protoMinor: hr.ProtoMinor}
 	reply.prevDone, reply.ownDone = c.enqueue()
 	c.requestRead()
-	s.running.Begin()
+	s.activeRequests.Begin()
 	go s.serveRequest(r, parseErr, reply)
 }
 
-// handleRaw serves the request with Passer in a new goroutine.
+// handleRaw serves the request with Forwarder in a new goroutine.
 func (s *Server) handleRaw(hr *http.Request, nc net.Conn, c *conn) {
 	raw, err := s.readRaw(hr)
 	reply := &Reply{netConn: nc, conn: c, closeAfter: hr.Close || err != nil, protoMinor: hr.ProtoMinor}
 	reply.prevDone, reply.ownDone = c.enqueue()
 	c.requestRead()
-	s.running.Begin()
+	s.activeRequests.Begin()
 	go s.serveRaw(raw, err, reply)
 }
 
-// serveRaw serves one request with Passer.
-func (s *Server) serveRaw(raw *Raw, err error, w *Reply) {
+// serveRaw serves one request with Forwarder.
+func (s *Server) serveRaw(raw *RawRequest, err error, w *Reply) {
 	s.serveInOrder(w, func(ctx context.Context) {
 		w.draining = &s.draining
 		if err != nil {
@@ -296,7 +297,7 @@
 // HTTP/1.1 requires responses in the order of the requests. The context of serve is cancelled when
 // the caller disconnects.
 func (s *Server) serveInOrder(w *Reply, serve func(ctx context.Context)) {
-	defer s.running.End()
+	defer s.activeRequests.End()
 	defer close(w.ownDone)
 	<-w.prevDone
 	defer w.conn.unbindCancel()
@@ -336,14 +337,14 @@
 		w.Fail(result.Of(parseErr))
 		return
 	}
-	if s.Online() > s.MaxConns {
+	if s.OpenConns() > s.MaxConns {
 		w.closeAfter = true
 		w.Fail(result.New(result.TooManyConnections, "").WithRetryAfter(time.Second))
 		return
 	}
 	switch r.Kind().(type) {
 	case Health:
-		w.Whole(http.StatusOK, "text/plain", "", []byte("ok\n"))
+		w.Send(http.StatusOK, "text/plain", "", []byte("ok\n"))
 	case Readiness:
 		s.serveReadiness(w)
 	default:
@@ -364,5 +365,5 @@
 		w.Fail(result.Of(err))
 		return
 	}
-	w.Whole(http.StatusOK, "text/plain", "", []byte("ready\n"))
+	w.Send(http.StatusOK, "text/plain", "", []byte("ready\n"))
 }
--- a/internal/caller/server_test.go
+++ b/internal/caller/server_test.go
@@ -87,12 +87,12 @@
 	var got *Request
 	s := startServer(t, func(_ context.Context, r *Request, w *Reply) {
 		got = r
-		w.Whole(http.StatusOK, "text/plain", "f", r.Body())
+		w.Send(http.StatusOK, "text/plain", "f", r.Body())
 	})
 	t.Run("chat", func(t *testing.T) {
 		_, body := post(t, s, PathChat, chatBodyText, headerRequestID, "r1", headerDeadline, "1500", headerAuthorization, "Bearer k")
 		c, ok := got.Kind().(Chat)
-		if !ok || !c.Stream() || got.Route() != "m" || got.AccountKey() != "k" || got.Budget() != 1500*time.Millisecond {
+		if !ok || !c.Stream() || got.Route() != "m" || got.AccountKey() != "k" || got.Timeout() != 1500*time.Millisecond {
 			t.Errorf("parsed request is %+v", got)
 		}
 		if body != chatBodyText {
@@ -130,8 +130,8 @@
 // the partial response as a complete one.
 func TestHalfAnswerIsNotWhole(t *testing.T) {
 	s := startServer(t, func(_ context.Context, _ *Request, w *Reply) {
-		_ = w.Stream(http.StatusOK, "text/event-stream", "f")
-		_ = w.Piece([]byte("data: half\n\n"))
+		_ = w.BeginStream(http.StatusOK, "text/event-stream", "f")
+		_ = w.WriteChunk([]byte("data: half\n\n"))
 		w.Fail(result.New(result.AnswerIncomplete, ""))
 	})
 	_, body := post(t, s, PathChat, chatBodyText)
@@ -143,12 +143,12 @@
 func TestStreamArrivesPieceByPiece(t *testing.T) {
 	next := make(chan struct{})
 	s := startServer(t, func(_ context.Context, _ *Request, w *Reply) {
-		_ = w.Stream(http.StatusOK, "text/event-stream", "f")
+		_ = w.BeginStream(http.StatusOK, "text/event-stream", "f")
 		for i := range 3 {
-			_ = w.Piece([]byte(fmt.Sprintf("data: %d\n", i)))
+			_ = w.WriteChunk([]byte(fmt.Sprintf("data: %d\n", i)))
 			<-next
 		}
-		_ = w.End()
+		_ = w.EndStream()
 	})
 	res, err := http.Post("http://"+s.Address()+PathChat, "application/json", strings.NewReader(chatBodyText))
 	if err != nil {
@@ -201,11 +201,11 @@
 			<-stalled
 			cancel()
 		}()
-		w.Within(ctx)
-		_ = w.Stream(http.StatusOK, "text/plain", "f")
+		w.SetContext(ctx)
+		_ = w.BeginStream(http.StatusOK, "text/plain", "f")
 		n := 0
 		b := bytes.Repeat([]byte("x"), 32<<10)
-		for n < total && w.Piece(b) == nil {
+		for n < total && w.WriteChunk(b) == nil {
 			n += len(b)
 		}
 		sent <- n
@@ -244,7 +244,7 @@
 
 func TestRequestsSentAheadAreAnsweredInOrder(t *testing.T) {
 	s := startServer(t, func(_ context.Context, r *Request, w *Reply) {
-		w.Whole(http.StatusOK, "text/plain", "", r.Body())
+		w.Send(http.StatusOK, "text/plain", "", r.Body())
 	})
 	c, err := net.Dial("tcp", s.Address())
 	if err != nil {
@@ -273,7 +273,7 @@
 // must be told of the limit and when to retry.
 func TestConnectionsBeyondLimitAreRefused(t *testing.T) {
 	s := &Server{Addr: "127.0.0.1:0", BodyLimit: testBodyLimit, MaxConns: 2, Handler: handlerFunc(func(_ context.Context, _ *Request, w *Reply) {
-		w.Whole(http.StatusOK, "text/plain", "", nil)
+		w.Send(http.StatusOK, "text/plain", "", nil)
 	})}
 	runServer(t, s)
 	for range 2 {
@@ -283,7 +283,7 @@
 		}
 		defer func() { _ = c.Close() }()
 	}
-	for s.Online() < 2 {
+	for s.OpenConns() < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	_, body := post(t, s, PathServices+"o/", "", "Connection", "close")
--- a/internal/caller/tls_test.go
+++ b/internal/caller/tls_test.go
@@ -30,15 +30,15 @@
 	for _, version := range []uint16{stdtls.VersionTLS12, stdtls.VersionTLS13} {
 		t.Run(stdtls.VersionName(version), func(t *testing.T) {
 			s := startTLS(t, certServer.TLS.Certificates[0], func(_ context.Context, _ *Request, w *Reply) {
-				_ = w.Stream(http.StatusOK, "text/plain", "")
+				_ = w.BeginStream(http.StatusOK, "text/plain", "")
 				for range tlsChunks {
-					if w.Piece([]byte(tlsChunk)) != nil {
+					if w.WriteChunk([]byte(tlsChunk)) != nil {
 						return
 					}
 				}
-				_ = w.End()
+				_ = w.EndStream()
 			})
-			s.Announce()
+			s.StartDraining()
 			n, err := readSlowly(t, s, certServer.Certificate(), version)
 			if n != tlsChunks*len(tlsChunk) || err != nil {
 				t.Errorf("received %d bytes of %d: %v", n, tlsChunks*len(tlsChunk), err)
--- a/internal/entry/fetch.go
+++ b/internal/entry/fetch.go
@@ -19,9 +19,9 @@
 func (e *Entry) fetch(ctx context.Context, r *caller.Request, f caller.Fetch, account string, w *caller.Reply) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	w.Within(ctx)
+	w.SetContext(ctx)
 	e.counters.fetches.Inc(1)
-	e.ring.Add(timeline.Fetched, r.ID(), f.Endpoint(), "", f.From(), e.now())
+	e.ring.Add(timeline.Fetched, r.ID(), f.Endpoint(), "", f.FirstPiece(), e.now())
 	addrs := e.members.addrs()
 	if f.Endpoint() != "" {
 		a, ok := e.directory.agent(f.Endpoint())
@@ -54,11 +54,11 @@
 		Hlc:       uint64(e.clock.Next(e.now())),
 		RequestId: r.ID(),
 		Account:   account,
-		From:      f.From(),
-		Serial:    f.Serial(),
+		From:      f.FirstPiece(),
+		Serial:    f.AttemptSerial(),
 	})
-	t := &task{job: &job{}, request: r, account: account, relay: &relay{w: w, next: f.From(), stream: true}}
-	t.relay.skipped = f.From() > 0
+	t := &task{job: &job{}, request: r, account: account, relay: &relay{w: w, next: f.FirstPiece(), stream: true}}
+	t.relay.skipped = f.FirstPiece() > 0
 	end, err := e.receive(t, stream, err)
 	if err != nil {
 		if t.relay.begun() {
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// seen returns the VMs whose streams are live.
+// observations returns the VMs whose streams are live.
 func (m *members) observations() []vmlist.Observation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -60,11 +60,11 @@
 		return r.collect(p.GetData())
 	}
 	if !r.w.Started() {
-		if err := r.w.Stream(int(r.head.GetStatus()), r.head.GetContentType(), r.fetchID); err != nil {
+		if err := r.w.BeginStream(int(r.head.GetStatus()), r.head.GetContentType(), r.fetchID); err != nil {
 			return err
 		}
 	}
-	return r.w.Piece(p.GetData())
+	return r.w.WriteChunk(p.GetData())
 }
 
 // ok reports whether the endpoint took the request: its refusals are short and
@@ -89,10 +89,10 @@
 		return result.Newf(result.AnswerIncomplete, "%d pieces of %d arrived", r.next, e.GetPieces())
 	}
 	if !r.w.Started() {
-		r.w.Whole(int(r.head.GetStatus()), r.head.GetContentType(), r.fetchID, r.body)
+		r.w.Send(int(r.head.GetStatus()), r.head.GetContentType(), r.fetchID, r.body)
 		return nil
 	}
-	if err := r.w.End(); err != nil {
+	if err := r.w.EndStream(); err != nil {
 		return result.New(result.Cancelled, "")
 	}
 	return nil
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -53,7 +53,7 @@
 	e.leaving.Store(true)
 	e.ring.Add(timeline.Leaving, "", "", "", 0, e.now())
 	e.Log.Info("leaving")
-	e.callers.Announce()
+	e.callers.StartDraining()
 	if announce {
 		time.Sleep(e.Announce)
 	}
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -82,7 +82,7 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, t.deadline)
 	defer cancel()
-	w.Within(ctx)
+	w.SetContext(ctx)
 	e.run(ctx, t)
 }
 
@@ -109,11 +109,11 @@
 	if err != nil {
 		return nil, err
 	}
-	budget := r.Budget()
-	if budget == 0 {
-		budget = route.DefaultDeadline()
+	timeout := r.Timeout()
+	if timeout == 0 {
+		timeout = route.DefaultDeadline()
 	}
-	t.deadline = now.Add(budget)
+	t.deadline = now.Add(timeout)
 	t.job = e.newJob(t, worth)
 	return t, nil
 }
--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -22,7 +22,7 @@
 	// exchangeTimeout bounds one exchange. It is longer than a round between
 	// regions takes, and a frozen entry holds up a change no longer.
 	exchangeTimeout = time.Second
-	// refreshPeers is how many peers are asked before a change is written.
+	// syncPeerCount is how many peers are asked before a change is written.
 	syncPeerCount = 3
 	// readOn is how long an entry that lost its place as reader goes on, so
 	// that places that change hands leave no moment without readers.
@@ -135,7 +135,7 @@
 	s.table.RecordResponse(n.Name, err == nil)
 }
 
-// refresh asks some peers for their configuration before a change is written.
+// syncPeers asks some peers for their configuration before a change is written.
 func (s *spreading) syncPeers(ctx context.Context) {
 	s.mu.Lock()
 	nodes := s.table.SamplePeers(syncPeerCount)
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -230,7 +230,7 @@
 type readiness struct{ frontend *Frontend }
 
 // Forward implements caller.Forwarder.
-func (r readiness) Forward(_ context.Context, raw *caller.Raw, w *caller.Reply) {
+func (r readiness) Forward(_ context.Context, raw *caller.RawRequest, w *caller.Reply) {
 	status := http.StatusServiceUnavailable
 	switch {
 	case raw.Path != platform.ReadyPath:
@@ -238,7 +238,7 @@
 	case r.frontend.isReady(boottime.Now()):
 		status = http.StatusOK
 	}
-	if err := w.AnswerRaw(status, http.Header{}, nil); err != nil {
+	if err := w.SendRaw(status, http.Header{}, nil); err != nil {
 		r.frontend.Log.WithField("cause", err.Error()).Debug("readiness response not written")
 	}
 }
--- a/internal/frontend/leave.go
+++ b/internal/frontend/leave.go
@@ -24,12 +24,12 @@
 func (f *Frontend) drain() {
 	start := time.Now()
 	f.stopping.Store(true)
-	f.callerServer.Announce()
-	f.Log.WithField("running", f.callerServer.Running()).Info("relay draining")
+	f.callerServer.StartDraining()
+	f.Log.WithField("running", f.callerServer.ActiveRequests()).Info("relay draining")
 	deadline := start.Add(f.bounds.Load().Grace - graceMargin)
 	idleSince := time.Time{}
 	for now := start; now.Before(deadline); now = time.Now() {
-		if f.callerServer.Running() > 0 {
+		if f.callerServer.ActiveRequests() > 0 {
 			idleSince = time.Time{}
 		} else if idleSince.IsZero() {
 			idleSince = now
@@ -43,5 +43,5 @@
 		}
 		time.Sleep(drainPollInterval)
 	}
-	f.Log.WithField("running", f.callerServer.Running()).Info("relay stopping")
+	f.Log.WithField("running", f.callerServer.ActiveRequests()).Info("relay stopping")
 }
--- a/internal/relay/asking.go
+++ b/internal/relay/asking.go
@@ -78,7 +78,7 @@
 	if j.route.Patience <= 0 {
 		return time.Time{}
 	}
-	return j.raw.At.Add(j.route.Patience)
+	return j.raw.ReceivedAt.Add(j.route.Patience)
 }
 
 // firstAskFraction is the least time that a caller has left on its first attempt, as a fraction of
@@ -110,5 +110,5 @@
 	if target <= 0 {
 		return j.deadline
 	}
-	return j.raw.At.Add(target - j.timeUsed())
+	return j.raw.ReceivedAt.Add(target - j.timeUsed())
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -76,7 +76,7 @@
 
 // endpointRequest returns the caller's request as it is sent to the endpoint.
 func (j *job) endpointRequest(assigned Assignment) *direct.Request {
-	h := caller.EndToEnd(j.raw.Header)
+	h := caller.EndToEndHeaders(j.raw.Header)
 	info := EndpointInfo{Endpoint: assigned.Endpoint.ID, TimeLeft: j.deadline.Sub(j.relay.Now()), Urgency: j.urgency()}
 	if j.account != nil {
 		info.Account = j.account.Name
@@ -170,12 +170,12 @@
 	}
 	now := j.relay.Now()
 	j.relay.State.PartReceived(assigned, now)
-	answer := &BufferedAnswer{Status: resp.Status, Header: caller.EndToEnd(resp.Header), Body: body}
+	answer := &BufferedAnswer{Status: resp.Status, Header: caller.EndToEndHeaders(resp.Header), Body: body}
 	if resp.Status >= http.StatusInternalServerError {
 		return Failed{Answer: answer}
 	}
 	j.firstPartAt = now
-	if err := j.reply.AnswerRaw(answer.Status, answer.Header, body); err != nil {
+	if err := j.reply.SendRaw(answer.Status, answer.Header, body); err != nil {
 		return Disconnected{Cause: err}
 	}
 	return Delivered{}
@@ -222,24 +222,24 @@
 	j.lastPartAt = now
 	if !j.headSent {
 		j.headSent, j.firstPartAt = true, now
-		if err := j.reply.BeginRaw(resp.Status, caller.EndToEnd(resp.Header)); err != nil {
+		if err := j.reply.BeginRawStream(resp.Status, caller.EndToEndHeaders(resp.Header)); err != nil {
 			return err
 		}
 	}
 	if ev.HasID {
 		j.lastEventID = ev.ID
 	}
-	return j.reply.Piece(ev.Raw)
+	return j.reply.WriteChunk(ev.Raw)
 }
 
 func (j *job) endStream(resp *direct.Response) Outcome {
 	if !j.headSent {
-		if err := j.reply.BeginRaw(resp.Status, caller.EndToEnd(resp.Header)); err != nil {
+		if err := j.reply.BeginRawStream(resp.Status, caller.EndToEndHeaders(resp.Header)); err != nil {
 			return Disconnected{Cause: err}
 		}
 		j.headSent = true
 	}
-	if err := j.reply.End(); err != nil {
+	if err := j.reply.EndStream(); err != nil {
 		return Disconnected{Cause: err}
 	}
 	return Delivered{}
--- a/internal/relay/finish.go
+++ b/internal/relay/finish.go
@@ -17,11 +17,11 @@
 		j.log(result.OK, http.StatusOK, now, nil)
 		return
 	case Disconnected:
-		j.reply.Break()
+		j.reply.Abort()
 		j.log(result.Cancelled, 0, now, o.Cause)
 		return
 	case Interrupted:
-		j.reply.Break()
+		j.reply.Abort()
 		j.log(result.AnswerIncomplete, 0, now, o.Cause)
 		return
 	case Failed:
@@ -33,7 +33,7 @@
 		e = j.unknownResult(o, now)
 	}
 	if j.headSent {
-		j.reply.Break()
+		j.reply.Abort()
 		j.log(result.AnswerIncomplete, 0, now, e)
 		return
 	}
@@ -62,7 +62,7 @@
 
 // deliverFailure forwards a failure that an endpoint reported.
 func (j *job) deliverFailure(a *BufferedAnswer, now time.Time) {
-	err := j.reply.AnswerRaw(a.Status, a.Header, a.Body)
+	err := j.reply.SendRaw(a.Status, a.Header, a.Body)
 	j.log(result.EndpointFailed, a.Status, now, err)
 }
 
@@ -70,13 +70,13 @@
 func (j *job) refuse(e *result.Error, now time.Time) {
 	status := statusOf(e)
 	h := http.Header{
-		"Content-Type":      {"text/plain; charset=utf-8"},
-		caller.HeaderResult: {strconv.Itoa(int(e.Code()))},
+		"Content-Type":          {"text/plain; charset=utf-8"},
+		caller.HeaderResultCode: {strconv.Itoa(int(e.Code()))},
 	}
 	if d := j.retryAfter(e, now); d > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(d.Seconds(), 'f', 2, 64))
 	}
-	cause := j.reply.AnswerRaw(status, h, []byte(e.Error()+"\n"))
+	cause := j.reply.SendRaw(status, h, []byte(e.Error()+"\n"))
 	if cause == nil && e.Detail() != "" {
 		cause = e
 	}
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -94,10 +94,10 @@
 	if j.service != nil {
 		service, kind = j.service.Name, j.route.RetrySemantics.String()
 	}
-	j.relay.Metrics.countResult(code, kind, service, sinceOrZero(j.firstPartAt, j.raw.At), now.Sub(j.raw.At))
+	j.relay.Metrics.countResult(code, kind, service, sinceOrZero(j.firstPartAt, j.raw.ReceivedAt), now.Sub(j.raw.ReceivedAt))
 	f := logrus.Fields{
 		"request": j.requestInfo.ID, "code": int(code), "result": code.String(), "status": status,
-		"effect": code.Effect().String(), "took": now.Sub(j.raw.At).Milliseconds(),
+		"effect": code.Effect().String(), "took": now.Sub(j.raw.ReceivedAt).Milliseconds(),
 		"knownAge": j.relay.State.Freshness.Age(now).Milliseconds(),
 	}
 	if j.table != nil {
@@ -110,11 +110,11 @@
 		f["endpoints"], f["sent"] = j.tried, j.attempts.Sent
 	}
 	if !j.firstPartAt.IsZero() {
-		f["firstPart"] = j.firstPartAt.Sub(j.raw.At).Milliseconds()
+		f["firstPart"] = j.firstPartAt.Sub(j.raw.ReceivedAt).Milliseconds()
 	}
 	if j.longestPause > 0 {
 		f["longestPause"] = j.longestPause.Milliseconds()
-		f["pauseEnded"] = j.pauseEndedAt.Sub(j.raw.At).Milliseconds()
+		f["pauseEnded"] = j.pauseEndedAt.Sub(j.raw.ReceivedAt).Milliseconds()
 	}
 	if j.waited > 0 {
 		f["waited"] = j.waited.Milliseconds()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -58,7 +58,7 @@
 // job is the state of one request.
 type job struct {
 	relay       *Relay
-	raw         *caller.Raw
+	raw         *caller.RawRequest
 	reply       *caller.Reply
 	requestInfo RequestInfo
 	table       *routing.Table
@@ -87,7 +87,7 @@
 }
 
 // Forward implements caller.Forwarder.
-func (r *Relay) Forward(ctx context.Context, raw *caller.Raw, w *caller.Reply) {
+func (r *Relay) Forward(ctx context.Context, raw *caller.RawRequest, w *caller.Reply) {
 	r.State.AwaitReady(ctx, r.Now())
 	now := r.Now()
 	j := &job{relay: r, raw: raw, reply: w, requestInfo: r.HeaderCodec.ReadRequest(raw.Header)}
@@ -99,7 +99,7 @@
 	r.State.CountFirstAttempt(j.service.Name, now)
 	ctx, cancel := context.WithTimeout(ctx, j.deadline.Sub(now))
 	defer cancel()
-	w.Within(ctx)
+	w.SetContext(ctx)
 	j.run(ctx)
 	r.Metrics.decRunning()
 }
@@ -126,7 +126,7 @@
 	if j.service == nil {
 		return result.New(result.NoEndpoint, "the route has no service").WithRetryAfter(retryAfterNoEndpoint)
 	}
-	j.deadline = j.raw.At.Add(j.timeout())
+	j.deadline = j.raw.ReceivedAt.Add(j.timeout())
 	if !now.Before(j.deadline) {
 		return result.New(result.DeadlinePassed, "")
 	}
