--- a/internal/capacity/mesh.go
+++ b/internal/capacity/mesh.go
@@ -150,22 +150,22 @@
 	return reply, nil
 }
 
-// headOf returns a document after a number of changes, and its only part. Outs
-// targets are out of service.
-func headOf(changes, outs int) (config.Head, []byte) {
+// headOf returns a document after a number of changes, and its only part. It
+// has outOfService targets out of service.
+func headOf(changes, outOfService int) (config.Head, []byte) {
 	var h config.Head
 	body := []byte("[preset]\nname = ordinary\n")
 	for i := range changes {
-		h = after(h, i, change(i, outs, body))
+		h = after(h, i, change(i, outOfService, body))
 	}
 	return h, body
 }
 
-func change(i, outs int, body []byte) config.Change {
+func change(i, outOfService int, body []byte) config.Change {
 	switch {
 	case i == 0:
 		return config.PutPreset{Name: "ordinary", Body: body}
-	case i <= outs:
+	case i <= outOfService:
 		return config.TakeOutOfService{Target: config.Endpoint(fmt.Sprintf("endpoint-%d", i))}
 	default:
 		return config.SwitchPreset{Name: "ordinary"}
