--- a/internal/demo/readers_test.go
+++ b/internal/demo/readers_test.go
@@ -33,7 +33,7 @@
 			}
 			idle = e
 		}
-		return n == spread.Watchers
+		return n == spread.ReadersPerDataCentre
 	})
 	return idle
 }
@@ -44,7 +44,7 @@
 // that learns from the service alone gives the endpoint work.
 func TestHoldAtAnyEntryReachesThePlatform(t *testing.T) {
 	s := &System{
-		DataCentres: []string{"a"}, Entries: spread.Watchers + 2, Engines: 1,
+		DataCentres: []string{"a"}, Entries: spread.ReadersPerDataCentre + 2, Engines: 1,
 		EngineSettings: engine.Settings{Capacity: 8, ColdBound: 2, WarmAfter: 4, TokenMicros: 200},
 		Preset:         Preset("ordinary", 1),
 	}
@@ -70,6 +70,6 @@
 		w := config.Writer{KV: s.client, Store: &config.Store{}}
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		return w.Repair(ctx, time.Now()) == nil && w.Store.Current().Head().IsOut(config.Endpoint("a-engine-0"))
+		return w.Repair(ctx, time.Now()) == nil && w.Store.Current().Head().IsOutOfService(config.Endpoint("a-engine-0"))
 	})
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -59,7 +59,7 @@
 	view      atomic.Pointer[view]
 	scheduler scheduler
 	members   members
-	conns     peer.Conns
+	conns     peer.ConnPool
 	pace      pace
 	counters  counters
 	sequence  atomic.Uint64
@@ -99,7 +99,7 @@
 		others: func() int { return len(e.directory.entries()) },
 	}
 	e.platform = process.Platform(&e.Settings.Process, platformBudget, e.TLS.Client, e.Dial, e.Registry)
-	e.writer = &config.Writer{KV: e.platform, Store: &e.store, Refresh: e.spreading.refresh}
+	e.writer = &config.Writer{KV: e.platform, Store: &e.store, SyncPeers: e.spreading.syncPeers}
 	e.directory = directory{
 		name: e.Settings.Name, dataCentre: e.Settings.DataCentre,
 		list: process.VMList(&e.Settings.Process, e.Dial, e.Registry), members: &e.members,
@@ -148,7 +148,7 @@
 		},
 		Configuration: operator.Document{Writer: e.writer},
 		Claims: claimsOf{registry: &claim.Registry{
-			KV: e.platform, Window: claim.DispatchWindow, Margin: claim.ReleaseMargin,
+			KV: e.platform, DispatchWindow: claim.DispatchWindow, ReleaseMargin: claim.ReleaseMargin,
 			Retention: claimRetention, Now: e.now,
 		}},
 		Status:   statusOf{entry: e},
@@ -167,12 +167,12 @@
 func (e *Entry) CallerAddress() string { return e.callers.Address() }
 
 // PeerAddress returns where other processes are met, as IP:port.
-func (e *Entry) PeerAddress() string { return e.peers.Address() }
+func (e *Entry) PeerAddress() string { return e.peers.ListenAddr() }
 
 func (e *Entry) service() *peer.Service {
 	return &peer.Service{
 		Name: e.Settings.Name, DataCentre: e.Settings.DataCentre,
-		Clock: &e.clock, Ring: e.ring, Store: &e.store,
+		Clock: &e.clock, Events: e.ring, Store: &e.store,
 		State: e.status, Now: e.now,
 	}
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -85,7 +85,7 @@
 	callerServer *caller.Server
 	readyServer  *caller.Server
 	peerServer   *peer.Server
-	peerConns    *peer.Conns
+	peerConns    *peer.ConnPool
 	stopping     atomic.Bool
 	bounds       atomic.Pointer[settings.Bounds]
 	storeStatus  readers.Freshness
@@ -137,7 +137,7 @@
 		Addr: s.ReadyAddress.String(), BodyLimit: maxBodyBytes, MaxConns: maxConns,
 		ReadTimeout: readTimeout, IdleTimeout: idleTimeout, Forwarder: readiness{f},
 	}
-	f.peerConns = &peer.Conns{}
+	f.peerConns = &peer.ConnPool{}
 	f.peerServer = &peer.Server{Addr: s.PeerAddress.String(), Register: func(g grpc.ServiceRegistrar) {
 		fleetpb.RegisterEntryServer(g, &service{frontend: f})
 	}}
@@ -169,7 +169,7 @@
 	pollWait := readers.Wait(s.Bounds.ChangeApply)
 	f.store = &platform.Store{
 		Addr: s.PlatformAddresses[0].String(), Timeout: storeTimeout,
-		Budget: kv.Budget{PerSecond: storeCallsPerSecond}, Metrics: f.Registry,
+		Budget: kv.RateLimiter{PerSecond: storeCallsPerSecond}, Metrics: f.Registry,
 	}
 	f.store.Open()
 	f.state = &relay.State{
@@ -202,7 +202,7 @@
 func (f *Frontend) Run(ctx context.Context) error {
 	registrar := &fleet.Registrar{Store: f.store, OnError: f.callFailed, RenewNow: &f.leaseSuspect, Member: fleet.Member{
 		Kind: fleet.Entry, Name: f.Settings.Name, DataCentre: f.Settings.DataCentre,
-		Address: f.peerServer.Address(),
+		Address: f.peerServer.ListenAddr(),
 	}}
 	parts := []process.Part{
 		f.mirror.Run, registrar.Run, f.workReporter.run, f.forwardWork, f.refreshFromPeers, f.fetchDocuments, f.watchSettings, f.peerServer.Run, f.relay.CloseIdleConns,
@@ -233,7 +233,7 @@
 type readiness struct{ frontend *Frontend }
 
 // Forward implements caller.Forwarder.
-func (r readiness) Forward(_ context.Context, raw *caller.Raw, w *caller.Reply) {
+func (r readiness) Forward(_ context.Context, raw *caller.RawRequest, w *caller.Reply) {
 	status := http.StatusServiceUnavailable
 	switch {
 	case raw.Path != platform.ReadyPath:
@@ -241,7 +241,7 @@
 	case r.frontend.isReady(boottime.Now()):
 		status = http.StatusOK
 	}
-	if err := w.AnswerRaw(status, http.Header{}, nil); err != nil {
+	if err := w.SendRaw(status, http.Header{}, nil); err != nil {
 		r.frontend.Log.WithField("cause", err.Error()).Debug("readiness response not written")
 	}
 }
