--- a/internal/fleet/document/holder.go
+++ b/internal/fleet/document/holder.go
@@ -13,8 +13,8 @@
 	// maxPastVersions is the number of versions kept besides the newest, for receivers
 	// that are some changes behind.
 	maxPastVersions = 3
-	// maxBytes bounds the memory for decoding a value. The store accepts values of up
-	// to a megabyte.
+	// maxBytes bounds the memory for decoding a value, and the compressor's window. The
+	// store accepts values of up to a megabyte.
 	maxBytes = 8 << 20
 	// minWindowBytes is the smallest window, in bytes, in which the compressor
 	// searches for matches.
@@ -105,7 +105,7 @@
 	if e, ok := vs.encodedByBase[base.Revision]; ok {
 		return e, nil
 	}
-	b, err := pack(v.Value, base.Value)
+	b, err := compress(v.Value, base.Value)
 	if err != nil {
 		return Encoded{}, err
 	}
@@ -123,16 +123,16 @@
 	if base.Revision != e.Base {
 		return Version{}, result.Newf(result.DocumentUnreadable, "base revision %d is not held", e.Base)
 	}
-	value, err := unpack(e.Bytes, base.Value)
+	value, err := decompress(e.Bytes, base.Value)
 	if err != nil {
 		return Version{}, result.Newf(result.DocumentUnreadable, "revision %d: %v", e.Revision, err)
 	}
 	return Version{Revision: e.Revision, Value: value}, nil
 }
 
-// pack compresses a value, with base as the dictionary unless base is empty, and adds a
-// checksum.
-func pack(value, base []byte) ([]byte, error) {
+// compress compresses a value, with base as the dictionary unless base is empty, and
+// adds a checksum.
+func compress(value, base []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithLowerEncoderMem(true),
 		zstd.WithWindowSize(windowSize(len(value) + len(base))),
@@ -150,8 +150,8 @@
 	return w.EncodeAll(value, nil), w.Close()
 }
 
-// unpack is the inverse of pack.
-func unpack(packed, base []byte) ([]byte, error) {
+// decompress is the inverse of compress.
+func decompress(compressed, base []byte) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxBytes),
 	}
@@ -163,7 +163,7 @@
 		return nil, err
 	}
 	defer r.Close()
-	return r.DecodeAll(packed, nil)
+	return r.DecodeAll(compressed, nil)
 }
 
 // windowSize returns the smallest power of two that is at least n, but no less than
--- a/internal/fleet/document/holder_test.go
+++ b/internal/fleet/document/holder_test.go
@@ -25,7 +25,7 @@
 	return b.Bytes()
 }
 
-// transfer transfers the newest version from one Versions to another and returns the
+// transfer sends the newest version from one Versions to another and returns the
 // number of bytes transferred.
 func transfer(t *testing.T, from, to *Versions) int {
 	t.Helper()
@@ -126,7 +126,7 @@
 				b.ReportAllocs()
 				n := 0
 				for range b.N {
-					p, err := pack(value, base)
+					p, err := compress(value, base)
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/internal/fleet/document/sender_test.go
+++ b/internal/fleet/document/sender_test.go
@@ -128,7 +128,7 @@
 // receive the configuration and the removals over the link of one entry. Guards against a
 // removal that is known seconds late, and against a configuration that reaches the last
 // entry too late.
-func TestUrgentWordPassesALargeValue(t *testing.T) {
+func TestCopiesDoNotDelayUrgentMessages(t *testing.T) {
 	const (
 		maxUrgent = 150 * time.Millisecond
 		maxLast   = 1500 * time.Millisecond
@@ -158,31 +158,31 @@
 	vs := &Versions{}
 	vs.Put(Version{Revision: 1, Value: document(1500, 1)})
 	s := &Sender{Versions: vs, Pacer: &Pacer{BytesPerSecond: 100e3}}
-	ask := func(addr string) Answer {
+	request := func(addr string) Answer {
 		a, err := s.Answer(addr, 0, now)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return a
 	}
-	if _, ok := ask("a").(Copy); !ok {
+	if _, ok := request("a").(Copy); !ok {
 		t.Fatal("the first request is redirected")
 	}
 	redirects := []string{}
 	for range 4 {
-		if e, ok := ask("b").(Redirect); ok {
-			redirects = append(redirects, e.Address)
+		if r, ok := request("b").(Redirect); ok {
+			redirects = append(redirects, r.Address)
 		}
 	}
 	if !slices.Equal(redirects, []string{"a", "a", "a", "a"}) {
 		t.Errorf("named %v", redirects)
 	}
 	now = now.Add(time.Minute)
-	if _, ok := ask("b").(Copy); !ok {
+	if _, ok := request("b").(Copy); !ok {
 		t.Error("redirected though the link is free")
 	}
 	vs.Put(Version{Revision: 2, Value: document(1500, 2)})
-	if _, ok := ask("c").(Copy); !ok {
+	if _, ok := request("c").(Copy); !ok {
 		t.Error("redirected to a process that has the previous version")
 	}
 }
--- a/internal/fleet/fanout/doc.go
+++ b/internal/fleet/fanout/doc.go
@@ -3,8 +3,9 @@
 // the delegate, forwards messages to all members and returns their combined answer.
 //
 // Direct messages from the leader of a group to each of a hundred ranks, many times a
-// second, saturate a link of a few Mbit/s, and each call that times out adds a further
-// one. With delegates the leader sends and receives one message per subgroup.
+// second, saturate a link of a few Mbit/s, and each call that times out is repeated and
+// so adds to the load. With delegates the leader sends and receives one message per
+// subgroup.
 //
 // The package does no network I/O and reads no clock.
 package fanout
--- a/internal/fleet/fanout/tree.go
+++ b/internal/fleet/fanout/tree.go
@@ -82,7 +82,7 @@
 	return slices.MinFunc(s, func(a, b fleet.Member) int { return t.failedAt[a.Name].Compare(t.failedAt[b.Name]) })
 }
 
-// NoteFailure records that a delegate did not answer.
+// NoteFailure records that a process failed as a delegate, or is expected to.
 func (t *Tree) NoteFailure(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -22,7 +22,8 @@
 
 // Resolve returns the targets of a message that identifies its list by hash. If the
 // message contains targets, Resolve caches and returns them. Otherwise it returns the
-// list cached under hash, or nil if there is none.
+// list cached under hash, or nil if there is none. A full cache is emptied first: the
+// senders of the dropped lists send them again.
 func (l *TargetLists) Resolve(hash uint64, targets []*fleetpb.Target) []*fleetpb.Target {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,8 +56,8 @@
 	return h.Sum64()
 }
 
-// SentLists records the hash of the list that was last sent to each process. It is safe for
-// concurrent use.
+// SentLists records the hash of the list that was last sent to each process. It is safe
+// for concurrent use.
 type SentLists struct {
 	mu    sync.Mutex
 	lists map[string]uint64
--- a/internal/fleet/member_test.go
+++ b/internal/fleet/member_test.go
@@ -45,7 +45,7 @@
 // again only at the next regular renewal: after an outage, the leader of a group did not
 // see several ranks for 3 s, because their agents had not yet renewed their leases, and
 // a held step stayed held for as long.
-func TestLapsedKeyIsWrittenAgainAtOnce(t *testing.T) {
+func TestExpiredKeyIsWrittenAgainAtOnce(t *testing.T) {
 	t.Parallel()
 	store, renewNow := &fakeStore{}, &wake.Signal{}
 	r := &Registrar{Store: store, Member: Member{Kind: Agent, Name: "a"}, RenewNow: renewNow}
@@ -85,7 +85,7 @@
 
 // The store answers no call for 8 s. Guards against continuous retries in this time, and
 // against a key that is written only long after the recovery.
-func TestOutageIsAskedIntoSeldom(t *testing.T) {
+func TestOutageCausesFewRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const outage, maxCalls = 8 * time.Second, 7
 		store := &fakeStore{}
--- a/internal/fleet/readers/basis.go
+++ b/internal/fleet/readers/basis.go
@@ -38,9 +38,9 @@
 // may be served to others.
 const ageMargin = 400 * time.Millisecond
 
-// Freshness tracks where the state of a process comes from and whether it is current. This
-// decides whether other processes may get updates from it. Set the exported fields
-// before the first call. It is safe for concurrent use.
+// Freshness tracks where the state of a process, its copy of the store's keys, comes from
+// and whether it is current. This decides whether other processes may get updates from
+// it. Set the exported fields before the first call. It is safe for concurrent use.
 type Freshness struct {
 	// Self is the name of the process.
 	Self string
--- a/internal/fleet/readers/choice.go
+++ b/internal/fleet/readers/choice.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// maxReaders is the number of processes of a data centre that may poll the store
-	// while it answers none of them: enough that one of them reaches a store which
-	// rejects one in three VMs. As many of the processes after them may poll it when
-	// these have no updates.
+	// maxReaders is the number of readers: the processes of a data centre that may poll
+	// the store while it answers none of them. They are enough that one of them reaches a
+	// store which rejects one in three VMs. As many of the processes after them may poll
+	// it when these have no updates.
 	maxReaders = 3
 	// notCurrentBackoff is the time for which a process without updates is skipped, and
 	// noAnswerBackoff that for one which did not answer: each attempt to reach it takes
--- a/internal/fleet/readers/choice_test.go
+++ b/internal/fleet/readers/choice_test.go
@@ -7,7 +7,7 @@
 
 // Guards against calls to the store that grow with the fleet: one process polls it,
 // whatever the size of the fleet.
-func TestOneProcessAsksTheStore(t *testing.T) {
+func TestOneProcessPollsTheStore(t *testing.T) {
 	for _, n := range []int{1, 3, 31} {
 		s := newSimulation(n)
 		s.run(time.Second)
@@ -18,9 +18,9 @@
 	}
 }
 
-// Guards against a data centre that gets no more updates when the process that polls the
+// Guards against a data centre that gets no more updates when the reader that polls the
 // store fails, or the one that takes over from it.
-func TestNextAsksWhenTheFirstIsLost(t *testing.T) {
+func TestNextReaderTakesOverFromFailedOne(t *testing.T) {
 	for _, fail := range []func(s *simulation, name string){
 		func(s *simulation, name string) { s.dead[name] = true },
 		func(s *simulation, name string) { s.rejected[name] = true },
@@ -39,7 +39,7 @@
 // One reader, or all three, shut down and spend eight seconds on their last requests.
 // Guards against processes that return to them every second, or get no updates because
 // these readers have none, and against all others polling the store.
-func TestThoseThatLeaveAreNotAskedAgain(t *testing.T) {
+func TestReadersShuttingDownAreSkipped(t *testing.T) {
 	for _, n := range []int{1, maxReaders} { // each reader that shuts down costs a request
 		s := newSimulation(12)
 		s.run(time.Second)
@@ -68,10 +68,10 @@
 	}
 }
 
-// The reader is cut off from the store and notices it only when a call times out. Guards
-// against processes that return to the reader repeatedly and get no updates while it
+// The first reader is cut off from the store and notices it only when a call times out.
+// Guards against processes that return to it repeatedly and get no updates while it
 // waits: a change has to be known within three seconds.
-func TestOneThatIsCutOffFromTheStoreIsPassedOver(t *testing.T) {
+func TestReaderCutOffFromStoreIsSkipped(t *testing.T) {
 	const changeTime, partitionTime, maxAge, minFresh = 3 * time.Second, 12 * time.Second, 500 * time.Millisecond, 0.6
 	for _, n := range []int{2, 8} {
 		s := newLongPollSimulation(n, changeTime)
@@ -96,9 +96,9 @@
 	}
 }
 
-// The reader is cut off from the store throughout the test, while changes come all the
-// time. Guards against a data centre whose other processes, which could reach the store,
-// get changes too late.
+// The first reader is cut off from the store throughout the test, while changes come all
+// the time. Guards against a data centre whose other processes, which could reach the
+// store, get changes too late.
 func TestChangesAreKnownInTimeThoughTheReaderIsCutOff(t *testing.T) {
 	const (
 		// changeTime is the time limit for a change to be in force, and latency the part
@@ -118,10 +118,10 @@
 	}
 }
 
-// The reader is cut off from the store and gets its updates from the next process, which
-// returns to it now and then. Guards against two processes that get their updates from
-// each other while neither polls the store.
-func TestTurningBackToACutOffReaderCostsNothing(t *testing.T) {
+// The first reader is cut off from the store and gets its updates from the next one, which
+// requests updates from it again now and then. Guards against two processes that get
+// their updates from each other while neither polls the store.
+func TestProcessesDoNotConfirmEachOthersState(t *testing.T) {
 	const changeTime, detectionTime, maxAge = 2 * time.Second, 3 * time.Second, 3 * tick
 	s := newLongPollSimulation(2, changeTime)
 	first := s.selectors["entry0"].takeoverOrder(s.names, s.now)[0]
