--- a/internal/platform/mirror/copy.go
+++ b/internal/platform/mirror/copy.go
@@ -8,7 +8,7 @@
 )
 
 // maxEvents is the number of changes that a Copy keeps: those of several seconds
-// while a fleet of hundreds of processes starts. A reader that is further behind
+// while a fleet of hundreds of processes starts. A process that is further behind
 // gets the complete state.
 const maxEvents = 1024
 
@@ -108,11 +108,12 @@
 }
 
 // Since returns the changes after a revision, or the complete state if known is
-// false or the changes are no longer kept. It reports false before the first update.
+// false, which means that the process has no state yet, or if the changes are no longer
+// kept. It reports false before the first update.
 //
-// A reader that is ahead of the copy gets no changes. RequestedAt still holds for
+// A process that is ahead of the copy gets no changes. RequestedAt still holds for
 // it: all changes made before RequestedAt have revisions up to that of the copy, and
-// so up to that of the reader.
+// so up to that of the process.
 func (c *Copy) Since(after int64, known bool) (Update, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/platform/mirror/copy_test.go
+++ b/internal/platform/mirror/copy_test.go
@@ -100,8 +100,8 @@
 
 // Processes get updates from the service and from each other in random order, and some
 // of them are behind or ahead of others. Guards against a change that is lost or
-// undone, and against a knownAt later than the last change that is known.
-func TestCopiesTellWhatTheServiceTold(t *testing.T) {
+// undone, and against a process that lacks a change made before its knownAt.
+func TestUpdatesFromCopiesKeepStateCorrect(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		h := &history{}
@@ -132,9 +132,9 @@
 	}
 }
 
-// Guards against a copy that grows without bound, and against a reader far behind that
+// Guards against a copy that grows without bound, and against a process far behind that
 // misses changes which were dropped.
-func TestWhoIsFarBehindIsToldAll(t *testing.T) {
+func TestProcessFarBehindGetsCompleteState(t *testing.T) {
 	c := &Copy{}
 	if _, ok := c.Since(0, false); ok {
 		t.Fatal("an empty copy returns an update")
@@ -148,10 +148,10 @@
 		t.Errorf("%d changes are kept", len(c.events))
 	}
 	if u, ok := c.Since(1, true); !ok || !u.Complete || len(u.KVs) != 7 {
-		t.Errorf("a reader far behind gets complete %v, %d items", u.Complete, len(u.KVs))
+		t.Errorf("a process far behind gets complete %v, %d items", u.Complete, len(u.KVs))
 	}
 	if u, ok := c.Since(3*maxEvents-2, true); !ok || u.Complete || len(u.KVs) != 1 {
-		t.Errorf("a reader that lacks one change gets complete %v, %d items", u.Complete, len(u.KVs))
+		t.Errorf("a process that lacks one change gets complete %v, %d items", u.Complete, len(u.KVs))
 	}
 }
 
@@ -170,7 +170,7 @@
 	}
 }
 
-// A process starts to read the service in place of another while its own state is old.
+// A process starts to poll the service in place of another while its own state is old.
 // Guards against account keys that are no longer accepted while the first poll waits for
 // a change.
 func TestPollWaitShrinksWithAge(t *testing.T) {
@@ -186,7 +186,7 @@
 
 // The service did not answer the last call. Guards against a process that waits for an
 // unreachable service and gets no updates from its peers meanwhile.
-func TestSilentServiceIsTriedAndNotWaitedAt(t *testing.T) {
+func TestPollWaitIsShortAfterFailure(t *testing.T) {
 	m := &Mirror{Wait: time.Second}
 	if got := m.pollWait(0, true); got != minPollWait {
 		t.Errorf("a poll waits %v, want %v", got, minPollWait)
@@ -238,7 +238,7 @@
 // A large value is transferred separately and later, also by processes that are behind.
 // Guards against a process that lacks a value which was in force before its knownAt: an
 // account key that the value revokes would be accepted for longer.
-func TestWhatIsToldApartIsNotClaimed(t *testing.T) {
+func TestKnownAtWaitsForSeparateValue(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 4))
 		h := &history{}
@@ -298,7 +298,7 @@
 // A peer announces a large value, and the process polls the service before the value has
 // been transferred. Guards against a poll from the revision of the announcement, which
 // would never return the value.
-func TestServiceIsAskedFromWhereNothingLacked(t *testing.T) {
+func TestPollStartsBeforeMissingSeparateValue(t *testing.T) {
 	var polled []int64
 	updates := []Update{
 		{Complete: true, Revision: 10},
--- a/internal/platform/mirror/mirror.go
+++ b/internal/platform/mirror/mirror.go
@@ -84,8 +84,8 @@
 	// call.
 	Settle time.Duration
 	// MaxSettle is the limit up to which the pause doubles with each consecutive
-	// answer with changes, during the first StartupPeriod of Run. If it is 0, the
-	// pause is always Settle.
+	// answer with changes, during the first StartupPeriod of Run. If MaxSettle is 0,
+	// the pause is always Settle.
 	MaxSettle, StartupPeriod time.Duration
 	// Repoll, if set, makes the Mirror abort the pending poll and send it again. Raise
 	// it when other calls show that the service is reachable again.
@@ -97,8 +97,8 @@
 	Repoll *wake.Signal
 	// Peer, if set, is called before the service. It returns the changes that
 	// another process received from the service after a revision, or the complete
-	// state if known is false, and sets Recovered of the update itself. If it
-	// returns false, the service is called instead.
+	// state if known is false. It also sets Recovered in the update, which Run sets
+	// in the answers of the service. If it returns false, the service is called instead.
 	//
 	// The service is polled from the revision of the last update without
 	// SeparateMissing. Otherwise a value that a peer announced but did not transfer
@@ -118,16 +118,16 @@
 // Run follows the prefix until ctx ends. It always returns nil.
 func (m *Mirror) Run(ctx context.Context) error {
 	retryDelay, settle := minRetryDelay, m.Settle
-	// received is advanced by all updates, also those from peers, complete only by
-	// those without SeparateMissing.
-	received, complete, failed := position{}, position{}, false
+	// received is advanced by all updates, also those from peers; pollFrom, from which
+	// the service is polled, only by those without SeparateMissing.
+	received, pollFrom, failed := position{}, position{}, false
 	// knownAt is the time before which all changes are known. unconfirmed reports
 	// that the service did not answer the last call, or that the last update came
 	// from a peer.
 	knownAt, unconfirmed := time.Time{}, false
 	startupEnd := m.Now().Add(m.StartupPeriod)
 	for ctx.Err() == nil {
-		u, err := m.fetch(ctx, received, complete, m.pollWait(m.Now().Sub(knownAt), unconfirmed))
+		u, err := m.fetch(ctx, received, pollFrom, m.pollWait(m.Now().Sub(knownAt), unconfirmed))
 		switch {
 		case err == nil:
 			if !u.FromPeer {
@@ -137,7 +137,7 @@
 			failed, retryDelay = false, minRetryDelay
 			received.advance(u.Revision)
 			if !u.SeparateMissing {
-				complete.advance(u.Revision)
+				pollFrom.advance(u.Revision)
 			}
 			if u.RequestedAt.After(knownAt) && !u.SeparateMissing {
 				knownAt = u.RequestedAt
@@ -156,7 +156,7 @@
 				settle = m.Settle
 			}
 		case errors.Is(err, ErrCompacted):
-			complete.known = false
+			pollFrom.known = false
 		case errors.Is(err, errPollAborted):
 			failed = true
 		default:
@@ -176,7 +176,7 @@
 // shortened so that the state is at most two waits old when the answer comes, and
 // is minPollWait if unconfirmed.
 //
-// After an outage, or when this process starts to read the service in place of
+// After an outage, or when this process starts to poll the service in place of
 // another, a poll of the full wait would let a state that is already old grow older
 // by that wait, beyond the age up to which it is used. While a process waits for a
 // service that may be unreachable, it also receives nothing from its peers.
@@ -193,7 +193,7 @@
 	}
 }
 
-func (m *Mirror) fetch(ctx context.Context, received, complete position, wait time.Duration) (Update, error) {
+func (m *Mirror) fetch(ctx context.Context, received, pollFrom position, wait time.Duration) (Update, error) {
 	if m.Peer != nil {
 		if u, ok := m.Peer(ctx, received.revision, received.known); ok {
 			u.FromPeer = true
@@ -201,20 +201,20 @@
 		}
 	}
 	sentAt := m.Now()
-	if !complete.known {
+	if !pollFrom.known {
 		m.reportRequest(sentAt)
 		u, err := m.list(ctx)
 		u.RequestedAt = sentAt
 		return u, err
 	}
 	m.reportRequest(sentAt.Add(wait))
-	c, err := m.poll(ctx, complete.revision, wait)
+	c, err := m.poll(ctx, pollFrom.revision, wait)
 	if err != nil {
 		return Update{}, err
 	}
 	// An answer that arrives out of order carries an older revision, and polling
 	// from there would repeat changes.
-	return Update{KVs: c.KVs, Deleted: c.Deleted, Revision: max(c.Revision, complete.revision), RequestedAt: sentAt}, nil
+	return Update{KVs: c.KVs, Deleted: c.Deleted, Revision: max(c.Revision, pollFrom.revision), RequestedAt: sentAt}, nil
 }
 
 func (m *Mirror) reportRequest(due time.Time) {
--- a/internal/platform/mirror/mirror_test.go
+++ b/internal/platform/mirror/mirror_test.go
@@ -13,7 +13,7 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/wake"
 )
 
-// changingService is a service in which one key changes every changeInterval from
+// changingService is a service in which a key is written every changeInterval from
 // changesBegin to changesEnd.
 type changingService struct {
 	mu                       sync.Mutex // guards all below
@@ -21,8 +21,8 @@
 	pollCount                int
 }
 
-// changeFor makes the key change for a duration from now on, where from is the revision
-// now.
+// changeFor makes the service change for a duration from now on. The revision is from at
+// the start.
 func (s *changingService) changeFor(from int64, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,9 +69,8 @@
 
 // A fleet of a hundred processes starts, and keys change twenty times a second for five
 // seconds. With a fixed pause after each answer a process made 21 calls in that time and
-// the fleet 900. Checks that the pause grows while changes come, that
-// no change is delayed by more than the pause, and that later on a single change is
-// received at once.
+// the fleet 900. Checks that the pause grows while changes come, that no change is delayed
+// by more than the pause, and that later on a single change is received at once.
 func TestPauseGrowsWhileChangesCome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const settle, maxSettle = 200 * time.Millisecond, 800 * time.Millisecond
@@ -136,11 +135,11 @@
 	return c, nil
 }
 
-// The lease of a group's leader expires during an outage of the service of 6 s. The poll
-// that was pending when the outage began is never answered, and nothing else changes
-// under the prefix, so that the group had no leader for another 5 s. Checks that raising Repoll,
-// as a process does when its lease renewals are answered again, repeats the poll.
-func TestDoubtedPollIsAskedAnew(t *testing.T) {
+// The lease of a group's leader expires during an outage of the service. The poll that was
+// pending when the outage began is never answered, and nothing else changes under the
+// prefix: after an outage of 6 s a group had no leader for another 5 s. Checks that raising
+// Repoll, as a process does when its lease renewals are answered again, repeats the poll.
+func TestRepollRepeatsPendingPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &stalledService{polls: make(chan struct{}, 1000)}
 		var repoll wake.Signal
