--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -20,7 +20,8 @@
 	Slots int
 	// Draining reports that the endpoint is shutting down.
 	Draining bool
-	// Cold is how much longer the endpoint was cold when it wrote the entry.
+	// Cold is the time that remained of the endpoint's cold start when it wrote the
+	// entry.
 	Cold time.Duration
 }
 
@@ -61,8 +62,9 @@
 	// entries again within this time.
 	RetentionAfterOutage time.Duration
 	// ColdStart returns the duration of the cold start of a service's endpoints; nil
-	// means that they have none. An endpoint of which it isn't known whether it is cold
-	// counts as just started.
+	// means that they have none. Endpoints that appear after the first listing, and
+	// those of a data centre that is put back into service, count as just started,
+	// because it isn't known whether they are cold.
 	ColdStart func(service string) time.Duration
 
 	entries      map[string]*record
@@ -207,7 +209,8 @@
 	return out
 }
 
-// ExtendColdStart records that an endpoint reported how much longer it is cold.
+// ExtendColdStart records that an endpoint reported the time that remains of its cold
+// start.
 func (d *Directory) ExtendColdStart(id string, cold time.Duration, now time.Time) {
 	if rec := d.entries[id]; rec != nil {
 		rec.endpoint.ColdUntil = latest(rec.endpoint.ColdUntil, now.Add(cold))
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -37,7 +37,7 @@
 // Guards against refusing all callers after an outage of the store: leases expire
 // during the outage, the store reports the vanished entries when it recovers, and the
 // endpoints need two seconds to write them again.
-func TestLapsedEntriesHoldAfterAnOutage(t *testing.T) {
+func TestExpiredEntriesAreRetainedAfterOutage(t *testing.T) {
 	d := newDirectory()
 	d.Put(entry("x", 1, "1:1"), start)
 	d.Put(entry("y", 1, "2:1"), start)
@@ -77,7 +77,7 @@
 // After a power loss, engines start under new IDs at their previous addresses, and
 // the old entries remain for some seconds. Guards against sending requests for the
 // old IDs: they are answered as misdirected until they run out of attempts.
-func TestLaterStartAtAnAddressEndsTheEarlierOne(t *testing.T) {
+func TestLaterStartAtAddressReplacesEarlierOne(t *testing.T) {
 	for _, order := range [][]Entry{
 		{entry("old", 1, "1:1"), entry("new", 2, "1:1")},
 		{entry("new", 2, "1:1"), entry("old", 1, "1:1")},
