--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -38,11 +38,11 @@
 	Host           string
 	Prefix         string
 	RetrySemantics RetrySemantics
-	// Timeout bounds the handling of a request; zero means no bound.
+	// Timeout bounds the handling of a request; zero means that the route sets no bound.
 	Timeout time.Duration
-	// TargetLatency is the time to the first part of the answer (for a plain answer, the whole of
-	// it) up to which the answer has its full value. MaxGap is the longest acceptable pause between
-	// events.
+	// TargetLatency is the longest time to the first part of the answer, or to the whole answer if
+	// it is not streamed, for which the answer has its full value. MaxGap is the longest acceptable
+	// pause between the events of a stream.
 	TargetLatency, MaxGap time.Duration
 	// Patience is the time without any part of the answer after which a caller gives up; zero means
 	// that it waits until its deadline.
