--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -44,7 +44,7 @@
 	// ID is unique among the open requests. A request without an ID, or with one that is in use, is
 	// not queued.
 	ID string
-	// Account is the name of the account, or that of requests without one.
+	// Account is the name of the account, or anonymousAccount for a request without one.
 	Account string
 	// FirstPartDeadline is the time at which the first part of the answer is due, and Deadline the
 	// caller's deadline. TargetLatency is the latency target from which FirstPartDeadline follows.
@@ -331,7 +331,8 @@
 	defer st.mu.Unlock()
 	select {
 	case e := <-w.done:
-		// The request was assigned at the same moment; the assignment must be used or given back.
+		// The request was assigned or refused at the same moment. An assignment must be used or
+		// given back.
 		return w.assigned, e
 	default:
 	}
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -245,7 +245,7 @@
 	return Delivered{}
 }
 
-// CloseIdleConns closes idle connections once a second until ctx ends.
+// CloseIdleConns closes the idle connections that have expired, once a second until ctx ends.
 func (r *Relay) CloseIdleConns(ctx context.Context) error {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
--- a/internal/relay/belief_test.go
+++ b/internal/relay/belief_test.go
@@ -104,7 +104,7 @@
 	fleet     []*State
 	engines   int
 	open      []openRequest
-	number    uint64
+	sequence  uint64
 	excessSum float64
 	samples   int
 }
@@ -137,10 +137,10 @@
 }
 
 func (w *fleetModel) exchange(now time.Time) {
-	w.number++
+	w.sequence++
 	entryLoads := make([]EntryLoad, 0, len(w.fleet))
 	for _, from := range w.fleet {
-		entryLoads = append(entryLoads, EntryLoad{Entry: from.Name, Incarnation: 1, Sequence: w.number, Running: from.OwnRunning(), At: now})
+		entryLoads = append(entryLoads, EntryLoad{Entry: from.Name, Incarnation: 1, Sequence: w.sequence, Running: from.OwnRunning(), At: now})
 	}
 	for i, to := range w.fleet {
 		to.SetEntryLoads(slices.Concat(entryLoads[:i], entryLoads[i+1:]), now)
@@ -228,9 +228,10 @@
 	}
 }
 
-// Engines stay full. Guards against a request that is held until its caller gives up, instead of
-// being refused when its answer would be late.
-func TestRequestIsRefusedWhenItsTargetIsOutOfReach(t *testing.T) {
+// Engines stay full until a queued request can no longer meet its target, nor be answered before
+// the caller's deadline. Guards against a request that is held until that deadline instead of being
+// refused with a Retry-After time.
+func TestRequestIsRefusedBeforeItsDeadline(t *testing.T) {
 	st := newState("me", &routing.Service{Name: "quotes", Engine: testEngine()})
 	listEndpoints(st, 1, "quotes")
 	s := st.Table().Service("quotes")
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -31,9 +31,9 @@
 // a margin: entries count requests by their own clocks, and callers are not spread evenly.
 const budgetUse = 0.7
 
-// budget returns the retry budget of a service, with this entry's current share of the fleet's. Half
-// of the share of Slack may be used at once, and the other half becomes available over each Window.
-// mu must be held.
+// budget returns the retry budget of a service, with this entry's current share of the fleet's.
+// Half of the share of Slack may be used at once, and the other half becomes available over each
+// Window. mu must be held.
 func (st *State) budget(service string, now time.Time) *admission.RetryBudget {
 	n := float64(st.countEntries(now))
 	r := st.retryBudgets[service]
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -1,6 +1,6 @@
 // Package relay forwards callers' requests from an entry, the process that accepts them, directly
-// to endpoints. No agent, which is a process beside an endpoint that all its requests pass through,
-// takes part.
+// to endpoints. They bypass the agents, which are processes that run beside endpoints and through
+// which an endpoint's requests would otherwise pass.
 //
 // The guarantees that an agent would enforce are kept by other means. A request runs at most once:
 // it is never sent again after a byte of it may have reached an endpoint, unless that endpoint
--- a/internal/relay/late.go
+++ b/internal/relay/late.go
@@ -81,7 +81,7 @@
 	return max(minLateSlots, int(share-reservedFraction*needed))
 }
 
-// usualSlotTime returns how long a request usually holds its slot. Before any request was
+// usualSlotTime returns how long a request usually holds its slot. Until enough requests have been
 // observed, it is the time that a fully loaded engine with a planned expert map takes for a request
 // of mean size.
 func (st *State) usualSlotTime(s *routing.Service, now time.Time) time.Duration {
--- a/internal/relay/late_test.go
+++ b/internal/relay/late_test.go
@@ -64,8 +64,8 @@
 }
 
 // A group of engines forms again after all VMs lost power, a second after its callers came back.
-// Guards against the refusal of callers who came back as they were asked to: it would be their last
-// attempt, and they would wait for two seconds.
+// Guards against the refusal of callers who came back as they were asked to: it would end their
+// last attempt, although they are willing to wait for two seconds.
 func TestRequestWaitsForAGroupThatForms(t *testing.T) {
 	st, s := newGroup(2)
 	reportLoads(st, true, true, start)
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -25,10 +25,10 @@
 	// minLimitRate is the lowest rate, in requests per second, at which an endpoint is sent
 	// requests, so that the end of its limit is noticed.
 	minLimitRate = 0.1
-	// Entries may send the requests that they have saved up all at once. An endpoint accepts
-	// burstPerRate requests at once for each request per second of its limit, and burstBase more.
-	// Both are low enough to leave some of its tolerance for entries that disagree on the number of
-	// sharers.
+	// All entries that share a limit may send the one request that each has saved up at the same
+	// moment. Their number is at most burstPerRate for each request per second of the limit, and
+	// burstBase more. An endpoint tolerates more requests at once than that; the rest is a margin
+	// for entries that disagree on the number of entries.
 	burstPerRate = 2
 	burstBase    = 3
 )
@@ -221,8 +221,8 @@
 //
 // With 150 entries and an endpoint that accepts one request per second, each entry would have saved
 // up a request after a while, and all could send theirs at the same moment. So only as many entries
-// share the limit as the endpoint accepts requests at once. A hash of the names selects them, so
-// that all entries agree without coordination.
+// share the limit as burstPerRate and burstBase permit. A hash of the names selects them, so that
+// all entries agree without coordination.
 func (st *State) limitSharers(l RateLimit) (int, bool) {
 	hash := func(name string) uint64 { return xxhash.Sum64String(name + " " + l.Endpoint) }
 	own, before, entries := hash(st.Name), 0, 1
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -171,9 +171,9 @@
 func (j *job) logLimit(assigned Assignment, perSecond float64) {
 	fields := logrus.Fields{"endpoint": assigned.Endpoint.ID, "born": assigned.Endpoint.StartMillis, "service": assigned.Endpoint.Service, "request": j.requestInfo.ID}
 	if perSecond < 0 {
-		j.relay.Log.WithFields(fields).Info("endpoint names no limit any more")
+		j.relay.Log.WithFields(fields).Info("endpoint no longer reports a limit")
 		return
 	}
 	fields["perSecond"] = perSecond
-	j.relay.Log.WithFields(fields).Info("endpoint names a limit")
+	j.relay.Log.WithFields(fields).Info("endpoint reports a limit")
 }
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// An engine is half as fast as the others. Guards against moving streams that it can run without
-// exceeding the route's MaxGap.
+// An engine is 2.4 times slower than the others. Guards against moving streams that it can run
+// without exceeding the route's MaxGap.
 func TestOnlyExcessStreamsAreMoved(t *testing.T) {
 	g := newSlowGroup(t, 40)
 	g.report(start, 1, 1, 2.4, 1)
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -68,8 +68,9 @@
 }
 
 // assignmentError returns the error for a request that can't be assigned, with a Retry-After time.
-// reason is the balancer's reason, cold the time until a cold endpoint may be sent a request, and
-// limited the effect of limits.
+// reason is the balancer's reason, which is NoEndpoint if there is no endpoint besides the excluded
+// ones. cold is the time until a cold endpoint may be sent a request, and limited the effect of
+// limits.
 func (st *State) assignmentError(service *routing.Service, reason result.Code, cold time.Duration, limited limitState, now time.Time) *result.Error {
 	othersExist := reason != result.NoEndpoint
 	switch {
@@ -122,6 +123,7 @@
 		st.latencies.recordFirst(assigned.Endpoint.Service, now.Sub(assigned.assignedAt), now)
 	}
 	st.outages.answered(assigned.Endpoint.Service, now)
+	// An engine that answers belongs to an open group, even if the last report said otherwise.
 	if l := st.loads[assigned.Endpoint.ID]; l.Closed {
 		l.Closed = false
 		st.loads[assigned.Endpoint.ID] = l
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -52,8 +52,8 @@
 // KeyAge returns the value set by SetMaxKeyAge.
 func (r *Relay) KeyAge() time.Duration { return time.Duration(r.maxKeyAge.Load()) }
 
-// StopAccepting makes the relay answer each further request as not run, because the process is
-// about to exit and could not finish it.
+// StopAccepting makes the relay refuse each further request with result.ShuttingDown, which says
+// that it was not run, because the process is about to exit and could not finish it.
 func (r *Relay) StopAccepting() { r.stopping.Store(true) }
 
 // job is the state of one request.
@@ -155,9 +155,9 @@
 
 // checkKey determines the account of a request that needs one.
 //
-// A revoked key must not be accepted some seconds later, also not by an entry that is cut off from
-// the store or was suspended. Such an entry can't learn of the revocation, so it accepts no key at
-// all when its knowledge is too old.
+// A key must not be accepted for longer than some seconds after it was revoked, even by an entry
+// that is cut off from the store or was suspended. Such an entry can't learn of the revocation, so
+// it accepts no key at all when its knowledge is too old.
 func (j *job) checkKey(now time.Time) *result.Error {
 	if !j.table.NeedsKeys() || j.route.Anonymous {
 		return nil
--- a/internal/relay/shares.go
+++ b/internal/relay/shares.go
@@ -28,8 +28,7 @@
 }
 
 // shareBurst is the number of requests that may be saved up. With one, all entries together send at
-// most the rate and one request per entry in any second, for which the bounds of such endpoints
-// leave room.
+// most the rate and one request per entry in any second, which such endpoints tolerate.
 const shareBurst = 1.0
 
 // Ready reports whether a request may be sent to the endpoint, which accepts rate requests per
--- a/internal/relay/times.go
+++ b/internal/relay/times.go
@@ -91,9 +91,9 @@
 
 // quick returns the time in which a service sends the first part of a quick answer.
 //
-// It serves for targets instead of the usual time: while a service is slow for some seconds, all
-// its requests would otherwise be late from the start, and nothing would show when it is fast
-// again.
+// Whether a request can meet its target is estimated from this time and not from the usual one:
+// otherwise, after a service was slow for some seconds, all its requests would be late from the
+// start, and nothing would show that it is fast again.
 func (a *answerLatencies) quick(service string, target time.Duration, now time.Time) time.Duration {
 	return a.forService(service, now).firstPart(quickFirstPercentile, target)
 }
