--- a/internal/ranker/loads.go
+++ b/internal/ranker/loads.go
@@ -31,7 +31,8 @@
 	// closed then.
 	lastSent   time.Time
 	lastClosed bool
-	// sentLists records which list of engines each entry has received.
+	// sentLists records which target list, here one of engines, each entry has
+	// received.
 	sentLists fleet.SentLists
 }
 
--- a/internal/ranker/looker_test.go
+++ b/internal/ranker/looker_test.go
@@ -52,7 +52,7 @@
 func TestMostSilentConcludesNothingAtFirst(t *testing.T) {
 	p, members := newUnreachableAgents(t, 5)
 	if n := countPolled(p, members); n != 0 || len(p.failures) != 0 {
-		t.Errorf("%d engines were polled without their agents, %d agents backed off from", n, len(p.failures))
+		t.Errorf("%d engines were polled without their agents and %d failures recorded, want none", n, len(p.failures))
 	}
 	if n := countPolled(p, members); n != len(members) {
 		t.Errorf("%d of %d engines were polled in the second poll", n, len(members))
@@ -63,7 +63,7 @@
 func TestOneUnreachableAgentIsBypassed(t *testing.T) {
 	p, members := newUnreachableAgents(t, 5)
 	for _, m := range members[1:] {
-		m.Name = "own" // its engine is polled without an agent
+		m.Name = "own" // the poller's own agent, whose engine is polled locally
 	}
 	p.Ranker.engine = p.engineAt(members[1].Endpoint)
 	if n := countPolled(p, members); n != len(members) {
--- a/internal/ranker/looks.go
+++ b/internal/ranker/looks.go
@@ -173,7 +173,8 @@
 	return t.engine.ReportLag + reportLagMargin
 }
 
-// indexByRank returns the reports by rank. seen reports which ranks have one.
+// indexByRank returns the states and the reports of all ranks by rank. seen reports
+// which ranks have one.
 func (t *term) indexByRank(reports []rankReport) (ranks []lockstep.State, byRank []rankReport, seen []bool) {
 	ranks = make([]lockstep.State, t.size)
 	byRank = make([]rankReport, t.size)
--- a/internal/ranker/orders.go
+++ b/internal/ranker/orders.go
@@ -21,9 +21,9 @@
 const prepareTimeout = 600 * time.Millisecond
 
 // giveAndContinue delivers orders to their ranks, then those that next returns, as
-// long as every order is answered as carried out, which is the outcome NoChange. The
-// ranks' states are then known without another poll, and a held step is released some
-// milliseconds sooner.
+// long as the outcome of every order is NoChange, which means that the rank is in the
+// ordered state. The ranks' states are then known without another poll, and a held
+// step is released some milliseconds sooner.
 func (t *term) giveAndContinue(
 	ctx context.Context, orders []lockstep.AddressedOrder, ranks []lockstep.State, byRank []rankReport,
 	next func(now time.Time) []lockstep.AddressedOrder,
@@ -102,7 +102,9 @@
 	}
 }
 
-// addressedProto encodes an order for a rank that was polled through a delegate.
+// addressedProto encodes an order for a rank that was polled through a delegate. The
+// fencing token and the map of a Prepare are left out, because the SpreadRequest has
+// them once for all orders.
 func addressedProto(ao lockstep.AddressedOrder, target rankReport) *fleetpb.Addressed {
 	order := &fleetpb.Addressed{Order: giveRequestProto(0, ao, &fleetpb.Prepare{}), Direct: target.agent == nil}
 	if order.Direct {
--- a/internal/ranker/planner_test.go
+++ b/internal/ranker/planner_test.go
@@ -6,8 +6,8 @@
 	"github.com/hyssoprelay/hyssoprelay/internal/routing"
 )
 
-// Guards against a map that needs four changes to follow a jump although copies are
-// fast, and against one change that many slow copies delay.
+// Guards against following a jump in four changes although copies are fast, and
+// against a change that many slow copies delay.
 func TestCopiesPerRankFollowCopyTime(t *testing.T) {
 	const link = 22.5e9 // bytes a second
 	for _, c := range []struct {
@@ -22,7 +22,7 @@
 }
 
 // A jump affects all 16 sets of 129 ranks. Guards against a first map that leaves
-// most of the skew because each rank copies only one expert of 7 ms.
+// most of the skew because each rank copies only one expert, which takes 7 ms.
 func TestOneChangeCoversJumpInAllSets(t *testing.T) {
 	const ranks, sets, experts = 129, 16, 258
 	p := planner{ranks: ranks, engine: &routing.Engine{Experts: routing.Experts{
--- a/internal/ranker/popularity_test.go
+++ b/internal/ranker/popularity_test.go
@@ -60,8 +60,9 @@
 	return sum
 }
 
-// Popularity jumps every few seconds. Guards against an estimate that takes longer
-// than half a second to follow, and against noise that is taken for a jump.
+// Popularity jumps every few seconds. Guards against a jump that is not detected
+// within half a second, against an estimate that has not followed a quarter of a
+// second later, and against noise that is taken for a jump.
 func TestPopularityFollowsJumpsNotNoise(t *testing.T) {
 	for seed := range uint64(20) {
 		source := newChoiceSource(seed, 72)
--- a/internal/ranker/ranker.go
+++ b/internal/ranker/ranker.go
@@ -29,8 +29,8 @@
 	// storeTimeout bounds a call to the store, which answers in milliseconds.
 	storeTimeout = 700 * time.Millisecond
 	// memberPollWait is how long the store may hold a leader's long poll for fleet
-	// members. The answer may be old, because the leader's own polls show which
-	// agents respond.
+	// members. An outdated list does no harm, because the leader's own polls show
+	// which agents respond.
 	memberPollWait = 10 * time.Second
 	// memberPollSettle is how long the leader waits after a change of members before
 	// it polls again, so that one poll returns several changes.
@@ -44,7 +44,8 @@
 	leaseTTL = 1200 * time.Millisecond
 	// renewInterval leaves time for two further renewal attempts within leaseTTL.
 	renewInterval = 350 * time.Millisecond
-	// engineTimeout bounds a call to the engine on the same VM.
+	// engineTimeout bounds a call to the engine on the same VM, and a leader's calls
+	// to engines on other VMs.
 	engineTimeout = 150 * time.Millisecond
 	// ownPollInterval is how often an agent polls its own engine for the group it
 	// belongs to and checks whether the group has a leader.
@@ -150,8 +151,9 @@
 	})
 }
 
-// resign waits until the term of a leader has ended, so that no step stays held and
-// another agent can lead at once. It waits for at most resignTimeout.
+// resign makes this agent's term end, if it leads a group, and waits for the end, so
+// that no step stays held and another agent can lead at once. It waits for at most
+// resignTimeout.
 func (r *Ranker) resign() {
 	r.stopping.Store(true)
 	deadline := time.Now().Add(resignTimeout)
@@ -240,8 +242,8 @@
 	}
 	own := leaderInfo{name: r.Settings.Name, Predecessor: lockstep.Predecessor{Token: token, Rank: s.Rank}}
 	r.leader.observe(own, now)
-	// The own term counts as seen until its end, so that this agent waits as long as
-	// the others before it asks the store again.
+	// This agent counts as seen leading until its term ends, so that it waits as long
+	// as the others before it asks the store again.
 	defer func() { r.leader.observe(own, boottime.Now()) }()
 	r.counters.terms.Inc(1)
 	r.Log.WithFields(logrus.Fields{"group": s.Group, "token": token, "epoch": s.Epoch}).Info("group leadership acquired")
--- a/internal/ranker/ranker_test.go
+++ b/internal/ranker/ranker_test.go
@@ -167,7 +167,7 @@
 	g.awaitProgress()
 }
 
-// An agent is stopped at the moment in which a step is held, and its key vanishes.
+// An agent is stopped just when a step is held, and its key vanishes.
 // Guards against a leader that no longer polls that agent's engine: it would lack a
 // rank, and the group would stay held until the agent is back.
 func TestAgentLeavesWhileAStepIsHeld(t *testing.T) {
--- a/internal/ranker/service.go
+++ b/internal/ranker/service.go
@@ -90,7 +90,8 @@
 }
 
 // decodeOrder decodes an order. known is false when the order's map is encoded as
-// changes to a map that this agent does not have.
+// changes to a map that this agent does not have, or that do not yield the leader's
+// map.
 func (s *service) decodeOrder(req *fleetpb.GiveRequest) (ao lockstep.AddressedOrder, known bool, err error) {
 	if ao, err = addressedOrderFromProto(req); err != nil {
 		return ao, false, err
--- a/internal/ranker/sums.go
+++ b/internal/ranker/sums.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// recentCounts computes what an engine has counted since the previous query. It is
+// recentCounts computes what an engine has counted since the previous poll. It is
 // safe for concurrent use.
 //
 // With 129 ranks and 16 sets of 258 experts behind 6 Mbit/s links, the counts of all
--- a/internal/ranker/term.go
+++ b/internal/ranker/term.go
@@ -95,8 +95,8 @@
 // Where engines check fencing tokens, a lease that cannot be renewed because the
 // store is unreachable does not end the term. No other agent can take the lease
 // during the outage, and one that takes it later first shows its token to every rank,
-// after which this leader's orders are refused. Otherwise a step would stay held, or
-// an old map in force, for the whole outage.
+// after which this leader's orders are refused. If the term ended, a step would stay
+// held, or an old map in force, for the whole outage.
 func (t *term) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := boottime.Now()
