--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -21,7 +21,8 @@
 	// Get reads one key.
 	Get(ctx context.Context, key string) (RangeReply, error)
 	// List reads at most limit keys with the prefix, in order of keys. It starts
-	// behind the key after, or at the first one if after is empty.
+	// with the first key that is greater than after, or with the first one if
+	// after is empty.
 	List(ctx context.Context, prefix, after string, limit int) (RangeReply, error)
 	// Txn runs a transaction. It counts as one write.
 	Txn(ctx context.Context, t Txn) (TxnReply, error)
@@ -71,7 +72,8 @@
 
 // Run connects to the service and maintains the connections until ctx ends. It
 // then returns nil, unless closing a connection fails. It returns ErrNoAddresses,
-// ErrInvalidTimeout or a connection error at once if the fields are invalid.
+// ErrInvalidTimeout or an error for an invalid address at once if the fields are
+// invalid.
 func (c *Client) Run(ctx context.Context) error {
 	if len(c.Addrs) == 0 {
 		return ErrNoAddresses
@@ -145,7 +147,9 @@
 	return &etcdpb.RangeRequest{Key: []byte(start), RangeEnd: prefixEnd(prefix), Limit: int64(limit)}
 }
 
-// prefixEnd returns the first key that sorts after all keys with the prefix.
+// prefixEnd returns the first key that sorts after all keys with the prefix. If
+// there is no such key, it returns a zero byte, which the service takes as a range
+// without an end.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// Guards against an order that runs twice: the response to a write is lost, the
-// client receives "not run" and sends the order again. A lost response must have an
+// Guards against a request that runs twice: the reply to a write is lost, the
+// caller receives "not run" and sends the request again. A lost reply must have an
 // error of its own that no result code turns into "not run".
 func TestLostAnswerIsUnknown(t *testing.T) {
 	s := &kv.Server{}
--- a/internal/platform/dial.go
+++ b/internal/platform/dial.go
@@ -22,7 +22,7 @@
 )
 
 // A connection that carries a watch is probed every keepaliveInterval, the shortest
-// interval that the service allows, and closed if no response arrives within
+// interval that the service allows, and closed if no reply arrives within
 // keepaliveTimeout. Otherwise, if a network partition drops packets, a watch stays
 // open without receiving anything, and each call sent over the connection times out
 // with an unknown outcome.
@@ -83,7 +83,7 @@
 }
 
 // preferNextAfter makes the next address the preferred one after a call over conn
-// got no response. Otherwise a member of the service that accepts connections but
+// got no reply. Otherwise a member of the service that accepts connections but
 // never responds would block all calls while other members are healthy.
 func (c *Client) preferNextAfter(conn *grpc.ClientConn) {
 	c.mu.Lock()
--- a/internal/platform/errors.go
+++ b/internal/platform/errors.go
@@ -23,7 +23,7 @@
 // Error implements error.
 func (e *NotSentError) Error() string { return "call not sent to the platform: " + e.reason }
 
-// Unwrap returns the result code PlatformDown.
+// Unwrap returns an error with the result code PlatformDown.
 func (e *NotSentError) Unwrap() error { return result.New(result.PlatformDown, e.reason) }
 
 // RejectedError reports that the service rejected a call without applying it.
@@ -60,7 +60,7 @@
 // LeaseMissing reports whether the lease named in the call does not exist.
 func (e *RejectedError) LeaseMissing() bool { return e.code == codes.NotFound }
 
-// UnknownOutcomeError reports that a write was sent and no response arrived. The
+// UnknownOutcomeError reports that a write was sent and no reply arrived. The
 // write may have been applied or may still be. The error wraps no result code,
 // since a code with the effect NotRun would be wrong.
 type UnknownOutcomeError struct {
@@ -80,7 +80,7 @@
 // Error implements error.
 func (e *ReadError) Error() string { return "reading from the platform failed: " + e.cause }
 
-// Unwrap returns the result code PlatformDown.
+// Unwrap returns an error with the result code PlatformDown.
 func (e *ReadError) Unwrap() error { return result.New(result.PlatformDown, e.cause) }
 
 // IsUnknown reports whether err leaves the outcome of a write unknown.
@@ -103,12 +103,12 @@
 // ClassifyWriteError classifies the error of a write that was passed to the
 // transport as a RejectedError or an UnknownOutcomeError.
 //
-// A lost response must not count as a rejection: a client that receives the
-// outcome "not run" sends its print order again, and the order would be printed
-// twice. Hence only errors that the service returns before it changes its state
-// count as rejections. Any other status may also come from the transport after the
-// write was applied: ResourceExhausted from a response that is too large,
-// Unavailable from a broken connection, Canceled and DeadlineExceeded from this
+// A lost reply must not count as a rejection: a caller that receives the outcome
+// "not run" sends its request again, and it would run twice, for example an order
+// would be printed twice. Hence only errors that the service returns before it
+// changes its state count as rejections. Any other status may also come from the
+// transport after the write was applied: ResourceExhausted from a reply that is too
+// large, Unavailable from a broken connection, Canceled and DeadlineExceeded from this
 // process.
 func ClassifyWriteError(err error) error {
 	s := status.Convert(err)
--- a/internal/platform/reply.go
+++ b/internal/platform/reply.go
@@ -22,7 +22,7 @@
 // Lease returns the lease that the key is attached to, or zero if there is none.
 func (kv KeyValue) Lease() LeaseID { return kv.lease }
 
-// RangeReply is the response to a read.
+// RangeReply is the reply to a read.
 type RangeReply struct {
 	revision int64
 	kvs      []KeyValue
@@ -35,7 +35,7 @@
 // KVs returns the key-value pairs in order of keys.
 func (r RangeReply) KVs() []KeyValue { return r.kvs }
 
-// More reports whether the limit truncated the response.
+// More reports whether the limit truncated the reply.
 func (r RangeReply) More() bool { return r.more }
 
 // First returns the first key-value pair, and false if there is none.
@@ -46,7 +46,7 @@
 	return r.kvs[0], true
 }
 
-// OpReply is the response to one operation of a transaction. Only the accessor for
+// OpReply is the reply to one operation of a transaction. Only the accessor for
 // the kind of the operation returns more than a zero value; for a Put or Delete
 // none does.
 type OpReply struct {
@@ -54,13 +54,13 @@
 	txnReply   TxnReply
 }
 
-// Range returns the response to a Get.
+// Range returns the reply to a Get.
 func (r OpReply) Range() RangeReply { return r.rangeReply }
 
-// Txn returns the response to a nested transaction.
+// Txn returns the reply to a nested transaction.
 func (r OpReply) Txn() TxnReply { return r.txnReply }
 
-// TxnReply is the response to a transaction.
+// TxnReply is the reply to a transaction.
 type TxnReply struct {
 	revision  int64
 	succeeded bool
@@ -74,7 +74,7 @@
 // Else.
 func (r TxnReply) Succeeded() bool { return r.succeeded }
 
-// Ops returns the responses to the executed operations, in order.
+// Ops returns the replies to the executed operations, in order.
 func (r TxnReply) Ops() []OpReply { return r.ops }
 
 // TxnReplyFrom converts a TxnResponse message.
@@ -90,7 +90,7 @@
 	return r
 }
 
-// opReplyFrom converts a ResponseOp message. A nested transaction whose response
+// opReplyFrom converts a ResponseOp message. A nested transaction whose reply
 // has no revision gets that of the outer one.
 func opReplyFrom(p *etcdpb.ResponseOp, revision int64) OpReply {
 	r := OpReply{rangeReply: RangeReplyFrom(p.GetResponseRange()), txnReply: TxnReplyFrom(p.GetResponseTxn())}
@@ -128,7 +128,7 @@
 	return RangeReply{revision: revision, kvs: kvs, more: more}
 }
 
-// NewTxnReply returns a TxnReply without responses to operations for a client of
+// NewTxnReply returns a TxnReply without replies to operations for a client of
 // another protocol.
 func NewTxnReply(revision int64, succeeded bool) TxnReply {
 	return TxnReply{revision: revision, succeeded: succeeded}
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -67,7 +67,7 @@
 // Watch sends the changes of the keys with the prefix to events until ctx ends,
 // starting at the revision from; zero means the current one. When the stream breaks,
 // Watch opens a new one without a start revision and sends a Gap: a service that was
-// restored from an older backup may not hold the changes in between. It always
+// restored from an older copy may not hold the changes in between. It always
 // returns nil.
 func (c *Client) Watch(ctx context.Context, prefix string, from int64, events chan<- WatchEvent) error {
 	w := watch{c: c, prefix: prefix, startRevision: from, events: events, gapReason: GapOpened}
