--- a/internal/platform/claim/batcher.go
+++ b/internal/platform/claim/batcher.go
@@ -27,7 +27,8 @@
 	// KV is the platform's key-value service.
 	KV platform.KV
 	// Agent is the agent's address, Endpoint the name of its endpoint, and
-	// Incarnation identifies the start of the agent. They go into each record.
+	// Incarnation distinguishes the starts of the agent's process. They go into
+	// each record.
 	Agent       string
 	Endpoint    string
 	Incarnation uint64
@@ -64,7 +65,7 @@
 	mu               sync.Mutex // guards the fields below and those of each op
 	pendingClaims    []*op      // claims that wait to be sent
 	pendingOutcomes  []*op      // storeOutcome and closeKey operations that wait to be sent
-	inFlightOutcomes int        // pendingOutcomes operations in the current transaction
+	inFlightOutcomes int        // storeOutcome and closeKey operations in the current transaction
 	drained          chan struct{}
 	stopped          bool
 }
@@ -119,7 +120,7 @@
 }
 
 // enqueue queues a claim, or refuses it if Run has ended or MaxQueue claims
-// wait. Without that limit, a burst of orders or a slow service would make
+// wait. Without that limit, a burst of requests or a slow service would make
 // callers wait past their deadlines in a queue that the service, at a few
 // hundred writes per second, can't drain. MaxQueue should be the number of
 // claims that the service handles within the shortest deadline.
--- a/internal/platform/claim/batcher_test.go
+++ b/internal/platform/claim/batcher_test.go
@@ -122,9 +122,9 @@
 }
 
 // Guards against an unknown outcome while the service is down. The claim was
-// not made, so the caller must be told that its order was not run; it may send
-// the order again when the service is back.
-func TestDownIsTrulyNotMade(t *testing.T) {
+// not made, so the caller must be told that its request was not run; it may send
+// the request again when the service is back.
+func TestClaimWhileDownIsNotMade(t *testing.T) {
 	withBatcher(t, func(t *batcherTest) {
 		t.server.SetDown(true)
 		wantCode(t.T, Err(t.claim(testKey(1), "a", "d", time.Minute)), result.PlatformDown)
@@ -133,8 +133,8 @@
 	})
 }
 
-// Guards against a lost reply that is reported as not run although the order
-// holds a claim, or that leaves the order open for ever. The replies to the
+// Guards against a lost reply that is reported as not run although the request
+// holds a claim, or that leaves the claim open for ever. The replies to the
 // claim and its first repeat are lost; the third write finds the attempt's own
 // record.
 func TestLostAnswerIsSettledByOwnAttempt(t *testing.T) {
@@ -151,7 +151,8 @@
 // Guards against a dispatch after a release. The first write of a claim takes
 // effect at once, but its replies are lost for longer than the window.
 // Meanwhile an operator may release the claim; if the window counted from the
-// last write, the agent would run the order as well.
+// last write, the agent would still run the request, and the caller's repeat
+// would run too.
 func TestWindowCountsFromFirstSend(t *testing.T) {
 	withBatcher(t, func(t *batcherTest) {
 		t.server.LoseAnswers(1000)
@@ -166,9 +167,9 @@
 
 // Guards against an abandoned claim that takes effect later. The caller leaves
 // while the write is delayed by ten seconds. If the write took effect, nobody
-// would run the order and each repeat would be refused as held until an
+// would run the request and each repeat would be refused as held until an
 // operator releases the claim.
-func TestAbandonedClaimCannotLandLater(t *testing.T) {
+func TestAbandonedClaimHasNoLaterEffect(t *testing.T) {
 	withBatcher(t, func(t *batcherTest) {
 		t.server.SetSlow(10 * time.Second)
 		if _, ok := t.claim(testKey(1), "a", "d", 100*time.Millisecond).(Unknown); !ok {
@@ -183,10 +184,12 @@
 }
 
 // Guards against the loss of an outcome in an outage: the service goes down for
-// a minute after the order was run. A repeat after the outage must get the
+// a minute after the request was run. A repeat after the outage must get the
 // answer.
 func TestOutcomeSurvivesOutage(t *testing.T) {
 	withBatcher(t, func(t *batcherTest) {
+		// Obtains the lease of the bucket, so that the outage affects only the
+		// transaction.
 		t.storeOutcome(t.mustClaim(testKey(2), "lease"), Completed, Answer{})
 		t.flush()
 		g := t.mustClaim(testKey(1), "a")
@@ -202,8 +205,8 @@
 }
 
 // Guards against the loss of an outcome when the service is restored from a
-// copy that is older than the claim. The agent that ran the order still has the
-// outcome and must store it.
+// copy that is older than the claim. The agent that ran the request still has
+// the outcome and must store it.
 func TestOutcomeSurvivesRestore(t *testing.T) {
 	withBatcher(t, func(t *batcherTest) {
 		old := t.server.Copy()
@@ -219,8 +222,8 @@
 
 // Guards against closed records that expire early. A lease that has to be kept
 // alive expires when its holder is paused; without the closed record a repeated
-// order would run again.
-func TestClosedRecordsOutliveLapses(t *testing.T) {
+// request would run again.
+func TestClosedRecordOutlivesPausedHolder(t *testing.T) {
 	withBatcher(t, func(t *batcherTest) {
 		t.storeOutcome(t.mustClaim(testKey(1), "a"), Completed, Answer{Status: 200})
 		t.flush()
@@ -234,7 +237,7 @@
 }
 
 // Guards against the loss of an outcome when the lease of the bucket no longer
-// exists: the service refuses the transaction, and the outcome must be stored
+// exists: the service rejects the transaction, and the outcome must be stored
 // with a new lease.
 func TestMissingLeaseIsReplaced(t *testing.T) {
 	withBatcher(t, func(t *batcherTest) {
--- a/internal/platform/claim/cluster_test.go
+++ b/internal/platform/claim/cluster_test.go
@@ -9,10 +9,9 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/hyssoprelay/hyssoprelay/internal/pause"
-
 	"github.com/rcrowley/go-metrics"
 
+	"github.com/hyssoprelay/hyssoprelay/internal/pause"
 	"github.com/hyssoprelay/hyssoprelay/internal/standin/kv"
 )
 
@@ -22,7 +21,7 @@
 	testTimeout = 500 * time.Millisecond
 )
 
-// countingEndpoint is an endpoint that counts how often each order was run.
+// countingEndpoint is an endpoint that counts how often each request was run.
 type countingEndpoint struct {
 	mu   sync.Mutex
 	runs map[Key]int
@@ -121,8 +120,8 @@
 	return k
 }
 
-// sendOrder sends one attempt of an order to an agent, as an entry does.
-func (c *testCluster) sendOrder(agent int, k Key, attempt string, wait time.Duration) Result {
+// sendRequest sends one attempt of a request to an agent, as an entry does.
+func (c *testCluster) sendRequest(agent int, k Key, attempt string, wait time.Duration) Result {
 	b := c.agents[agent]
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
@@ -137,7 +136,7 @@
 	return v
 }
 
-// dispatch runs a granted order. One agent in four is suspended before it
+// dispatch runs a granted request. One agent in four is suspended before it
 // checks its window, and one in eight dies before it stores the outcome.
 func (c *testCluster) dispatch(b *Batcher, k Key, attempt string, g Grant) {
 	if c.rng.intn(4) == 0 {
@@ -206,7 +205,7 @@
 	clusterRounds = 5
 )
 
-// runWorkload lets callers repeat their orders over all agents while faults
+// runWorkload lets callers repeat their requests over all agents while faults
 // occur and an operator releases open claims.
 func (c *testCluster) runWorkload() {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -221,7 +220,7 @@
 			wg.Go(func() {
 				for r := range clusterRounds {
 					attempt := fmt.Sprintf("k%dc%dr%d", k, caller, r)
-					c.sendOrder(c.rng.intn(clusterAgents), testKey(k), attempt, c.rng.durationBelow(4*time.Second))
+					c.sendRequest(c.rng.intn(clusterAgents), testKey(k), attempt, c.rng.durationBelow(4*time.Second))
 					time.Sleep(c.rng.durationBelow(time.Second))
 				}
 			})
@@ -243,7 +242,7 @@
 	<-faultsDone
 }
 
-// runUntilDone sends each order until it is done, while the operator releases
+// runUntilDone sends each request until it is done, while the operator releases
 // open claims, and flushes the agents.
 func (c *testCluster) runUntilDone(t *testing.T) {
 	t.Helper()
@@ -253,7 +252,7 @@
 				t.Errorf("%s is lost: not done after 100 attempts", testKey(k))
 				break
 			}
-			v := c.sendOrder(try%clusterAgents, testKey(k), fmt.Sprintf("k%dfinal%d", k, try), time.Minute)
+			v := c.sendRequest(try%clusterAgents, testKey(k), fmt.Sprintf("k%dfinal%d", k, try), time.Minute)
 			if _, done := v.(AlreadyRun); done {
 				break
 			}
@@ -270,11 +269,11 @@
 	}
 }
 
-// Guards against an order that runs twice or is lost. Callers repeat orders at
-// any agent while the service goes down or replies late or not at all, agents
+// Guards against a request that runs twice or is lost. Callers repeat requests
+// at any agent while the service goes down or replies late or not at all, agents
 // are suspended between claim and dispatch or die after the run, and an
-// operator releases open claims. An order runs twice if a lost reply is taken
-// for a refusal or if a suspended agent dispatches after the release. It never
+// operator releases open claims. A request runs twice if a lost reply is taken
+// for a rejection or if a suspended agent dispatches after the release. It never
 // runs if an open claim is lost.
 func TestOrdersRunOnceUnderFaults(t *testing.T) {
 	for seed := range int64(40) {
--- a/internal/platform/claim/doc.go
+++ b/internal/platform/claim/doc.go
@@ -11,7 +11,7 @@
 //
 // Open records are stored under OpenPrefix and closed ones under ClosedPrefix.
 // Closed records expire with the lease of their time bucket after the retention
-// time. Open records never expire, so that no order is lost silently: operators
+// time. Open records never expire, so that no request is lost silently: operators
 // list them and release them (Registry).
 //
 // # Lost replies
--- a/internal/platform/claim/history_test.go
+++ b/internal/platform/claim/history_test.go
@@ -157,7 +157,7 @@
 }
 
 // relevantOps omits operations that can't change the result of the check but
-// multiply its search: claims that were not made, and claims with an unknown
+// enlarge its search space: claims that were not made, and claims with an unknown
 // result that no other operation observed, which may as well have had no
 // effect.
 func (h *history) relevantOps() []porcupine.Operation {
--- a/internal/platform/claim/loop.go
+++ b/internal/platform/claim/loop.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"github.com/hyssoprelay/hyssoprelay/internal/pause"
-
 	"github.com/hyssoprelay/hyssoprelay/internal/platform"
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
@@ -81,7 +80,7 @@
 // number of requests. Claims go first, because callers wait for them. Half of
 // the batch is reserved for outcomes, because a backlog that only grows would
 // eventually drop outcomes. A batch holds each key at most once: the service
-// refuses a transaction that writes a key twice, and with it all operations of
+// rejects a transaction that writes a key twice, and with it all operations of
 // the batch.
 func (b *Batcher) nextBatch(now time.Time) ([]*op, time.Duration) {
 	b.mu.Lock()
@@ -89,17 +88,17 @@
 	if wait := b.lingerRemaining(now); len(b.pendingClaims) == 0 && (len(b.pendingOutcomes) == 0 || wait > 0) {
 		return nil, wait
 	}
-	p := batchBuilder{keys: make(map[Key]bool)}
+	builder := batchBuilder{keys: make(map[Key]bool)}
 	reservedForOutcomes := min(len(b.pendingOutcomes), MaxBatchOps/2)
-	b.pendingClaims = p.addOps(b.pendingClaims, MaxBatchOps-reservedForOutcomes)
-	b.pendingOutcomes = p.addOps(b.pendingOutcomes, MaxBatchOps)
-	for _, o := range p.batch {
+	b.pendingClaims = builder.addOps(b.pendingClaims, MaxBatchOps-reservedForOutcomes)
+	b.pendingOutcomes = builder.addOps(b.pendingOutcomes, MaxBatchOps)
+	for _, o := range builder.batch {
 		o.inFlight = true
 		if _, ok := o.mutation.(createClaim); !ok {
 			b.inFlightOutcomes++
 		}
 	}
-	return p.batch, 0
+	return builder.batch, 0
 }
 
 // lingerRemaining returns how long the oldest outcome may still wait for a
@@ -120,19 +119,20 @@
 
 // addOps moves operations into the batch until it holds limit operations, and
 // returns the others. It leaves out operations whose key is already in the
-// batch or that would exceed maxBatchBytes.
-func (p *batchBuilder) addOps(ops []*op, limit int) []*op {
+// batch or that would exceed maxBatchBytes. The size of an operation is an
+// estimate: its answer in base64 and an allowance for the rest.
+func (b *batchBuilder) addOps(ops []*op, limit int) []*op {
 	var remaining []*op
 	for _, o := range ops {
 		r := recordOf(o.mutation)
 		size := len(r.answer.Body)*4/3 + maxRecordBytes/16
-		if len(p.batch) >= limit || p.keys[r.key] || p.bytes+size > maxBatchBytes {
+		if len(b.batch) >= limit || b.keys[r.key] || b.bytes+size > maxBatchBytes {
 			remaining = append(remaining, o)
 			continue
 		}
-		p.keys[r.key] = true
-		p.bytes += size
-		p.batch = append(p.batch, o)
+		b.keys[r.key] = true
+		b.bytes += size
+		b.batch = append(b.batch, o)
 	}
 	return remaining
 }
@@ -167,8 +167,8 @@
 	return err == nil
 }
 
-// requeueLeaseOps returns the operations that need a lease to their queue, and
-// returns the others.
+// requeueLeaseOps requeues the operations that need a lease and returns the
+// others.
 func (b *Batcher) requeueLeaseOps(batch []*op) []*op {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/platform/claim/loopback_test.go
+++ b/internal/platform/claim/loopback_test.go
@@ -64,6 +64,6 @@
 	}
 	req.AttemptID = "b"
 	if v, ok := agents[1].Claim(t.Context(), req).(claim.AlreadyRun); !ok || v.Record.AttemptID() != "a" {
-		t.Errorf("the repeat got %+v, want Done by attempt a", v)
+		t.Errorf("the repeat got %+v, want AlreadyRun by attempt a", v)
 	}
 }
--- a/internal/platform/claim/mutation.go
+++ b/internal/platform/claim/mutation.go
@@ -10,7 +10,7 @@
 type mutation interface{ isMutation() }
 
 // precondition is the condition for making a claim: the key has no open record,
-// and its closed record is the one at this revision, which says not run.
+// and its closed record is the one at this revision, which is in state NotRun.
 // Revision 0 means that there is no closed record.
 type precondition int64
 
--- a/internal/platform/claim/registry.go
+++ b/internal/platform/claim/registry.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"github.com/hyssoprelay/hyssoprelay/internal/pause"
-
 	"github.com/hyssoprelay/hyssoprelay/internal/platform"
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
@@ -110,14 +109,14 @@
 }
 
 // Release closes an open claim as Ran or NotRun, as determined by operator. It
-// refuses while the agent may still dispatch the request. What the endpoint
-// shows until then can still change, so the operator must look at it afterwards.
+// refuses while the agent may still dispatch the request. The operator must look
+// at the endpoint after that time, because what it shows before can still change.
 //
 // Errors are result errors: MalformedOrder when s is another state or operator
 // is empty; UnknownClaim when no open claim has the key; DocumentUnreadable
 // when the record can't be decoded; ClaimRunning, with the time to retry after,
-// while the window may be open or the claim's agent is alive; Conflict when the
-// claim was changed in the meantime; WriteUnknown when the release may have
+// while the window may be open or, for a claim in state Claimed, its agent is
+// alive; Conflict when the claim was changed in the meantime; WriteUnknown when the release may have
 // been written; PlatformRefused when it was not written.
 func (g *Registry) Release(ctx context.Context, k Key, s State, operator string) error {
 	if s != Ran && s != NotRun || operator == "" {
@@ -157,17 +156,17 @@
 // remainingWindow returns for how long the window of the claim's agent, with
 // the margin, may still be open; zero or less means that it is closed.
 //
-// It prevents a release from overtaking the dispatch: the operator sees that
-// nothing was printed and releases the claim, the agent prints, and the order
-// that the caller sends again is printed too. The claim was sent before it was
+// It prevents a release before the dispatch: the operator sees that the request
+// was not run and releases the claim, the agent then runs the request, and the
+// repeat that the caller sends runs too. The claim was sent before it was
 // first seen, so counting from then can only make the wait too long. The clocks
 // of agent and operator are not compared.
 func (g *Registry) remainingWindow(revision int64, now time.Time) time.Duration {
 	return g.firstSeenAt(revision, now).Add(g.DispatchWindow + g.ReleaseMargin).Sub(now)
 }
 
-// commitRelease writes the release. It repeats the write until ctx ends while
-// the outcome is unknown or no lease was obtained.
+// commitRelease writes the release. It repeats the write until ctx ends if the
+// grant of the lease got no reply or the outcome of a write is unknown.
 func (g *Registry) commitRelease(ctx context.Context, c storeOutcome) error {
 	unknown := false
 	for {
--- a/internal/platform/claim/registry_test.go
+++ b/internal/platform/claim/registry_test.go
@@ -8,8 +8,8 @@
 )
 
 // Guards against a release that precedes the dispatch: an operator sees an open
-// claim and nothing printed and releases the claim, the agent prints the order
-// afterwards, and so does the caller's repeat.
+// claim whose request was not run and releases it, the agent runs the request
+// afterwards, and the caller's repeat runs too.
 func TestReleaseWaitsForWindow(t *testing.T) {
 	withBatcher(t, func(t *batcherTest) {
 		k := testKey(1)
--- a/internal/platform/claim/settle.go
+++ b/internal/platform/claim/settle.go
@@ -38,7 +38,7 @@
 	b.pendingOutcomes = append([]*op{o}, b.pendingOutcomes...)
 }
 
-// handleError handles an operation whose transaction was refused or got no
+// handleError handles an operation whose transaction was rejected or got no
 // reply. The caller must hold mu.
 //
 // A claim gets NotClaimed only if each of its sends is known to have had no
@@ -67,16 +67,16 @@
 // handleReply handles an operation whose transaction got a reply. The caller
 // must hold mu.
 func (b *Batcher) handleReply(o *op, r platform.TxnReply) {
-	switch s := o.mutation.(type) {
+	switch m := o.mutation.(type) {
 	case createClaim:
-		b.finishClaim(o, s, r)
+		b.finishClaim(o, m, r)
 	case storeOutcome:
 		b.inFlightOutcomes--
-		stored, next := s.interpretReply(r)
+		stored, next := m.interpretReply(r)
 		b.finishOutcome(o, stored, next)
 	case closeKey:
 		b.inFlightOutcomes--
-		if next := s.interpretReply(r); next != nil {
+		if next := m.interpretReply(r); next != nil {
 			b.enqueueBackground(next, o.queuedAt)
 		}
 	}
--- a/internal/platform/claim/writes_test.go
+++ b/internal/platform/claim/writes_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Logs the store writes per request, because the service handles only a few
+// Logs the service's writes per request, because the service handles only a few
 // hundred writes per second. The bounds only detect that batching no longer
 // works.
 func TestWritesPerRequest(t *testing.T) {
