--- a/internal/peer/spread/doc.go
+++ b/internal/peer/spread/doc.go
@@ -12,9 +12,9 @@
 // # Propagation of changes
 //
 // Each entry has a few peers, selected by rendezvous hashing: some in its own data
-// centre and one in each other data centre. An entry that receives a change sends it once to
-// Fanout of its peers, one of them in another data centre (rumour mongering, Demers et
-// al., 1987; the number of rounds grows with the logarithm of the number of entries).
+// centre and one in each other data centre. An entry that receives a change sends it
+// once to Fanout of its peers, one of them in another data centre (rumour mongering,
+// Demers et al., 1987; the number of rounds grows with the logarithm of the number of entries).
 // Rumours may miss an entry. In each period an entry therefore also exchanges digests
 // with one other entry, a reader of its data centre or a peer in turn (anti-entropy,
 // same paper).
--- a/internal/peer/spread/table.go
+++ b/internal/peer/spread/table.go
@@ -21,8 +21,8 @@
 	Fanout = 4
 	// localPeers is the number of peers in an entry's own data centre. It also has one in
 	// each other data centre. A connection takes some 80 KB at each end, so that
-	// connections to all of 670 entries would exceed the 32 MB that a node has for
-	// control. With localPeers an entry has some 50 open connections.
+	// connections to all of 670 entries would exceed the 32 MB of memory that control
+	// may use on a node. With localPeers an entry has some 50 open connections.
 	localPeers = 8
 	// readerInterval is the interval, in rounds of NextExchange, between exchanges with a
 	// reader of the data centre. A reader exchanges with all entries of its data centre.
@@ -94,7 +94,8 @@
 	t.unresponsive[name] = true
 }
 
-// IsReader reports whether this entry is a reader.
+// IsReader reports whether this entry is a reader. Before the first call of Set it
+// returns true.
 //
 // A data centre must not stop receiving changes because its readers are dead or
 // frozen while the lagging list of VMs still names them: an operator would see changes
@@ -166,8 +167,8 @@
 	return other.Name == "" || t.score(n) < t.score(other)
 }
 
-// score returns the position of an entry in the order of peers, which differs from
-// entry to entry.
+// score returns the hash by which this entry orders n among its possible peers. The
+// order differs from entry to entry.
 func (t *Table) score(n Node) uint64 { return xxhash.Sum64String(t.Self.Name + "\x00" + n.Name) }
 
 // NextExchange returns the entry to exchange with in this round, or false if there are no
--- a/internal/peer/spread/table_test.go
+++ b/internal/peer/spread/table_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestListsThatDifferLeaveNoneOut(t *testing.T) {
+func TestDifferingListsHaveEnoughReaders(t *testing.T) {
 	all := newNodes(35, 1)
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 50 {
@@ -139,8 +139,8 @@
 	}
 }
 
-// NextExchange must return only a few entries, since connections to all would exceed the
-// memory of a node, but each of them, and readers often.
+// NextExchange must return only peers and readers, since connections to all entries
+// would exceed the memory of a node. It must return each of them, and readers often.
 func TestNextExchangeCoversPeersAndReaders(t *testing.T) {
 	for _, n := range []int{2, 9, 30, 670} {
 		all := newNodes(n, 19)
@@ -209,7 +209,7 @@
 	}
 }
 
-func TestSilentEntryIsAskedAgain(t *testing.T) {
+func TestUnresponsiveEntryIsReturnedAgain(t *testing.T) {
 	all := newNodes(670, 19)
 	table := newTable(all, 0)
 	unresponsive := all[300].Name
