--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -14,8 +14,8 @@
 
 // Now returns the time since the VM booted, plus one hour, as a time.Time counted from the Unix
 // epoch. The result has no monotonic reading, so that Sub includes suspended time. Only results
-// from the same VM are comparable. The added hour keeps times shortly before the first reading
-// after the zero time.
+// from the same VM are comparable. Because of the added hour, a time less than one hour before boot
+// is still after the Unix epoch and has a positive UnixNano.
 func Now() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
