--- a/internal/caller/conn.go
+++ b/internal/caller/conn.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// requestRead records that a request has been received completely.
-func (c *conn) requestRead() {
+// markRequestRead records that a request has been received completely.
+func (c *conn) markRequestRead() {
 	c.unparsedBytes.Store(0)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,7 +150,7 @@
 }
 
 // waitPendingBelow blocks until fewer than limit bytes are pending. It returns an error if the
-// caller has disconnected or ctx is done.
+// caller has disconnected, or if ctx is done first.
 func (c *conn) waitPendingBelow(ctx context.Context, limit int) error {
 	for {
 		c.mu.Lock()
--- a/internal/caller/raw.go
+++ b/internal/caller/raw.go
@@ -48,7 +48,8 @@
 
 // checkFraming rejects requests whose end can be determined in two ways. They allow request
 // smuggling: an endpoint could see two requests where this process saw one. Well-behaved callers
-// never send them.
+// never send them. It also rejects spaces, tabs and line breaks in the target and the host, and
+// slashes in the host.
 func checkFraming(hr *http.Request) error {
 	lengths := hr.Header.Values("Content-Length")
 	chunked := len(hr.Header.Values("Transfer-Encoding")) > 0 || len(hr.TransferEncoding) > 0
--- a/internal/caller/reply.go
+++ b/internal/caller/reply.go
@@ -40,8 +40,8 @@
 	started    bool
 	streaming  bool
 	done       bool
-	// truncated is set while part of a response has been sent and its end has not, so that the
-	// connection must close to signal this to the caller.
+	// truncated is set while part of a response has been sent and its end has not. The connection
+	// must then close, which signals this to the caller.
 	truncated bool
 	// prevDone is closed when the connection's earlier requests have been answered. ownDone is
 	// closed when this request has been answered.
@@ -50,8 +50,8 @@
 	draining *atomic.Bool
 }
 
-// SetContext makes the reply's writes fail once ctx is done, so that a caller that stops reading
-// occupies the entry no longer than the request's deadline.
+// SetContext makes the reply's blocked writes fail once ctx is done, so that a caller that stops
+// reading occupies the entry no longer than the request's deadline.
 func (w *Reply) SetContext(ctx context.Context) { w.ctx = ctx }
 
 // Started reports whether part of a response has been sent.
@@ -83,7 +83,8 @@
 }
 
 // WriteChunk sends b as one chunk of a streamed response. It blocks while the caller reads slowly
-// and returns an error if the caller has disconnected.
+// and returns an error if the caller has disconnected, or if the reply's context is done while it
+// blocks.
 func (w *Reply) WriteChunk(b []byte) error {
 	if len(b) == 0 {
 		return nil
--- a/internal/caller/request.go
+++ b/internal/caller/request.go
@@ -23,7 +23,7 @@
 
 const (
 	// maxIDBytes bounds request ids and idempotency keys, which are stored in tables and in the
-	// platform's service.
+	// platform's key-value service.
 	maxIDBytes = 128
 	// maxDeadline bounds the deadline that a caller may set, so that no request occupies its slot
 	// indefinitely.
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -23,10 +23,10 @@
 	// receives a response with a result code. If the body is larger, the connection is closed
 	// without a response.
 	readLimitFactor = 4
-	// headBytes is the maximum size of a request's headers. nbhttp bounds the size of each header
-	// but not their number: without this bound, a caller that sends headers endlessly would
-	// exhaust the VM's memory.
-	headBytes = 64 << 10
+	// maxHeaderBytes is the size that a request may have beyond the largest body that is still
+	// read, as room for its headers. nbhttp bounds the size of each header but not their number:
+	// without this bound, a caller that sends headers endlessly would exhaust the VM's memory.
+	maxHeaderBytes = 64 << 10
 	// defaultReadTimeout is the default of ReadTimeout and IdleTimeout. A bound is needed so that
 	// callers that send one byte per second do not hold connections indefinitely.
 	defaultReadTimeout = 30 * time.Second
@@ -127,8 +127,8 @@
 		MaxLoad:         s.MaxConns + maxExcessConns,
 		MaxHTTPBodySize: s.BodyLimit * readLimitFactor,
 		ReadLimit:       s.BodyLimit * readLimitFactor,
-		// nbhttp sets this deadline shortly after it begins to read, so a longer one would replace
-		// that of a request that has begun to arrive.
+		// nbhttp sets this deadline shortly after it begins to read from a connection, so a longer
+		// one would replace the deadline of a request that has begun to arrive.
 		KeepaliveTime:  s.ReadTimeout + readDeadlineGrace,
 		RetainHTTPBody: false,
 		Handler:        http.HandlerFunc(s.handleHTTP),
@@ -173,7 +173,8 @@
 	s.rejecting.Store(true)
 }
 
-// Run serves until ctx is done, and then waits until no request is running or drain has elapsed.
+// Run serves until ctx is done. It then calls RejectRequests, waits until no request is running or
+// drain has elapsed, and stops the server.
 // It must be called after Listen.
 func (s *Server) Run(ctx context.Context, drain time.Duration) error {
 	<-ctx.Done()
@@ -212,7 +213,7 @@
 		_ = w.SetReadDeadline(time.Now().Add(s.ReadTimeout + readDeadlineGrace))
 		v.(*conn).startReadTimer(s.ReadTimeout, func() { s.handleReadTimeout(w, v.(*conn)) })
 	}
-	return total <= s.BodyLimit*readLimitFactor+headBytes
+	return total <= s.BodyLimit*readLimitFactor+maxHeaderBytes
 }
 
 // handleReadTimeout refuses a request that was not received completely in time. If an earlier
@@ -266,7 +267,7 @@
 	r, parseErr := s.parseRequest(hr)
 	reply := &Reply{netConn: nc, conn: c, closeAfter: hr.Close, protoMinor: hr.ProtoMinor}
 	reply.prevDone, reply.ownDone = c.enqueue()
-	c.requestRead()
+	c.markRequestRead()
 	s.activeRequests.Begin()
 	go s.serveRequest(r, parseErr, reply)
 }
@@ -276,7 +277,7 @@
 	raw, err := s.readRaw(hr)
 	reply := &Reply{netConn: nc, conn: c, closeAfter: hr.Close || err != nil, protoMinor: hr.ProtoMinor}
 	reply.prevDone, reply.ownDone = c.enqueue()
-	c.requestRead()
+	c.markRequestRead()
 	s.activeRequests.Begin()
 	go s.serveRaw(raw, err, reply)
 }
