--- a/internal/platform/config/change.go
+++ b/internal/platform/config/change.go
@@ -25,7 +25,7 @@
 // TakeOutOfService takes a target out of service.
 type TakeOutOfService struct{ Target Target }
 
-// ReturnToService brings a target back into service. It removes every entry in
+// ReturnToService returns a target to service. It removes every entry in
 // the document that keeps the target out of service.
 type ReturnToService struct{ Target Target }
 
@@ -157,8 +157,8 @@
 }
 
 // takeOutOfService adds an entry even if the target is already out of service,
-// so that this order prevails over a concurrent order to bring the target in,
-// which has not seen the new entry.
+// so that this order prevails over a concurrent order to return the target
+// to service, which has not seen the new entry.
 func (h *Head) takeOutOfService(old Head, o OutOfServiceEntry) error {
 	entries := removeEntries(old.outOfService, func(p OutOfServiceEntry) bool { return p.target == o.target })
 	if len(entries) == maxOutOfService {
@@ -175,7 +175,7 @@
 // holds to the list of settled orders. That list reaches further back than the
 // list of recent changes: a process that was disconnected for a long time must
 // still find its hold there, or it would take the target out of service again
-// after others have brought it in.
+// after others have returned it to service.
 func (h *Head) recordSettled(old Head, ids ...string) {
 	h.settled = old.settled
 	for _, id := range ids {
--- a/internal/platform/config/codec.go
+++ b/internal/platform/config/codec.go
@@ -19,7 +19,7 @@
 	// the service less room for its key.
 	MaxPartBytes = 1<<20 - 4<<10
 
-	maxName         = 64
+	maxNameBytes    = 64
 	maxPresets      = 64
 	maxOutOfService = 1024
 	maxRecent       = 128
@@ -31,8 +31,8 @@
 
 // Errors returned by DecodeHead, Store.HandleMessage and Store.HandleReply.
 var (
-	ErrTooLarge  = errors.New("config: document is too large")
-	ErrMalformed = errors.New("config: document is malformed")
+	ErrTooLarge  = errors.New("config: the document is too large")
+	ErrMalformed = errors.New("config: the document can't be read")
 )
 
 type dotJSON struct {
@@ -124,7 +124,7 @@
 // ErrTooLarge or ErrMalformed.
 func DecodeHead(b []byte) (Head, error) {
 	if len(b) > MaxHeadBytes {
-		return Head{}, fmt.Errorf("%w: %d bytes, the maximum is %d", ErrTooLarge, len(b), MaxHeadBytes)
+		return Head{}, fmt.Errorf("%w: %d bytes, at most %d", ErrTooLarge, len(b), MaxHeadBytes)
 	}
 	var j headJSON
 	if err := strictUnmarshal(b, &j); err != nil {
@@ -144,7 +144,7 @@
 		return err
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("unexpected data after the document")
+		return errors.New("data after the document")
 	}
 	return nil
 }
@@ -200,6 +200,6 @@
 	case EndpointKind.String():
 		return Endpoint(name), nil
 	default:
-		return Target{}, fmt.Errorf("unknown target kind %q", kind)
+		return Target{}, fmt.Errorf("unknown kind %q", kind)
 	}
 }
--- a/internal/platform/config/delta.go
+++ b/internal/platform/config/delta.go
@@ -7,8 +7,9 @@
 )
 
 // deltaJSON is the difference between a document known to the peer and a newer
-// one. Sending the whole document of 15 to 30 KB for each of 36,000 changes a
-// day would exceed the 7 KB/s that a node may use for control traffic.
+// one. Receiving and sending the whole document of 15 to 30 KB in each process
+// for each of 36,000 changes a day would exceed the 7 KB/s that a node may use
+// for control traffic.
 //
 // The receiver compares the digest of the resulting state with the digest in
 // the message and requests the whole document if they differ.
--- a/internal/platform/config/doc.go
+++ b/internal/platform/config/doc.go
@@ -9,17 +9,18 @@
 //
 // # Join
 //
-// Heads form a join semilattice. Each change is identified by a Dot (generation,
-// change id), and a head records the dots that it has seen. JoinHeads(a, b) has
-// the higher of both generations. An entry that takes a target out of service is
-// kept unless the other head has seen that entry and has since brought the
-// target in (an observed-remove set: Shapiro, Preguiça, Baquero and Zawirski, "A
-// comprehensive study of convergent and commutative replicated data types",
-// INRIA RR-7506, 2011). Taking a target out of service therefore prevails over
-// bringing it in concurrently. Presets and the preset in force take the value of
-// the later generation. Every later join thus contains each accepted change,
-// even if the service was restored from an older copy and accepted other changes
-// before a process noticed.
+// Heads form a join semilattice. Each change is identified by a Dot
+// (generation, change id), and a head records the dots that it has seen.
+// JoinHeads(a, b) has the higher of both generations. An entry that takes a
+// target out of service is kept unless the other head has seen that entry and
+// has since returned the target to service (an observed-remove set: Shapiro,
+// Preguiça, Baquero and Zawirski, "A comprehensive study of convergent and
+// commutative replicated data types", INRIA RR-7506, 2011). Taking a target out
+// of service therefore prevails over returning it to service concurrently.
+// Presets and the preset in force take the value of the later generation. Every
+// later join thus contains each accepted change, even if the service was
+// restored from an older copy and accepted other changes before a process
+// noticed.
 //
 // # Local holds
 //
--- a/internal/platform/config/exchange.go
+++ b/internal/platform/config/exchange.go
@@ -7,13 +7,13 @@
 	"fmt"
 )
 
-// maxMessage is the maximum size of an exchange message in bytes.
-const maxMessage = MaxHeadBytes + maxHolds*1<<10
+// maxMessageBytes is the maximum size of an exchange message in bytes.
+const maxMessageBytes = MaxHeadBytes + maxHolds*1<<10
 
-// maxReplyParts limits the total size in bytes of the parts in one reply, to
+// maxReplyPartBytes limits the total size in bytes of the parts in one reply, to
 // stay below the message size that peers accept. The peer requests the
 // remaining parts with its next message.
-const maxReplyParts = 2 * MaxPartBytes
+const maxReplyPartBytes = 2 * MaxPartBytes
 
 // message is sent between peers. It always contains the digest of the sender's
 // state. If the receiver lacks something, it also contains the holds and either
@@ -68,7 +68,7 @@
 
 // HandleMessage processes a peer's message. It joins the peer's state into the
 // store and returns the reply and those wanted parts that are known, up to
-// maxReplyParts bytes. For a message that cannot be decoded the error wraps
+// maxReplyPartBytes. For a message that cannot be decoded the error wraps
 // ErrMalformed or ErrTooLarge.
 func (s *Store) HandleMessage(msg []byte, want []string) ([]byte, map[string][]byte, error) {
 	r, err := s.receive(msg)
@@ -141,8 +141,8 @@
 
 // receive decodes a message and joins the peer's state into the store.
 func (s *Store) receive(b []byte) (receivedMessage, error) {
-	if len(b) > maxMessage {
-		return receivedMessage{}, fmt.Errorf("%w: message of %d bytes", ErrTooLarge, len(b))
+	if len(b) > maxMessageBytes {
+		return receivedMessage{}, fmt.Errorf("%w: %d bytes", ErrTooLarge, len(b))
 	}
 	var m message
 	if err := strictUnmarshal(b, &m); err != nil {
@@ -187,14 +187,13 @@
 	return &state{digest: m.Digest, head: h, holds: holds}
 }
 
-// selectParts returns the wanted parts that are known, up to maxReplyParts
-// bytes.
+// selectParts returns the wanted parts that are known, up to maxReplyPartBytes.
 func selectParts(c *Snapshot, want []string) map[string][]byte {
 	parts := make(map[string][]byte)
 	size := 0
 	for _, d := range want {
 		b, ok := c.parts[d]
-		if !ok || size+len(b) > maxReplyParts {
+		if !ok || size+len(b) > maxReplyPartBytes {
 			continue
 		}
 		parts[d] = b
--- a/internal/platform/config/faults_test.go
+++ b/internal/platform/config/faults_test.go
@@ -49,7 +49,7 @@
 }
 
 // wantNothingReverted checks that targets seen out of service by a process
-// before are still out, since injectFaults brings none in.
+// before are still out, since injectFaults returns none to service.
 func (s *system) wantNothingReverted(seen map[int]map[Target]bool) {
 	for p := range s.processes {
 		c := s.processes[p].Store.Current()
--- a/internal/platform/config/head.go
+++ b/internal/platform/config/head.go
@@ -74,7 +74,7 @@
 }
 
 // OutOfServiceEntry is an entry of the document that keeps a target out of
-// service. A target may have several; bringing it in removes them all.
+// service. A target may have several; returning it to service removes them all.
 type OutOfServiceEntry struct {
 	target Target
 	dot    Dot
@@ -136,7 +136,7 @@
 	outOfService []OutOfServiceEntry // sorted by target and dot
 	floor        uint64              // all changes up to this generation count as seen
 	recent       []Dot               // changes above floor, sorted
-	settled      []Dot               // orders to take out and releases of holds, sorted
+	settled      []Dot               // orders to take targets out and releases of holds, sorted
 	joined       bool                // join of concurrent heads that has no generation of its own yet
 }
 
@@ -174,12 +174,13 @@
 	return i < len(h.outOfService) && h.outOfService[i].target == t
 }
 
-// RecentChanges returns the changes listed in the head, oldest first.
+// RecentChanges returns the recent changes listed in the head, oldest first.
+// Settled orders that are no longer among them are left out.
 func (h Head) RecentChanges() []Dot { return append([]Dot(nil), h.recent...) }
 
 // ListsChange reports whether the head lists a change with the id. The head
 // lists at least the latest maxRecent changes, and orders to take a target out
-// and releases of holds for longer.
+// of service and releases of holds for longer.
 func (h Head) ListsChange(changeID string) bool {
 	return containsID(h.recent, changeID) || containsID(h.settled, changeID)
 }
--- a/internal/platform/config/hold.go
+++ b/internal/platform/config/hold.go
@@ -20,8 +20,8 @@
 // operator for the same target, submitted elsewhere in the meantime, remains.
 //
 // The document lists the holds and releases that it has recorded, so a process
-// that was disconnected for longer drops its hold instead of writing it again
-// after others have brought the target back in.
+// that was disconnected for a long time drops its hold instead of writing it
+// again after others have returned the target to service.
 type Hold struct {
 	target   Target
 	changeID string
@@ -158,7 +158,7 @@
 		ok = ok && validName(hold.release.changeID) && validName(hold.release.by)
 	}
 	if !ok {
-		return Hold{}, errors.New("a hold contains an invalid name")
+		return Hold{}, errors.New("a hold has a bad name")
 	}
 	return hold, nil
 }
--- a/internal/platform/config/hold_test.go
+++ b/internal/platform/config/hold_test.go
@@ -9,8 +9,8 @@
 
 // A data centre is disconnected from the platform and its operator takes it out
 // of service. The order must take effect there at once and reach the document
-// when the connection is back. After others have brought the data centre in
-// again, a process that missed hundreds of changes must not write its hold
+// when the connection is back. After others have returned the data centre to
+// service, a process that missed hundreds of changes must not write its hold
 // again.
 func TestHoldIsWrittenAfterPartition(t *testing.T) {
 	withSystem(t, 3, func(s *system) {
@@ -35,7 +35,7 @@
 		s.repair(1)
 		s.wantOutOfService(1, north, false)
 		if h := s.readStored(2); h.IsOutOfService(north) {
-			t.Error("the hold was written again after the data centre was brought in")
+			t.Error("the hold was written again after the data centre was returned to service")
 		}
 	})
 }
--- a/internal/platform/config/repair.go
+++ b/internal/platform/config/repair.go
@@ -29,11 +29,11 @@
 // and returns the resulting document. It returns false if another process
 // changed the document first, so that it must be read again.
 //
-// Repair keeps accepted changes when the service is restored from an older
-// copy. Without it the next change would be applied to the older document and
-// reuse a generation that other processes have seen with other contents, and
-// the changes in between would be undone. Every writer repairs before it
-// applies a change, by the same compare-and-swap.
+// This keeps accepted changes when the service is restored from an older copy.
+// Without it the next change would be applied to the older document and reuse a
+// generation that other processes have seen with other contents, and the
+// changes in between would be undone. Every writer repairs before it applies a
+// change, by the same compare-and-swap.
 func (w *Writer) repair(ctx context.Context, cur storedHead, now time.Time) (storedHead, bool, error) {
 	w.Store.Merge(cur.head)
 	next, err := mergeKnown(cur.head, w.Store.Current(), now)
--- a/internal/platform/config/writer.go
+++ b/internal/platform/config/writer.go
@@ -60,10 +60,10 @@
 //   - WriteUnknown: the change may have been made, and the service did not
 //     confirm it.
 //   - PlatformRefused: the change was definitely not made.
-//   - HeldLocally: the service did not answer, and the order takes effect here
-//     as a local hold. This applies to an order to take a target out, and to an
-//     order to bring in a target that only local holds keep out. The newest
-//     known document is returned with it.
+//   - HeldLocally: the service did not answer, and the order takes effect in
+//     this process: an order to take a target out of service becomes a local
+//     hold, and an order to return a target that only local holds keep out of
+//     service releases them. The newest known document is returned with it.
 //   - DocumentUnreadable: the stored document cannot be decoded; nothing was
 //     changed.
 //   - The codes of Apply.
@@ -181,9 +181,9 @@
 	return Head{}, result.New(result.PlatformRefused, detail)
 }
 
-// holdLocally enforces an order to take out in this process at once. If an
-// unconfirmed write of the same order did take effect, the document lists its
-// id, and the hold is dropped when the document is received.
+// holdLocally enforces an order to take a target out of service in this process
+// at once. If an unconfirmed write of the same order did take effect, the
+// document lists its id, and the hold is dropped when the document is received.
 func (a *attempt) holdLocally(t Target) (Head, error) {
 	c := a.w.Store.Current()
 	if g := a.order.IfGeneration; g != 0 && g != c.head.Generation() {
