--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -101,7 +101,7 @@
 // BodyLimit or MaxConns is not positive, and AddressInUse if it cannot listen.
 func (s *Server) Listen() error {
 	if s.BodyLimit <= 0 || s.MaxConns <= 0 {
-		return result.New(result.BadSetting, "BodyLimit and MaxConns must be positive")
+		return result.New(result.BadSetting, "body limit and connections must be above zero")
 	}
 	if s.ReadTimeout <= 0 {
 		s.ReadTimeout = defaultReadTimeout
