--- a/internal/endpoint/allowance/allowance.go
+++ b/internal/endpoint/allowance/allowance.go
@@ -54,8 +54,8 @@
 const (
 	// Unknown is the initial cause: nothing is known about the endpoint yet.
 	Unknown ColdStartCause = iota
-	// Announced means that the endpoint reported it or that a restart was
-	// ordered.
+	// Announced means that the endpoint reported that it is cold, or that a
+	// restart was ordered.
 	Announced
 	// ConnectionLost means that the endpoint refused or reset connections after
 	// it had accepted some.
@@ -148,9 +148,9 @@
 }
 
 // Admit reserves a slot for a request. Without a free slot it returns an error
-// with a retry delay: EndpointCold while the limit is below the full one, else
-// EndpointBusy. The slot is held until Complete or Fail is called with the
-// ticket.
+// with a retry delay: EndpointCold before Configure has been called and while the
+// limit is below the full one, else EndpointBusy. The slot is held until Complete
+// or Fail is called with the ticket.
 //
 // Entries that act on outdated load reports can together send more than the
 // endpoint can run, so the check and the reservation are one atomic step.
--- a/internal/endpoint/allowance/allowance_test.go
+++ b/internal/endpoint/allowance/allowance_test.go
@@ -32,7 +32,7 @@
 }
 
 // warmUp completes requests one by one until the limit is the full one and the
-// median of the first-token times is in use.
+// median time to first token is in use.
 func warmUp(t *testing.T, a *Allowance) {
 	t.Helper()
 	for a.State().Cold() {
@@ -249,7 +249,7 @@
 }
 
 // reference is a simple model of Allowance that keeps all events and recomputes the
-// state from them.
+// state from them. It gives points in time as the number of events until then.
 type reference struct {
 	limits      Limits
 	coldSince   int
@@ -261,7 +261,8 @@
 	slowRun     int
 }
 
-// completion is a completed request. Both fields are numbers of events.
+// completion is a completed request, with the times of its admission and its
+// completion as numbers of events.
 type completion struct {
 	admittedAt, at int
 }
--- a/internal/endpoint/allowance/inherited_test.go
+++ b/internal/endpoint/allowance/inherited_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// An agent's VM fails while its cold engine runs three requests of at most four.
-// If the next agent didn't count them, it would admit four more, and the engine
-// would crash with seven.
+// An agent's VM fails while its cold engine, which can run four requests, runs
+// three. If the next agent didn't count them, it would admit four more, and the
+// engine would crash with seven.
 func TestInheritedWorkCounts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	newAgent := func() *Allowance {
