--- a/internal/endpoint/direct/events.go
+++ b/internal/endpoint/direct/events.go
@@ -40,8 +40,8 @@
 func NewEventReader(r io.Reader) *EventReader { return &EventReader{r: r} }
 
 // Next returns the next event. It returns io.EOF at the end of the stream,
-// ErrPartialEvent if the stream ended inside an event, and else the error of the
-// reader or an error for an event that is too long.
+// ErrPartialEvent if the stream ended inside an event, and otherwise the error of
+// the reader or an error for an event that is too long.
 func (e *EventReader) Next() (Event, error) {
 	for {
 		if ev, ok := e.takeEvent(); ok {
--- a/internal/endpoint/direct/writer.go
+++ b/internal/endpoint/direct/writer.go
@@ -32,7 +32,7 @@
 var errWriting = errors.New("direct: request is still being sent")
 
 // finished returns nil if the whole request has been written, errWriting while it
-// is being written, and else the error that stopped it.
+// is being written, and otherwise the error that stopped it.
 func (w *writer) finished() error {
 	if !w.isDone() {
 		return errWriting
