--- a/internal/fleet/document/holder.go
+++ b/internal/fleet/document/holder.go
@@ -92,10 +92,10 @@
 	return Version{}
 }
 
-// Pack returns the newest version encoded for a receiver that holds the version at the
-// revision held, or no version if held is 0. Bytes is empty if the receiver's version
+// Encode returns the newest version encoded for a receiver that holds the version at
+// the revision held, or no version if held is 0. Bytes is empty if the receiver's version
 // isn't older. The result is cached for other receivers of the same version.
-func (vs *Versions) Pack(held int64) (Encoded, error) {
+func (vs *Versions) Encode(held int64) (Encoded, error) {
 	vs.mu.Lock()
 	defer vs.mu.Unlock()
 	v, base := vs.newest(), vs.find(held)
@@ -114,9 +114,9 @@
 	return e, nil
 }
 
-// Unpack decodes a version that another process has encoded. It fails with
+// Decode decodes a version that another process has encoded. It fails with
 // result.DocumentUnreadable if the base isn't held or the data is corrupt.
-func (vs *Versions) Unpack(e Encoded) (Version, error) {
+func (vs *Versions) Decode(e Encoded) (Version, error) {
 	vs.mu.Lock()
 	base := vs.find(e.Base)
 	vs.mu.Unlock()
--- a/internal/fleet/document/holder_test.go
+++ b/internal/fleet/document/holder_test.go
@@ -29,11 +29,11 @@
 // number of bytes transferred.
 func transfer(t *testing.T, from, to *Versions) int {
 	t.Helper()
-	e, err := from.Pack(to.Newest().Revision)
+	e, err := from.Encode(to.Newest().Revision)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v, err := to.Unpack(e)
+	v, err := to.Decode(e)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 	for r := 2; r < 20; r++ {
 		from.Put(Version{Revision: int64(r), Value: document(50, r)})
 	}
-	if e, err := from.Pack(1); err != nil || e.Base != 0 {
+	if e, err := from.Encode(1); err != nil || e.Base != 0 {
 		t.Fatalf("encoded as the difference from %d (%v), want the full value", e.Base, err)
 	}
 	transfer(t, from, to)
@@ -82,22 +82,22 @@
 }
 
 // Guards against decoding a difference with another value than its base.
-func TestUnpackNeedsTheBase(t *testing.T) {
+func TestDecodeNeedsTheBase(t *testing.T) {
 	from, to := &Versions{}, &Versions{}
 	from.Put(Version{Revision: 1, Value: document(200, 1)})
 	from.Put(Version{Revision: 2, Value: document(200, 2)})
-	e, err := from.Pack(1)
+	e, err := from.Encode(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := to.Unpack(e); err == nil {
-		t.Error("unpacked without its base")
+	if _, err := to.Decode(e); err == nil {
+		t.Error("decoded without its base")
 	}
 	to.Put(Version{Revision: 1, Value: document(200, 100)})
-	if v, err := to.Unpack(e); err == nil && bytes.Equal(v.Value, from.Newest().Value) {
-		t.Error("unpacked to the right value from the wrong base")
+	if v, err := to.Decode(e); err == nil && bytes.Equal(v.Value, from.Newest().Value) {
+		t.Error("decoded to the right value from the wrong base")
 	} else if err == nil {
-		t.Error("unpacked to a wrong value without an error")
+		t.Error("decoded to a wrong value without an error")
 	}
 }
 
@@ -107,18 +107,18 @@
 	if vs.Newest().Revision != 0 {
 		t.Error("empty Versions has a version")
 	}
-	if e, err := vs.Pack(0); err != nil || e.Revision != 0 || len(e.Bytes) > 0 {
+	if e, err := vs.Encode(0); err != nil || e.Revision != 0 || len(e.Bytes) > 0 {
 		t.Errorf("empty Versions encodes %+v (%v)", e, err)
 	}
 	if !vs.Put(Version{Revision: 4}) || vs.Put(Version{Revision: 3}) || vs.Put(Version{Revision: 4}) {
 		t.Error("a version that isn't newer is accepted")
 	}
-	if e, err := vs.Pack(4); err != nil || e.Revision != 4 || len(e.Bytes) > 0 {
+	if e, err := vs.Encode(4); err != nil || e.Revision != 4 || len(e.Bytes) > 0 {
 		t.Errorf("a receiver that holds the newest version gets %+v (%v)", e, err)
 	}
 }
 
-func BenchmarkPack(b *testing.B) {
+func BenchmarkEncode(b *testing.B) {
 	for _, routes := range []int{240, 1500, 15000} {
 		old, value := document(routes, 1), document(routes, routes/2)
 		for _, base := range [][]byte{nil, old} {
@@ -146,7 +146,7 @@
 	from.Put(Version{Revision: 1, Value: document(240, 1)})
 	from.Put(Version{Revision: 2, Value: document(240, 2)})
 	for _, held := range []int64{0, 1} {
-		e, err := from.Pack(held)
+		e, err := from.Encode(held)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -154,7 +154,7 @@
 			corrupted := e
 			corrupted.Bytes = bytes.Clone(e.Bytes)
 			corrupted.Bytes[rng.IntN(len(e.Bytes))] ^= byte(1 + rng.IntN(255))
-			if v, err := from.Unpack(corrupted); err == nil && !bytes.Equal(v.Value, from.Newest().Value) {
+			if v, err := from.Decode(corrupted); err == nil && !bytes.Equal(v.Value, from.Newest().Value) {
 				t.Fatalf("difference from %d: a corrupted value of %d bytes is accepted", held, len(v.Value))
 			}
 		}
--- a/internal/fleet/document/sender.go
+++ b/internal/fleet/document/sender.go
@@ -13,8 +13,8 @@
 	maxRecipients = 64
 )
 
-// Answer is the answer to a request for the newest version: a Copy or a Redirect.
-type Answer interface{ isAnswer() }
+// Response is the response to a request for the newest version: a Copy or a Redirect.
+type Response interface{ isResponse() }
 
 // Copy is the newest version, to be sent after Delay.
 type Copy struct {
@@ -26,8 +26,8 @@
 // newest version.
 type Redirect struct{ Address string }
 
-func (Copy) isAnswer()     {}
-func (Redirect) isAnswer() {}
+func (Copy) isResponse()     {}
+func (Redirect) isResponse() {}
 
 // Sender answers requests for the newest version with a copy or a redirect. Set the
 // exported fields before the first call. It is safe for concurrent use.
@@ -48,10 +48,11 @@
 	revision     int64
 }
 
-// Answer answers a request from the process at addr, which holds the version at the
-// revision held, or none if held is 0. It fails if the version can't be encoded.
-func (s *Sender) Answer(addr string, held int64, now time.Time) (Answer, error) {
-	e, err := s.Versions.Pack(held)
+// Answer returns the response to a request from the process at addr, which holds the
+// version at the revision held, or none if held is 0. It fails if the version can't be
+// encoded.
+func (s *Sender) Answer(addr string, held int64, now time.Time) (Response, error) {
+	e, err := s.Versions.Encode(held)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/document/sender_test.go
+++ b/internal/fleet/document/sender_test.go
@@ -83,16 +83,16 @@
 			n.source, n.nextRequest = 0, m.now.Add(retryDelay)
 			continue
 		}
-		a, err := from.sender.Answer(fmt.Sprint(i), n.versions.Newest().Revision, m.now)
+		resp, err := from.sender.Answer(fmt.Sprint(i), n.versions.Newest().Revision, m.now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		switch a := a.(type) {
+		switch resp := resp.(type) {
 		case Copy:
-			n.heldFrom = from.send(len(a.Encoded.Bytes), m.now.Add(a.Delay)).Add(hopLatency)
+			n.heldFrom = from.send(len(resp.Encoded.Bytes), m.now.Add(resp.Delay)).Add(hopLatency)
 			n.versions.Put(Version{Revision: 2, Value: m.nodes[0].versions.Newest().Value})
 		case Redirect:
-			if _, err := fmt.Sscan(a.Address, &n.source); err != nil {
+			if _, err := fmt.Sscan(resp.Address, &n.source); err != nil {
 				t.Fatal(err)
 			}
 			n.nextRequest = m.now.Add(2 * hopLatency)
@@ -158,12 +158,12 @@
 	vs := &Versions{}
 	vs.Put(Version{Revision: 1, Value: document(1500, 1)})
 	s := &Sender{Versions: vs, Pacer: &Pacer{BytesPerSecond: 100e3}}
-	request := func(addr string) Answer {
-		a, err := s.Answer(addr, 0, now)
+	request := func(addr string) Response {
+		resp, err := s.Answer(addr, 0, now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return a
+		return resp
 	}
 	if _, ok := request("a").(Copy); !ok {
 		t.Fatal("the first request is redirected")
--- a/internal/fleet/readers/basis.go
+++ b/internal/fleet/readers/basis.go
@@ -22,10 +22,10 @@
 	lateMargin = 250 * time.Millisecond
 )
 
-// FollowWait is the longest time that a process waits for a change before it answers the
-// request of another one. A frozen process is detected a little later, well within the
+// MaxFollowWait is the longest time that a process waits for a change before it answers
+// the request of another one. A frozen process is detected a little later, well within the
 // time limit for a change of the configuration.
-const FollowWait = 500 * time.Millisecond
+const MaxFollowWait = 500 * time.Millisecond
 
 // Wait returns the wait of a poll of the store, given the time limit within which a
 // change has to be in force everywhere. A poll that is never answered is detected, and
@@ -112,14 +112,14 @@
 	return f.storeLost
 }
 
-// Answer returns the answer to a request of the process requester, given that this
+// Answer returns the outcome of a request of the process requester, given that this
 // process knows all changes made before knownAt.
 //
 // Two processes that get their updates from each other would both stop polling the
 // store, and each would take the lack of updates from the other as proof that nothing
 // has changed. A late poll proves nothing either: the connection to the store may be
 // dead for this process alone.
-func (f *Freshness) Answer(requester string, knownAt, now time.Time) Answer {
+func (f *Freshness) Answer(requester string, knownAt, now time.Time) Outcome {
 	switch {
 	case f.Lost():
 		return StoreLost
--- a/internal/fleet/readers/choice.go
+++ b/internal/fleet/readers/choice.go
@@ -35,13 +35,13 @@
 	directPollInterval = 2500 * time.Millisecond
 )
 
-// Answer is the outcome of a request to another process for updates.
-type Answer int
+// Outcome is the outcome of a request to another process for updates.
+type Outcome int
 
 // The outcomes of a request.
 const (
 	// NoAnswer means that no answer came in time.
-	NoAnswer Answer = iota
+	NoAnswer Outcome = iota
 	// NotCurrent means that the process has no current state to serve.
 	NotCurrent
 	// StoreLost means that the store doesn't answer the process.
@@ -60,7 +60,7 @@
 	// Self is the name of the process.
 	Self string
 
-	lastAnswers map[string]pastAnswer
+	lastOutcomes map[string]pastOutcome
 	// lastDirectPoll is the time of the last poll of the store that was made because
 	// no source reached it. storeFailedAt is the time at which the last call to the
 	// store failed, or zero if the store answered it.
@@ -70,15 +70,15 @@
 	uninformed bool
 }
 
-// pastAnswer is the outcome of the last request to a process.
-type pastAnswer struct {
-	answer Answer
-	at     time.Time
+// pastOutcome is the outcome of the last request to a process.
+type pastOutcome struct {
+	outcome Outcome
+	at      time.Time
 }
 
 // usable reports whether requests may be sent to the process again.
-func (p pastAnswer) usable(now time.Time) bool {
-	switch p.answer {
+func (p pastOutcome) usable(now time.Time) bool {
+	switch p.outcome {
 	case Fresh:
 		return true
 	case NotCurrent:
@@ -126,7 +126,7 @@
 		return ""
 	}
 	for _, name := range order[:maxReaders] {
-		if a := s.lastAnswers[name].answer; a == NotCurrent || a == StoreLost {
+		if o := s.lastOutcomes[name].outcome; o == NotCurrent || o == StoreLost {
 			return name
 		}
 	}
@@ -138,7 +138,7 @@
 func (s *SourceSelector) usable(all []string, now time.Time) []string {
 	var out []string
 	for _, name := range all[:min(len(all), 2*maxReaders)] {
-		if p, ok := s.lastAnswers[name]; !ok || p.usable(now) {
+		if p, ok := s.lastOutcomes[name]; !ok || p.usable(now) {
 			out = append(out, name)
 		}
 	}
@@ -153,8 +153,8 @@
 func (s *SourceSelector) takeoverOrder(others []string, now time.Time) []string {
 	all := append(slices.Clone(others), s.Self)
 	all = slices.DeleteFunc(all, func(name string) bool {
-		p := s.lastAnswers[name]
-		return p.answer == ShuttingDown && !p.usable(now)
+		p := s.lastOutcomes[name]
+		return p.outcome == ShuttingDown && !p.usable(now)
 	})
 	slices.SortFunc(all, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
@@ -171,17 +171,17 @@
 }
 
 // NoteAnswer records the outcome of a request to a process.
-func (s *SourceSelector) NoteAnswer(name string, a Answer, now time.Time) {
-	if s.lastAnswers == nil {
-		s.lastAnswers = map[string]pastAnswer{}
+func (s *SourceSelector) NoteAnswer(name string, o Outcome, now time.Time) {
+	if s.lastOutcomes == nil {
+		s.lastOutcomes = map[string]pastOutcome{}
 	}
 	// Old outcomes are dropped: new processes come with new names, and the map would
 	// grow without bound.
-	for other, p := range s.lastAnswers {
+	for other, p := range s.lastOutcomes {
 		if now.Sub(p.at) > time.Minute {
-			delete(s.lastAnswers, other)
+			delete(s.lastOutcomes, other)
 		}
 	}
-	s.lastAnswers[name] = pastAnswer{answer: a, at: now}
-	s.uninformed = a != Fresh && a != ShuttingDown
+	s.lastOutcomes[name] = pastOutcome{outcome: o, at: now}
+	s.uninformed = o != Fresh && o != ShuttingDown
 }
--- a/internal/fleet/readers/world_test.go
+++ b/internal/fleet/readers/world_test.go
@@ -125,8 +125,8 @@
 		}
 		return
 	}
-	if s.running(source) && s.answer(name, source) == Fresh && !s.knownAt[source].After(s.knownAt[name]) {
-		s.waiting[name] = pendingRequest{source: source, until: s.now.Add(FollowWait)}
+	if s.running(source) && s.outcome(name, source) == Fresh && !s.knownAt[source].After(s.knownAt[name]) {
+		s.waiting[name] = pendingRequest{source: source, until: s.now.Add(MaxFollowWait)}
 		return
 	}
 	s.receive(name, source)
@@ -135,8 +135,8 @@
 // running reports whether a process runs and isn't shutting down.
 func (s *simulation) running(name string) bool { return !s.dead[name] && !s.shuttingDown[name] }
 
-// answer returns the answer of source to a request of the process name.
-func (s *simulation) answer(name, source string) Answer {
+// outcome returns the outcome of a request of the process name to source.
+func (s *simulation) outcome(name, source string) Outcome {
 	return s.freshness[source].Answer(name, s.knownAt[source], s.now)
 }
 
@@ -164,15 +164,15 @@
 
 // receive delivers the answer of source to the process name.
 func (s *simulation) receive(name, source string) {
-	a := NoAnswer
+	o := NoAnswer
 	switch {
 	case s.shuttingDown[source]:
-		a = ShuttingDown
+		o = ShuttingDown
 	case !s.dead[source]:
-		a = s.answer(name, source)
+		o = s.outcome(name, source)
 	}
-	s.selectors[name].NoteAnswer(source, a, s.now)
-	if a == Fresh {
+	s.selectors[name].NoteAnswer(source, o, s.now)
+	if o == Fresh {
 		s.knownAt[name] = s.knownAt[source]
 		s.freshness[name].NoteUpdate(s.freshness[source].Origin())
 	}
--- a/internal/frontend/document.go
+++ b/internal/frontend/document.go
@@ -114,7 +114,7 @@
 		pause.For(ctx, documentRetryDelay/2+rand.N(documentRetryDelay))
 		return
 	}
-	f.storeCopy.Advance(doc.asOf, f.documents.Newest().Revision)
+	f.storeCopy.AdvanceSeparate(doc.asOf, f.documents.Newest().Revision)
 	f.advanceFreshness(doc.asOf, boottime.Now())
 	f.missing.clear(doc)
 }
@@ -158,7 +158,7 @@
 	if p.GetRevision() <= f.documents.Newest().Revision {
 		return nil
 	}
-	v, err := f.documents.Unpack(document.Encoded{Revision: p.GetRevision(), Base: p.GetBase(), Bytes: p.GetPacked()})
+	v, err := f.documents.Decode(document.Encoded{Revision: p.GetRevision(), Base: p.GetBase(), Bytes: p.GetPacked()})
 	if err != nil {
 		return err
 	}
@@ -176,17 +176,17 @@
 
 // Document implements fleetpb.EntryServer.
 func (s *service) Document(ctx context.Context, r *fleetpb.DocumentRequest) (*fleetpb.DocumentReply, error) {
-	a, err := s.frontend.documentSender.Answer(r.GetAsker(), r.GetHeld(), boottime.Now())
+	resp, err := s.frontend.documentSender.Answer(r.GetAsker(), r.GetHeld(), boottime.Now())
 	if err != nil {
 		return nil, err
 	}
-	switch a := a.(type) {
+	switch resp := resp.(type) {
 	case document.Redirect:
-		return &fleetpb.DocumentReply{Elsewhere: a.Address}, nil
+		return &fleetpb.DocumentReply{Elsewhere: resp.Address}, nil
 	case document.Copy:
-		pause.For(ctx, a.Delay)
-		return &fleetpb.DocumentReply{Revision: a.Encoded.Revision, Base: a.Encoded.Base, Packed: a.Encoded.Bytes}, ctx.Err()
+		pause.For(ctx, resp.Delay)
+		return &fleetpb.DocumentReply{Revision: resp.Encoded.Revision, Base: resp.Encoded.Base, Packed: resp.Encoded.Bytes}, ctx.Err()
 	default:
-		return nil, eris.Errorf("unexpected answer type %T", a)
+		return nil, eris.Errorf("unexpected answer type %T", resp)
 	}
 }
--- a/internal/frontend/follow.go
+++ b/internal/frontend/follow.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// followTimeoutMargin is added to readers.FollowWait before the other entry counts
-	// as unresponsive.
+	// followTimeoutMargin is added to readers.MaxFollowWait before the other entry
+	// counts as unresponsive.
 	followTimeoutMargin = 250 * time.Millisecond
 	// unavailableRetryDelay is the delay before the next request to an entry that had
 	// nothing to report. Such an entry answers immediately, so requests without a delay
@@ -40,16 +40,16 @@
 		if unavailable[name] {
 			pause.For(ctx, unavailableRetryDelay)
 		}
-		u, answer, err := f.requestUpdate(ctx, local[name].Address, revision, known)
+		u, outcome, err := f.requestUpdate(ctx, local[name].Address, revision, known)
 		f.sourceAddress = local[name].Address
-		f.sourceSelector.NoteAnswer(name, answer, boottime.Now())
-		f.sourceMetrics.countWithoutUpdate(answer)
+		f.sourceSelector.NoteAnswer(name, outcome, boottime.Now())
+		f.sourceMetrics.countWithoutUpdate(outcome)
 		switch {
-		case answer == readers.Fresh:
+		case outcome == readers.Fresh:
 			return u, true
-		case answer == readers.ShuttingDown:
+		case outcome == readers.ShuttingDown:
 			f.Log.WithFields(logrus.Fields{"entry": name}).Info("entry is shutting down")
-		case answer == readers.OwnState:
+		case outcome == readers.OwnState:
 			f.Log.WithFields(logrus.Fields{"entry": name}).Info("entry gets its store updates from this one")
 		case err != nil:
 			f.peerConns.RemoveUnresponsive(local[name].Address)
@@ -63,8 +63,8 @@
 }
 
 // requestUpdate requests an update from one entry.
-func (f *Frontend) requestUpdate(ctx context.Context, addr string, revision int64, known bool) (mirror.Update, readers.Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, readers.FollowWait+followTimeoutMargin)
+func (f *Frontend) requestUpdate(ctx context.Context, addr string, revision int64, known bool) (mirror.Update, readers.Outcome, error) {
+	ctx, cancel := context.WithTimeout(ctx, readers.MaxFollowWait+followTimeoutMargin)
 	defer cancel()
 	conn, err := f.peerConns.Get(addr)
 	if err != nil {
@@ -72,7 +72,7 @@
 	}
 	sent := boottime.Now()
 	p, err := fleetpb.NewEntryClient(conn).Follow(ctx, &fleetpb.FollowRequest{
-		After: revision, Known: known, WaitMicros: uint64(readers.FollowWait.Microseconds()), DocumentRevision: f.newestKnownDocument(),
+		After: revision, Known: known, WaitMicros: uint64(readers.MaxFollowWait.Microseconds()), DocumentRevision: f.newestKnownDocument(),
 		Asker: f.Settings.Name,
 	})
 	if err != nil {
@@ -101,7 +101,7 @@
 }
 
 // unavailableReason returns why an entry has nothing to report.
-func (f *Frontend) unavailableReason(p *fleetpb.FollowReply) readers.Answer {
+func (f *Frontend) unavailableReason(p *fleetpb.FollowReply) readers.Outcome {
 	switch {
 	case p.GetLeaving():
 		return readers.ShuttingDown
@@ -138,8 +138,8 @@
 	}
 	updated := f.storeCopy.Updated()
 	u, ok := f.storeCopy.Since(q.GetAfter(), q.GetKnown())
-	a := f.storeStatus.Answer(q.GetAsker(), u.RequestedAt, arrived)
-	if ok && a == readers.Fresh && !hasChanges(u, q) {
+	o := f.storeStatus.Answer(q.GetAsker(), u.RequestedAt, arrived)
+	if ok && o == readers.Fresh && !hasChanges(u, q) {
 		if err := f.awaitUpdate(ctx, updated, time.Duration(q.GetWaitMicros())*time.Microsecond, arrived); err != nil {
 			return nil, err
 		}
@@ -147,8 +147,8 @@
 	}
 	now := boottime.Now()
 	origin := f.storeStatus.Origin()
-	if a = f.storeStatus.Answer(q.GetAsker(), u.RequestedAt, now); !ok || a != readers.Fresh {
-		return &fleetpb.FollowReply{Away: true, StoreAway: a == readers.StoreLost, Origin: origin}, nil
+	if o = f.storeStatus.Answer(q.GetAsker(), u.RequestedAt, now); !ok || o != readers.Fresh {
+		return &fleetpb.FollowReply{Away: true, StoreAway: o == readers.StoreLost, Origin: origin}, nil
 	}
 	p := followReply(u, f.storeCopy.RecoveredAt(), arrived, now)
 	p.Origin = origin
--- a/internal/frontend/follow_test.go
+++ b/internal/frontend/follow_test.go
@@ -135,7 +135,7 @@
 	s.store.Put("op/config", config(3, `"k1"`))
 	for _, e := range remaining {
 		s.eventually("the next change is in force", func() bool { return e.hasVersion(3) })
-		s.eventually("keys are accepted", func() bool { return e.freshness.Age(boottime.Now()) < e.relay.KeyAge() })
+		s.eventually("keys are accepted", func() bool { return e.freshness.Age(boottime.Now()) < e.relay.MaxKeyAge() })
 	}
 }
 
@@ -146,7 +146,7 @@
 	entries := s.startEntries(4)
 	s.store.SetFault(standin.Busy)
 	s.store.Put("op/config", config(2, `"k2"`))
-	time.Sleep(entries[0].relay.KeyAge() + 500*time.Millisecond)
+	time.Sleep(entries[0].relay.MaxKeyAge() + 500*time.Millisecond)
 	for i, e := range entries {
 		if a := e.request(context.Background(), "/look/1", fmt.Sprint("late", i), "k1"); a.status == 200 {
 			t.Errorf("entry %d accepts a revoked key", i)
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -253,7 +253,7 @@
 	if f.stopping.Load() || !f.state.Ready() {
 		return false
 	}
-	return f.freshness.Age(now) <= f.relay.KeyAge()
+	return f.freshness.Age(now) <= f.relay.MaxKeyAge()
 }
 
 // service handles the calls of the other processes.
--- a/internal/frontend/source.go
+++ b/internal/frontend/source.go
@@ -18,7 +18,7 @@
 	age metrics.Timer
 	// withoutUpdate counts the answers of other entries that contained no update, by
 	// kind.
-	withoutUpdate map[readers.Answer]metrics.Counter
+	withoutUpdate map[readers.Outcome]metrics.Counter
 }
 
 func newSourceMetrics(r metrics.Registry) sourceMetrics {
@@ -26,7 +26,7 @@
 	return sourceMetrics{
 		changes: counter("turns"),
 		age:     metrics.GetOrRegisterTimer("relay.source.age", r),
-		withoutUpdate: map[readers.Answer]metrics.Counter{
+		withoutUpdate: map[readers.Outcome]metrics.Counter{
 			readers.NoAnswer: counter("silent"), readers.NotCurrent: counter("away"),
 			readers.StoreLost: counter("lost"), readers.OwnState: counter("echo"),
 			readers.ShuttingDown: counter("leaving"),
@@ -35,8 +35,8 @@
 }
 
 // countWithoutUpdate counts an answer that contained no update.
-func (m sourceMetrics) countWithoutUpdate(a readers.Answer) {
-	if c, ok := m.withoutUpdate[a]; ok {
+func (m sourceMetrics) countWithoutUpdate(o readers.Outcome) {
+	if c, ok := m.withoutUpdate[o]; ok {
 		c.Inc(1)
 	}
 }
--- a/internal/platform/mirror/copy.go
+++ b/internal/platform/mirror/copy.go
@@ -32,7 +32,7 @@
 	// separateRevision is the revision of the value of SeparateKey that the process
 	// holds.
 	separateRevision int64
-	// updated, unless nil, is closed by the next call of Apply or Advance.
+	// updated, unless nil, is closed by the next call of Apply or AdvanceSeparate.
 	updated chan struct{}
 }
 
@@ -80,9 +80,9 @@
 	c.advance(u.RequestedAt, u.SeparateRevision)
 }
 
-// Advance records that the process holds the value of SeparateKey at a revision and
-// therefore knows every change made before knownAt.
-func (c *Copy) Advance(knownAt time.Time, separateRevision int64) {
+// AdvanceSeparate records that the process holds the value of SeparateKey at a revision
+// and therefore knows every change made before knownAt.
+func (c *Copy) AdvanceSeparate(knownAt time.Time, separateRevision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.advance(knownAt, separateRevision)
@@ -146,7 +146,7 @@
 	return c.recoveredAt
 }
 
-// Updated returns a channel that is closed by the next call of Apply or Advance.
+// Updated returns a channel that is closed by the next call of Apply or AdvanceSeparate.
 func (c *Copy) Updated() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/platform/mirror/copy_test.go
+++ b/internal/platform/mirror/copy_test.go
@@ -232,7 +232,7 @@
 	if f.pendingKnownAt.After(f.follower.knownAt) {
 		f.follower.knownAt = f.pendingKnownAt
 	}
-	f.copy.Advance(f.pendingKnownAt, f.heldRevision)
+	f.copy.AdvanceSeparate(f.pendingKnownAt, f.heldRevision)
 }
 
 // A large value is transferred separately and later, also by processes that are behind.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -49,8 +49,8 @@
 // The default of zero accepts none.
 func (r *Relay) SetMaxKeyAge(d time.Duration) { r.maxKeyAge.Store(int64(d)) }
 
-// KeyAge returns the value set by SetMaxKeyAge.
-func (r *Relay) KeyAge() time.Duration { return time.Duration(r.maxKeyAge.Load()) }
+// MaxKeyAge returns the value set by SetMaxKeyAge.
+func (r *Relay) MaxKeyAge() time.Duration { return time.Duration(r.maxKeyAge.Load()) }
 
 // StopAccepting makes the relay answer each further request as not run, because the process is
 // about to exit and could not finish it.
@@ -173,7 +173,7 @@
 }
 
 func (j *job) checkKeyAge(now time.Time) *result.Error {
-	if j.relay.State.Freshness.Age(now) <= j.relay.KeyAge() {
+	if j.relay.State.Freshness.Age(now) <= j.relay.MaxKeyAge() {
 		return nil
 	}
 	return result.New(result.PlatformDown, "keys can't be checked").WithRetryAfter(retryAfterStale)
