--- a/internal/endpoint/ranks.go
+++ b/internal/endpoint/ranks.go
@@ -110,8 +110,8 @@
 	return r.Client.callControl(ctx, http.MethodPost, PathRanksActivate, fencing, o, nil)
 }
 
-// Allow implements rank.Engine.
-func (r *Ranks) Allow(ctx context.Context, step, fencing uint64) error {
+// SetStepLimit implements rank.Engine.
+func (r *Ranks) SetStepLimit(ctx context.Context, step, fencing uint64) error {
 	return r.Client.callControl(ctx, http.MethodPost, PathRanksAllow, fencing, RanksAllow{Step: step}, nil)
 }
 
--- a/internal/endpoint/ranks_test.go
+++ b/internal/endpoint/ranks_test.go
@@ -31,10 +31,10 @@
 	for range 2 {
 		requireCode(t, r.Stage(ctx, m, 1), result.OK)
 		requireCode(t, r.Activate(ctx, entry, true, 1), result.OK)
-		requireCode(t, r.Allow(ctx, 5, 1), result.OK)
+		requireCode(t, r.SetStepLimit(ctx, 5, 1), result.OK)
 		requireCode(t, d.Stage(ctx, m, 1), result.OK)
 		requireCode(t, d.Activate(ctx, entry, true, 1), result.OK)
-		requireCode(t, d.Allow(ctx, 5, 1), result.OK)
+		requireCode(t, d.SetStepLimit(ctx, 5, 1), result.OK)
 		over.Step()
 		direct.Step()
 	}
--- a/internal/rank/engine.go
+++ b/internal/rank/engine.go
@@ -25,10 +25,10 @@
 	// entries for earlier steps and skip to the entry's first step, unless they
 	// have already begun it.
 	Activate(ctx context.Context, e naming.ScheduleEntry, restart bool, token uint64) error
-	// Allow sets the step limit: the ranks may begin steps up to and including
-	// step. Ranks wait before a step that they may not begin or have no map
-	// for. A step lower than the current limit has no effect.
-	Allow(ctx context.Context, step, token uint64) error
+	// SetStepLimit sets the step limit: the ranks may begin steps up to and
+	// including step. Ranks wait before a step that they may not begin or have
+	// no map for. A step lower than the current limit has no effect.
+	SetStepLimit(ctx context.Context, step, token uint64) error
 	// State returns the state that the ranks report.
 	State(ctx context.Context) (naming.EngineState, error)
 	// Counts returns the mean number of tokens per step that the endpoint's
--- a/internal/rank/expertmap/skewtable/doc.go
+++ b/internal/rank/expertmap/skewtable/doc.go
@@ -10,12 +10,12 @@
 // multinomial distribution. The counts given to the planner are those of the
 // last quarter of an interval. A map planned from them takes effect after a
 // quarter of an interval, which stands for the messages, plus the time to load
-// its weights at the rate of the weight store. The full solution gets an
-// advantage: it takes effect after one interval, although its moves would take
-// much longer to load.
+// its weights at the rate of the weight store. The solution from scratch gets
+// an advantage: it takes effect after one interval, although its moves would
+// take much longer to load.
 //
 // The strategies are a contiguous map that never changes (static), a new
-// solution from scratch in each interval (full), and a plan of package
+// solution from scratch in each interval (column full), and a plan of package
 // expertmap in each interval (planned). The bound is expertmap.LowerBound for
 // the sampled tokens of each step, which are not known when the map is chosen.
 // The column known is a layer optimized for the exact popularity that a step is
--- a/internal/rank/expertmap/skewtable/run.go
+++ b/internal/rank/expertmap/skewtable/run.go
@@ -12,12 +12,12 @@
 	params Case
 	drift  *drift
 	// tokens is the number of token assignments of all ranks in a step.
-	tokens  float64
-	planned rollout
-	full    rollout
-	static  *expertmap.Layer
+	tokens      float64
+	planned     rollout
+	fromScratch rollout
+	static      *expertmap.Layer
 	// skews holds the skew of each measured step.
-	skews struct{ static, full, planned, known, bound []float64 }
+	skews struct{ static, fromScratch, planned, known, bound []float64 }
 }
 
 // rollout tracks the layers of one strategy: the active one, and those that are
@@ -106,7 +106,7 @@
 const tauDivisor = 10
 
 // initMaps starts the static strategy with the contiguous layer and all others
-// with the full solution for the initial popularity.
+// with a solution from scratch for the initial popularity.
 func (sim *simulation) initMaps() error {
 	var err error
 	if sim.static, err = expertmap.NewContiguousLayer(sim.params.Shape); err != nil {
@@ -117,7 +117,7 @@
 		return err
 	}
 	sim.planned = rollout{active: first}
-	sim.full = rollout{active: first}
+	sim.fromScratch = rollout{active: first}
 	return nil
 }
 
@@ -138,10 +138,10 @@
 // recordStep records the skew of each strategy for the counts of one step.
 func (sim *simulation) recordStep(counts []float64) {
 	s := &sim.skews
-	sim.full.advance()
+	sim.fromScratch.advance()
 	sim.planned.advance()
 	s.static = append(s.static, expertmap.Skew(sim.static, counts))
-	s.full = append(s.full, expertmap.Skew(sim.full.active, counts))
+	s.fromScratch = append(s.fromScratch, expertmap.Skew(sim.fromScratch.active, counts))
 	s.planned = append(s.planned, expertmap.Skew(sim.planned.active, counts))
 	s.bound = append(s.bound, expertmap.LowerBound(counts, sim.params.Shape))
 }
@@ -167,13 +167,13 @@
 	return nil
 }
 
-// replan schedules the next layers of the strategies full and planned.
+// replan schedules the next layers of the strategies fromScratch and planned.
 func (sim *simulation) replan(counts []float64, pop *expertmap.PopularityEstimator, now time.Time) error {
-	full, err := expertmap.Solve(sim.params.Shape, counts, expertmap.LoadVariance{})
+	fromScratch, err := expertmap.Solve(sim.params.Shape, counts, expertmap.LoadVariance{})
 	if err != nil {
 		return err
 	}
-	sim.full.schedule(full, stepsMeasured)
+	sim.fromScratch.schedule(fromScratch, stepsMeasured)
 	current, err := expertmap.NewMap(1, []*expertmap.Layer{sim.planned.latest()})
 	if err != nil {
 		return err
@@ -188,11 +188,11 @@
 
 func (sim *simulation) row() Row {
 	return Row{
-		params:  sim.params,
-		static:  summarize(sim.skews.static, 0),
-		full:    summarize(sim.skews.full, sim.full.moves),
-		planned: summarize(sim.skews.planned, sim.planned.moves),
-		known:   summarize(sim.skews.known, 0),
-		bound:   summarize(sim.skews.bound, 0),
+		params:      sim.params,
+		static:      summarize(sim.skews.static, 0),
+		fromScratch: summarize(sim.skews.fromScratch, sim.fromScratch.moves),
+		planned:     summarize(sim.skews.planned, sim.planned.moves),
+		known:       summarize(sim.skews.known, 0),
+		bound:       summarize(sim.skews.bound, 0),
 	}
 }
--- a/internal/rank/expertmap/skewtable/table.go
+++ b/internal/rank/expertmap/skewtable/table.go
@@ -109,8 +109,8 @@
 
 // Row is the result of one case.
 type Row struct {
-	params                              Case
-	static, full, planned, known, bound Skews
+	params                                     Case
+	static, fromScratch, planned, known, bound Skews
 }
 
 // Case returns the parameters of the simulation.
@@ -119,8 +119,8 @@
 // Static returns the skew with a contiguous map that never changes.
 func (r Row) Static() Skews { return r.static }
 
-// Full returns the skew with a new solution from scratch in each interval.
-func (r Row) Full() Skews { return r.full }
+// FromScratch returns the skew with a new solution from scratch in each interval.
+func (r Row) FromScratch() Skews { return r.fromScratch }
 
 // Planned returns the skew with plans of package expertmap.
 func (r Row) Planned() Skews { return r.planned }
@@ -151,9 +151,9 @@
 	for _, r := range rows {
 		_, _ = fmt.Fprintf(t, "%d x %d\t%v\t%v\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%.3f\t%.3f\t%d\t%.1f%%\t%.1f%%\t\n",
 			r.params.Shape.Ranks, r.params.Shape.Experts, r.params.CorrelationTime, r.params.Interval, r.bound.mean, r.known.mean,
-			r.static.mean, r.static.p99, r.full.mean, r.full.p99, r.full.moves,
+			r.static.mean, r.static.p99, r.fromScratch.mean, r.fromScratch.p99, r.fromScratch.moves,
 			r.planned.mean, r.planned.p99, r.planned.moves,
-			100*(r.planned.mean/r.bound.mean-1), 100*float64(r.planned.moves)/float64(max(1, r.full.moves)))
+			100*(r.planned.mean/r.bound.mean-1), 100*float64(r.planned.moves)/float64(max(1, r.fromScratch.moves)))
 	}
 	return t.Flush()
 }
--- a/internal/rank/expertmap/skewtable/table_test.go
+++ b/internal/rank/expertmap/skewtable/table_test.go
@@ -38,25 +38,25 @@
 	}
 }
 
-// assertMoves checks that plans take less than a quarter of the moves of a full
-// solution and have less skew than a static map.
+// assertMoves checks that plans take less than a quarter of the moves of a
+// solution from scratch and have less skew than a static map.
 func assertMoves(t *testing.T, r skewtable.Row) {
 	t.Helper()
-	if got, full := r.Planned().Moves(), r.Full().Moves(); got*4 >= full {
-		t.Errorf("%v: %d moves, want under a quarter of %d", r.Case(), got, full)
+	if got, fromScratch := r.Planned().Moves(), r.FromScratch().Moves(); got*4 >= fromScratch {
+		t.Errorf("%v: %d moves, want under a quarter of %d", r.Case(), got, fromScratch)
 	}
 	if got, static := r.Planned().Mean(), r.Static().Mean(); got >= static {
 		t.Errorf("%v: mean skew %.3f, want under %.3f", r.Case(), got, static)
 	}
 }
 
-// assertSkew checks that plans have at most the skew of a full solution, and
-// with 8 ranks are within 5% of the lower bound.
+// assertSkew checks that plans have at most the skew of a solution from
+// scratch, and with 8 ranks are within 5% of the lower bound.
 func assertSkew(t *testing.T, r skewtable.Row) {
 	t.Helper()
 	got := r.Planned().Mean()
-	if full := r.Full().Mean(); got > full {
-		t.Errorf("%v: mean skew %.3f, want at most that of a full solution, %.3f", r.Case(), got, full)
+	if fromScratch := r.FromScratch().Mean(); got > fromScratch {
+		t.Errorf("%v: mean skew %.3f, want at most that of a solution from scratch, %.3f", r.Case(), got, fromScratch)
 	}
 	if limit := 1.05 * r.Bound().Mean(); r.Case().Shape.Ranks == 8 && got > limit {
 		t.Errorf("%v: mean skew %.3f, want at most %.3f", r.Case(), got, limit)
--- a/internal/rank/lockstep/lead_test.go
+++ b/internal/rank/lockstep/lead_test.go
@@ -82,7 +82,7 @@
 	case Arm:
 		r.Armed = &ArmedMap{Step: o.Step, Version: o.Version}
 	}
-	return NoChange
+	return Done
 }
 
 // round makes one observation and sends all orders that follow from it.
@@ -95,7 +95,7 @@
 		for _, ao := range orders {
 			o := g.execute(ao)
 			l.RecordOutcome(ao, o, g.now)
-			applied = Apply(&ranks[ao.Rank], ao.Order) && o == NoChange && applied
+			applied = Apply(&ranks[ao.Rank], ao.Order) && o == Done && applied
 		}
 		if !applied {
 			return
--- a/internal/rank/lockstep/leader.go
+++ b/internal/rank/lockstep/leader.go
@@ -172,14 +172,14 @@
 	switch o {
 	case Rejected:
 		l.extraSteps = min(l.extraSteps+1, maxExtraSteps)
-	case Accepted, NoChange:
+	case Accepted, Done:
 		l.extraSteps = 0
 	}
 }
 
 // recordRelease records how long a change took, measured from its hold.
 func (l *Leader) recordRelease(o Outcome, now time.Time) {
-	if o == Accepted || o == NoChange {
+	if o == Accepted || o == Done {
 		l.leadTime.end(now)
 	}
 }
--- a/internal/rank/lockstep/state.go
+++ b/internal/rank/lockstep/state.go
@@ -111,8 +111,9 @@
 	Unknown Outcome = iota
 	// Accepted means that the rank has accepted the order.
 	Accepted
-	// NoChange means that the rank was already in the ordered state.
-	NoChange
+	// Done means that the rank is in the ordered state: it was already, or it
+	// has just carried out the order.
+	Done
 	// Rejected means that the rank rejected the order because it does not fit
 	// the rank's state.
 	Rejected
--- a/internal/rank/lockstep/world_test.go
+++ b/internal/rank/lockstep/world_test.go
@@ -147,7 +147,7 @@
 			return Rejected
 		}
 		if r.state.Armed == nil || r.state.Armed.Version != o.Version {
-			return NoChange
+			return Done
 		}
 		r.state.Armed = nil
 	case Hold:
--- a/internal/rank/loops.go
+++ b/internal/rank/loops.go
@@ -55,7 +55,7 @@
 	case naming.EngineActivate:
 		return r.Engine.Activate(ctx, o.Entry, o.Restart, token)
 	case naming.EngineSetStepLimit:
-		return r.Engine.Allow(ctx, o.Step, token)
+		return r.Engine.SetStepLimit(ctx, o.Step, token)
 	default:
 		return nil
 	}
--- a/internal/rank/naming/guards_test.go
+++ b/internal/rank/naming/guards_test.go
@@ -199,7 +199,7 @@
 	reads := 0
 	for range 400 {
 		g.now = g.now.Add(tick)
-		for _, a := range l.Step(g.now) {
+		for _, a := range l.Tick(g.now) {
 			if _, ok := a.(ReadRecord); ok {
 				reads++
 				l.HandleRecord(Record{}, 0, false)
--- a/internal/rank/naming/leader.go
+++ b/internal/rank/naming/leader.go
@@ -163,9 +163,9 @@
 	}
 }
 
-// Step returns the actions to take at the time now. Call it after each reply
+// Tick returns the actions to take at the time now. Call it after each reply
 // and once per ResendInterval.
-func (l *Leader) Step(now time.Time) []Action {
+func (l *Leader) Tick(now time.Time) []Action {
 	l.init()
 	if l.deposed {
 		return nil
@@ -282,9 +282,9 @@
 	return view
 }
 
-// NoActivation reports whether the leader has no activation in progress. A
-// proposed map does not count.
-func (l *Leader) NoActivation() bool { return l.current == Activation{} }
+// NoActivationInProgress reports whether the leader has no activation in
+// progress. A proposed map does not count.
+func (l *Leader) NoActivationInProgress() bool { return l.current == Activation{} }
 
 // CurrentMap returns the newest map in the schedules of all members. It returns
 // false if the leader is deposed or not ready yet, a map is proposed, an
--- a/internal/rank/naming/rig_test.go
+++ b/internal/rank/naming/rig_test.go
@@ -53,7 +53,7 @@
 func (g *testGroup) runLeader(l *Leader, ticks int, holdBack func(Send) bool, write func(WriteRecord) WriteOutcome) {
 	for range ticks {
 		g.now = g.now.Add(tick)
-		for _, a := range l.Step(g.now) {
+		for _, a := range l.Tick(g.now) {
 			switch a := a.(type) {
 			case ReadRecord:
 				l.HandleRecord(g.kv.record, g.kv.revision, !g.kv.down)
--- a/internal/rank/naming/world_test.go
+++ b/internal/rank/naming/world_test.go
@@ -157,7 +157,7 @@
 		c.proposals++
 		c.leader.Propose(testMap(c.leader.Token<<20 + c.proposals))
 	}
-	for _, a := range c.leader.Step(s.now) {
+	for _, a := range c.leader.Tick(s.now) {
 		s.perform(i, a)
 	}
 }
--- a/internal/rank/planner.go
+++ b/internal/rank/planner.go
@@ -18,10 +18,10 @@
 	popularity *expertmap.PopularityEstimator
 }
 
-// step proposes the initial map to a group without a map, and starts a plan
+// tick proposes the initial map to a group without a map, and starts a plan
 // when one is due. No plan starts while a map change is pending or the members'
 // maps differ.
-func (p *planner) step(ctx context.Context, t *term, now time.Time) {
+func (p *planner) tick(ctx context.Context, t *term, now time.Time) {
 	r := p.runner
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/rank/term.go
+++ b/internal/rank/term.go
@@ -83,7 +83,7 @@
 	ticker := time.NewTicker(max(r.ResendInterval/4, time.Millisecond))
 	defer ticker.Stop()
 	for ctx.Err() == nil && !t.ended(time.Now()) {
-		t.step(ctx, time.Now())
+		t.tick(ctx, time.Now())
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
@@ -106,19 +106,19 @@
 	r := t.runner
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return t.leader.Deposed() || now.After(t.leaseUntil) && t.leader.NoActivation()
+	return t.leader.Deposed() || now.After(t.leaseUntil) && t.leader.NoActivationInProgress()
 }
 
-func (t *term) step(ctx context.Context, now time.Time) {
+func (t *term) tick(ctx context.Context, now time.Time) {
 	r := t.runner
 	r.mu.Lock()
 	for _, m := range r.member.RequiredMaps() {
 		t.leader.AddKnownMap(m)
 	}
 	r.mu.Unlock()
-	t.planner.step(ctx, t, now)
+	t.planner.tick(ctx, t, now)
 	r.mu.Lock()
-	actions := t.leader.Step(now)
+	actions := t.leader.Tick(now)
 	renew := !t.renewing && now.After(t.renewAt) && now.Before(t.leaseUntil)
 	t.renewing = t.renewing || renew
 	r.mu.Unlock()
--- a/internal/ranker/orders.go
+++ b/internal/ranker/orders.go
@@ -21,7 +21,7 @@
 const prepareTimeout = 600 * time.Millisecond
 
 // giveAndContinue delivers orders to their ranks, then those that next returns, as
-// long as every order is answered as carried out, which is the outcome NoChange. The
+// long as every order is answered as carried out, which is the outcome Done. The
 // ranks' states are then known without another poll, and a held step is released some
 // milliseconds sooner.
 func (t *term) giveAndContinue(
@@ -31,7 +31,7 @@
 	for range maxFollowUps {
 		outcomes := t.giveAll(ctx, orders, byRank)
 		for i, ao := range orders {
-			if outcomes[i] != lockstep.NoChange || !lockstep.Apply(&ranks[ao.Rank], ao.Order) {
+			if outcomes[i] != lockstep.Done || !lockstep.Apply(&ranks[ao.Rank], ao.Order) {
 				return
 			}
 		}
--- a/internal/standin/ranks/engine.go
+++ b/internal/standin/ranks/engine.go
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// Allow implements rank.Engine.
-func (e *Engine) Allow(_ context.Context, step, _ uint64) error {
+// SetStepLimit implements rank.Engine.
+func (e *Engine) SetStepLimit(_ context.Context, step, _ uint64) error {
 	if err := e.enter(); err != nil {
 		return err
 	}
--- a/internal/standin/ranks/http.go
+++ b/internal/standin/ranks/http.go
@@ -73,7 +73,7 @@
 	if !standin.ReadJSON(w, r, &o) {
 		return
 	}
-	answer(w, e.Allow(r.Context(), o.Step, 0))
+	answer(w, e.SetStepLimit(r.Context(), o.Step, 0))
 }
 
 func (e *Engine) serveState(w http.ResponseWriter, r *http.Request) {
