--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -103,7 +103,7 @@
 // restarted notes a sign that the endpoint lost its warmth.
 func (a *Agent) restarted(c allowance.ColdStartCause, now time.Time) {
 	was := a.allowance.State().Cold()
-	a.allowance.StartColdStart(c)
+	a.allowance.ResetToCold(c)
 	if !was {
 		a.Log.WithField("cause", c.String()).Warn("endpoint is cold")
 	}
--- a/internal/endpoint/allowance/allowance.go
+++ b/internal/endpoint/allowance/allowance.go
@@ -238,12 +238,12 @@
 	}
 }
 
-// StartColdStart resets the limit to the cold one.
+// ResetToCold resets the limit to the cold one.
 //
 // A warm endpoint that turns cold under full load crashes if the load continues.
 // The reset is therefore immediate and complete: a wrong one costs capacity until
 // some dozens of requests have completed, a missing one costs the endpoint.
-func (a *Allowance) StartColdStart(cause ColdStartCause) {
+func (a *Allowance) ResetToCold(cause ColdStartCause) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.resetToColdLocked(cause)
--- a/internal/endpoint/allowance/allowance_test.go
+++ b/internal/endpoint/allowance/allowance_test.go
@@ -89,8 +89,8 @@
 		cause   ColdStartCause
 		trigger func(a *Allowance)
 	}{
-		{Announced, func(a *Allowance) { a.StartColdStart(Announced) }},
-		{ConnectionLost, func(a *Allowance) { a.StartColdStart(ConnectionLost) }},
+		{Announced, func(a *Allowance) { a.ResetToCold(Announced) }},
+		{ConnectionLost, func(a *Allowance) { a.ResetToCold(ConnectionLost) }},
 		{NewIncarnation, func(a *Allowance) { a.SetIncarnation("1"); a.SetIncarnation("2") }},
 		{SlowFirstTokens, func(a *Allowance) {
 			for range slowRunLength {
@@ -171,7 +171,7 @@
 		}
 		tickets = append(tickets, ticket)
 	}
-	a.StartColdStart(ConnectionLost)
+	a.ResetToCold(ConnectionLost)
 	for i, ticket := range tickets {
 		_, err := a.Admit(start)
 		if refused, want := err != nil, i < 7; refused != want {
@@ -193,7 +193,7 @@
 		ticket, _ := a.Admit(start)
 		tickets = append(tickets, ticket)
 	}
-	a.StartColdStart(ConnectionLost)
+	a.ResetToCold(ConnectionLost)
 	for n, ticket := range tickets[:2] {
 		if _, err := a.Revalidate(ticket, start); result.CodeOf(err) != result.EndpointCold || err.RetryAfter() == 0 {
 			t.Fatalf("with %d tickets held: got error %v, want endpointCold with a retry delay", 4-n, err)
@@ -337,7 +337,7 @@
 		return admitBoth(t, a, ref, running, now)
 	case "restart":
 		if rapid.IntRange(0, 9).Draw(t, "rare") == 0 {
-			a.StartColdStart(ConnectionLost)
+			a.ResetToCold(ConnectionLost)
 			ref.startCold()
 		}
 		return running
--- a/internal/endpoint/placement/affinity.go
+++ b/internal/endpoint/placement/affinity.go
@@ -95,7 +95,7 @@
 		}
 		previous = e
 		candidates++
-		if b.state(e, rt, now) != eligible || alreadyTried(q, e) || e.slowdown(rt, now) >= slowThreshold {
+		if b.state(e, rt, now) != eligible || isExcluded(q, e) || e.slowdown(rt, now) >= slowThreshold {
 			continue
 		}
 		if b.loadScore(e, rt, q, now) <= maxScore {
--- a/internal/endpoint/placement/choose.go
+++ b/internal/endpoint/placement/choose.go
@@ -121,7 +121,7 @@
 	n := uint64(len(rt.endpoints))
 	for range b.Samples {
 		e := rt.endpoints[b.nextRandom()%n]
-		if b.state(e, rt, now) != eligible || alreadyTried(q, e) {
+		if b.state(e, rt, now) != eligible || isExcluded(q, e) {
 			continue
 		}
 		if b.probeDue(e, rt, q, now) {
@@ -153,7 +153,7 @@
 func (b *Balancer) scan(rt *route, q *Query, now time.Time) (lowest *endpoint, why int) {
 	lowestScore := math.Inf(1)
 	for _, e := range rt.endpoints {
-		if alreadyTried(q, e) {
+		if isExcluded(q, e) {
 			continue
 		}
 		st := b.state(e, rt, now)
@@ -168,7 +168,7 @@
 	return lowest, why
 }
 
-// alreadyTried reports whether an earlier attempt of the request used e.
-func alreadyTried(q *Query, e *endpoint) bool {
-	return len(q.Tried) > 0 && slices.Contains(q.Tried, e.name)
+// isExcluded reports whether q excludes e.
+func isExcluded(q *Query, e *endpoint) bool {
+	return len(q.Excluded) > 0 && slices.Contains(q.Excluded, e.name)
 }
--- a/internal/endpoint/placement/placement_test.go
+++ b/internal/endpoint/placement/placement_test.go
@@ -83,7 +83,7 @@
 		})
 	}
 	b := newBalancer(2, now)
-	assertNoChoice(t, b, Query{Route: "model", Tried: []string{name(0), name(1)}}, now, result.NoEndpoint)
+	assertNoChoice(t, b, Query{Route: "model", Excluded: []string{name(0), name(1)}}, now, result.NoEndpoint)
 	b.SetOutOfService([]string{name(0)}, []string{"dc1"}, now)
 	assertNoChoice(t, b, query, now, result.OutOfService)
 	b.Update(idleReport(1, now.Add(time.Second)), now.Add(time.Second))
@@ -337,10 +337,10 @@
 
 // referenceAllows reports whether an endpoint may be selected at all, judged
 // only by its last report, the set of endpoints and data centres that are
-// configured as out of service, and the earlier attempts of the request.
+// configured as out of service, and the endpoints that the query excludes.
 func referenceAllows(r Report, out map[string]bool, q Query) bool {
-	for _, tried := range q.Tried {
-		if tried == r.Endpoint {
+	for _, excluded := range q.Excluded {
+		if excluded == r.Endpoint {
 			return false
 		}
 	}
@@ -348,8 +348,7 @@
 }
 
 // For any sequence of reports, changes of the configuration and attempts, no
-// attempt may be placed on an endpoint that is draining, out of service or
-// already tried.
+// attempt may be placed on an endpoint that is draining, out of service or excluded.
 func TestEachChoiceIsAllowed(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 1))
 	b := &Balancer{DataCentre: "dc0"}
@@ -384,13 +383,13 @@
 			}[rng.IntN(3)]()
 			open = append(open[:i], open[i+1:]...)
 		default:
-			q := Query{Route: "model", Prefix: uint64(rng.IntN(3)), Tried: []string{name(rng.IntN(12))}}
+			q := Query{Route: "model", Prefix: uint64(rng.IntN(3)), Excluded: []string{name(rng.IntN(12))}}
 			c, ok, _ := b.Choose(q, now)
 			if !ok {
 				continue
 			}
 			if !referenceAllows(last[c.Endpoint], out, q) {
-				t.Fatalf("chose %v, last report %+v, out %v, tried %v", c, last[c.Endpoint], out, q.Tried)
+				t.Fatalf("chose %v, last report %+v, out %v, excluded %v", c, last[c.Endpoint], out, q.Excluded)
 			}
 			open = append(open, b.Start(c, q, now))
 		}
--- a/internal/endpoint/placement/report.go
+++ b/internal/endpoint/placement/report.go
@@ -39,8 +39,9 @@
 	Tokens int
 	// Prefix identifies the prefix of the prompt; zero means that none is known.
 	Prefix uint64
-	// Tried names the endpoints that earlier attempts of the request used.
-	Tried []string
+	// Excluded names the endpoints that must not be selected, for example because
+	// an earlier attempt of the request used them.
+	Excluded []string
 	// RunOnce means that the request must not run twice. It is never used as a
 	// probe of a slow endpoint.
 	RunOnce bool
--- a/internal/endpoint/placement/speed_test.go
+++ b/internal/endpoint/placement/speed_test.go
@@ -8,7 +8,7 @@
 
 func TestChooseDoesNotAllocate(t *testing.T) {
 	balancer := newBalancer(630, epoch)
-	q := Query{Route: "model", Tokens: 500, Tried: []string{name(5)}}
+	q := Query{Route: "model", Tokens: 500, Excluded: []string{name(5)}}
 	for _, q.Prefix = range []uint64{0, 7} {
 		if n := testing.AllocsPerRun(100, func() { balancer.Choose(q, epoch) }); n != 0 {
 			t.Errorf("Choose made %v allocations, want 0", n)
--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -143,7 +143,7 @@
 	if j.attempt == nil {
 		return
 	}
-	j.query.Tried = append(j.query.Tried, j.choice.Endpoint)
+	j.query.Excluded = append(j.query.Excluded, j.choice.Endpoint)
 	if refused {
 		s.balancer.Refuse(j.attempt, retryAfter, now)
 	} else {
@@ -219,9 +219,9 @@
 // that it has tried is better than no answer.
 func (s *scheduler) choose(j *job, now time.Time) (placement.Choice, bool) {
 	c, ok, why := s.balancer.Choose(j.query, now)
-	if !ok && len(j.query.Tried) > 0 {
+	if !ok && len(j.query.Excluded) > 0 {
 		q := j.query
-		q.Tried = nil
+		q.Excluded = nil
 		c, ok, why = s.balancer.Choose(q, now)
 	}
 	j.why = why
--- a/internal/measure/ours.go
+++ b/internal/measure/ours.go
@@ -104,7 +104,7 @@
 			return true
 		}
 		o.balancer.Refuse(a, 0, now)
-		q.Tried = append(q.Tried, c.Endpoint)
+		q.Excluded = append(q.Excluded, c.Endpoint)
 	}
 	return false
 }
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -162,7 +162,7 @@
 // recordArrival counts new requests that can meet their target. Retries and late requests are left
 // out.
 func (st *State) recordArrival(w *waiter, now time.Time) {
-	if w.req.AskedBefore || len(w.req.Query.Tried) > 0 || w.late {
+	if w.req.AskedBefore || len(w.req.Query.Excluded) > 0 || w.late {
 		return
 	}
 	name := w.req.Service.Name
--- a/internal/relay/asking.go
+++ b/internal/relay/asking.go
@@ -11,9 +11,9 @@
 // query returns the placement query for the next attempt.
 func (j *job) query() placement.Query {
 	return placement.Query{
-		Tokens:  j.requestInfo.PromptTokens + j.requestInfo.OutputTokens,
-		Tried:   j.tried,
-		RunOnce: !j.route.MayRetry(),
+		Tokens:   j.requestInfo.PromptTokens + j.requestInfo.OutputTokens,
+		Excluded: j.tried,
+		RunOnce:  !j.route.MayRetry(),
 	}
 }
 
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -201,7 +201,7 @@
 			continue
 		}
 		out.excluded = true
-		q.Tried = append(q.Tried, id)
+		q.Excluded = append(q.Excluded, id)
 		if w := st.limitShares.Wait(id, rate, n, now); included && (out.wait == 0 || w < out.wait) {
 			out.wait = w
 		}
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -32,7 +32,7 @@
 		}
 		ctx, cancel := context.WithCancelCause(t.Context())
 		r := &movableAttempt{
-			service: g.service, query: placement.Query{Tried: []string{assigned.Endpoint.ID}}, assigned: assigned,
+			service: g.service, query: placement.Query{Excluded: []string{assigned.Endpoint.ID}}, assigned: assigned,
 			deadline: start.Add(8 * time.Second), cancel: cancel,
 		}
 		g.st.registerMovable(r)
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -40,11 +40,11 @@
 // choose is Choose with mu held, without refreshing the state first.
 func (st *State) choose(service *routing.Service, q placement.Query, now time.Time) (Assignment, *result.Error) {
 	state, closed := st.groupState(service, now)
-	if closed && !st.mayProbe(service, state, len(q.Tried) > 0, now) {
+	if closed && !st.mayProbe(service, state, len(q.Excluded) > 0, now) {
 		return Assignment{}, st.refusal(service.Name, result.GroupClosed, now)
 	}
 	q.Route = service.Name
-	q.Tried = slices.Concat(q.Tried, state.closedEngines)
+	q.Excluded = slices.Concat(q.Excluded, state.closedEngines)
 	st.excludeBeyondQuota(service, &q, now)
 	wait := st.excludeCold(service, &q, now)
 	limited := st.excludeLimited(service, &q, now)
@@ -105,7 +105,7 @@
 		if st.coldShares.Ready(id, service.ColdRate, n, now) {
 			continue
 		}
-		q.Tried = append(q.Tried, id)
+		q.Excluded = append(q.Excluded, id)
 		if w := st.coldShares.Wait(id, service.ColdRate, n, now); minWait == 0 || w < minWait {
 			minWait = w
 		}
--- a/internal/relay/quota.go
+++ b/internal/relay/quota.go
@@ -69,7 +69,7 @@
 		running, _ := st.running(ep, now)
 		taken := len(st.recentStarts.recent(id, now))
 		if taken >= quota(allowance-running+taken, i, len(others), now) {
-			q.Tried = append(q.Tried, id)
+			q.Excluded = append(q.Excluded, id)
 		}
 	}
 }
