--- a/internal/caller/admission/doc.go
+++ b/internal/caller/admission/doc.go
@@ -1,11 +1,11 @@
 // Package admission decides which requests an entry starts, queues or refuses.
 //
-// A Controller keeps the limits of each account, a bounded queue for each route
-// and the measured drain rate of that route. It opens no sockets, starts no
-// goroutines and reads no clock: each method that decides takes the present
-// time as an argument, and a Placer assigns free slots at endpoints. A
-// Controller is not safe for concurrent use; its owner holds a lock around each
-// call.
+// A Controller keeps the limits of each account, and a queue and the measured
+// drain rate of each route; one bound applies to the total length of all queues.
+// It opens no sockets, starts no goroutines and reads no clock: each method that
+// decides takes the present time as an argument, and a Placer assigns free slots
+// at endpoints. A Controller is not safe for concurrent use; its owner holds a
+// lock around each call.
 //
 // Units: worth is in a unit chosen by the operators, work is in seconds of
 // expected running time, and rates are in requests per second. Value density is
--- a/internal/caller/admission/holder.go
+++ b/internal/caller/admission/holder.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// ReportInterval returns the interval between reports to each lender. The
-// caller should also report at once when an account without a usable share
-// comes into demand.
+// ReportInterval returns the interval between reports to each lender. An
+// account without a usable share that comes into demand should be reported at
+// once.
 func (h *ShareHolder) ReportInterval() time.Duration {
 	if h.DepositTTL <= 0 {
 		return DefaultDepositTTL / reportsPerTTL
@@ -104,7 +104,7 @@
 }
 
 // Demand records what the account needs at this entry: requests per second and
-// concurrently open requests. The caller passes the peaks of the last seconds.
+// concurrently open requests. Both should be the peaks of the last seconds.
 func (h *ShareHolder) Demand(name string, rate float64, open int) {
 	a := h.accounts[name]
 	if a == nil {
@@ -239,8 +239,8 @@
 	entitled := entitlement(h.Entries)
 	d := ShareDemand{Account: name, Quantum: a.quantum(), Want: max(0, a.want-entitled)}
 	if d.Want > 0 && a.reserve(entitled) == 0 {
-		// Fractions of a concurrency slot cannot be combined with a loan:
-		// deposit all of them and borrow whole slots.
+		// An entitlement below one quantum adds nothing useful to a loan of
+		// whole quanta: deposit all of it and borrow the whole demand.
 		d.Want = a.want
 	}
 	if echo.Incarnation == 0 || now.Sub(h.startedAt) < h.DepositTTL {
--- a/internal/caller/admission/lender.go
+++ b/internal/caller/admission/lender.go
@@ -201,7 +201,8 @@
 
 // proportionalShare divides scarce deposits in proportion to demand. Less than
 // a quantum is of no use to any holder; if the share is smaller, whole quanta
-// go to the holders that have waited longest.
+// go to the holders that have waited longest. If less than a quantum is free, it
+// returns the share, but at most free.
 func (l *ShareLender) proportionalShare(shares accountShares, holder string, deposited, wanted, free int64, now time.Time) int64 {
 	s := shares[holder]
 	units := int64(float64(deposited) * float64(s.want) / float64(wanted))
--- a/internal/caller/admission/limits.go
+++ b/internal/caller/admission/limits.go
@@ -17,8 +17,8 @@
 type Limits struct {
 	Account string
 	// Rate is in requests per second, and Burst is the maximum number of
-	// requests at once. A Rate of zero means no limit. A Burst below 1 means
-	// the requests of one second at Rate, but at least 1.
+	// requests that may arrive at once. A Rate of zero means no limit. A Burst
+	// below 1 means the requests of one second at Rate, but at least 1.
 	Rate  float64
 	Burst float64
 	// Concurrency is the maximum number of open requests, including waiting
@@ -66,8 +66,10 @@
 	waiting int
 	// protected is the number of waiting requests that may not be displaced.
 	protected int
-	removed   bool
-	refusals  refusalTracker
+	// removed reports that the limits in force no longer list the account; its
+	// open requests may still end.
+	removed  bool
+	refusals refusalTracker
 }
 
 // applyLimits puts new limits into force and leaves open requests open. The
--- a/internal/caller/admission/queue.go
+++ b/internal/caller/admission/queue.go
@@ -90,9 +90,9 @@
 // from displacement. This guards against one account that floods the queue with
 // work of high worth: the accounts with waiting requests on the route divide
 // FairFraction of MaxWaiting by weight, and each may have as many protected
-// requests as its part, but at least one. Fair share thus always finds requests
-// of the other accounts. A request is protected only while less than half of
-// MaxWaiting is.
+// requests as its part of that, but at least one. Fair share thus always finds
+// requests of the other accounts. It reports false while half of MaxWaiting
+// requests, over all accounts, are protected.
 func (c *Controller) mayProtect(a *account, r *route) bool {
 	weight := r.activeWeight
 	if a.waiting == 0 {
--- a/internal/caller/admission/request.go
+++ b/internal/caller/admission/request.go
@@ -24,7 +24,8 @@
 	// arrival time plus Controller.DefaultDeadline.
 	Deadline time.Time
 	// ExpectedRunTime is the estimated running time at an endpoint. Zero or
-	// less means the mean running time of the route.
+	// less means the mean running time of the route, or
+	// Controller.DefaultRunTime if none has been measured.
 	ExpectedRunTime time.Duration
 	// RunOnce marks a request that must not be run more than once. The
 	// Controller does not use it and passes it to the Placer.
@@ -48,7 +49,7 @@
 
 // Wait means that the request is in the queue. Each waiting request later
 // appears exactly once, either in the result of Next or in a Displaced list,
-// unless it is cancelled.
+// unless Done or Cancel removes it first.
 type Wait struct {
 	// Expected is the estimated time until the request starts.
 	Expected time.Duration
--- a/internal/caller/admission/retry.go
+++ b/internal/caller/admission/retry.go
@@ -64,7 +64,7 @@
 }
 
 // TrySpend spends one retry if the budget allows it, and reports whether it
-// did. If not, the caller answers the request with result.RetryBudget.
+// did. If not, the request must be answered with result.RetryBudget.
 func (b *RetryBudget) TrySpend(now time.Time) bool {
 	if !b.CanRetry(now) {
 		return false
--- a/internal/caller/admission/route.go
+++ b/internal/caller/admission/route.go
@@ -254,7 +254,7 @@
 // charge to the account, so that accounts gain nothing from estimates that are
 // too low.
 func (r *route) correctCharge(it *item, actual float64) {
-	const maxRatio = 4 // bounds the charge for a stalled endpoint, which the account does not cause
+	const maxRatio = 4 // bounds the charge if an endpoint stalls, which is not the account's fault
 	f := it.flow
 	f.virtualTime += (math.Min(actual, maxRatio*it.work) - it.work) / f.account.limits.Weight
 	if f.queue.Len() > 0 {
--- a/internal/caller/admission/share_test.go
+++ b/internal/caller/admission/share_test.go
@@ -146,9 +146,9 @@
 // second.
 func TestLostReplyKeepsOlderLoanCounted(t *testing.T) {
 	l := &ShareLender{Incarnation: 1}
-	report := func(holder string, number uint64, deposit, want int64, at time.Duration) int64 {
+	report := func(holder string, sequence uint64, deposit, want int64, at time.Duration) int64 {
 		reply, _ := l.Report(ShareReport{
-			Holder: holder, Sequence: number, Echo: ShareStamp{Incarnation: 1, At: int64(at)},
+			Holder: holder, Sequence: sequence, Echo: ShareStamp{Incarnation: 1, At: int64(at)},
 			Accounts: []ShareDemand{{Account: "a", Deposit: deposit, Want: want, Quantum: 1}},
 		}, epoch.Add(at))
 		if len(reply.Grants) == 0 {
