--- a/internal/frontend/follow_test.go
+++ b/internal/frontend/follow_test.go
@@ -112,6 +112,7 @@
 	reader := (&readers.SourceSelector{Self: "entry0"}).Source(names(entries[0].members.all()), boottime.Now())
 	remaining := make([]*entry, 0, len(entries))
 	for i, e := range entries {
+		// An empty reader means that entry0 polls the store itself.
 		if name := fmt.Sprint("entry", i); name == reader || reader == "" && i == 0 {
 			e.stop()
 			continue
--- a/internal/frontend/leave.go
+++ b/internal/frontend/leave.go
@@ -6,7 +6,7 @@
 	// drainAcceptTime is how long a draining entry still accepts requests as usual: the
 	// platform's balancer checks readiness once per second and sends new connections
 	// until two consecutive checks fail. When most entries of a data centre drain at
-	// once, it keeps sending; a stream that began after this time would outlast the
+	// once, the balancer keeps sending; a stream that began after this time would outlast the
 	// time until the process is killed, whereas another entry serves its caller
 	// immediately.
 	drainAcceptTime = 2800 * time.Millisecond
--- a/internal/frontend/limits_test.go
+++ b/internal/frontend/limits_test.go
@@ -41,7 +41,7 @@
 // A thousand endpoints report limits to one entry within a second. Guards against
 // messages to the other entries that grow with the number of endpoints.
 func TestSizeOfManyLimitsIsBounded(t *testing.T) {
-	const endpoints, mostBytes = 1000, 16 * 48
+	const endpoints, maxBytes = 1000, 16 * 48
 	now := boottime.Now()
 	f := &Frontend{state: &relay.State{Name: "entry0"}}
 	f.state.Init(now)
@@ -50,8 +50,8 @@
 		f.state.RecordLimit(relay.Assignment{Endpoint: ep}, 1.25, now.Add(time.Duration(i)*time.Millisecond))
 	}
 	limits := f.ownLimits(now.Add(time.Second))
-	if n := proto.Size(&fleetpb.EntryWork{Limits: limits}); n > mostBytes || len(limits) == 0 {
-		t.Errorf("%d limits take %d bytes, want at most %d", len(limits), n, mostBytes)
+	if n := proto.Size(&fleetpb.EntryWork{Limits: limits}); n > maxBytes || len(limits) == 0 {
+		t.Errorf("%d limits take %d bytes, want at most %d", len(limits), n, maxBytes)
 	}
 	if first := limits[0].GetEndpoint(); first != fmt.Sprintf("i-%010x", (endpoints-1)*7919) {
 		t.Errorf("the newest limit is missing, the first is %s", first)
--- a/internal/frontend/streams_test.go
+++ b/internal/frontend/streams_test.go
@@ -49,7 +49,7 @@
 }
 
 // One of two engines becomes twelve times slower in the middle of a stream, and
-// delays its whole group for as long as it writes. The stream must continue at the
+// delays its whole group for as long as it generates output. The stream must continue at the
 // other engine, and its caller must receive each event once, without a second start
 // of the stream.
 func TestStreamIsMovedOffASlowEngine(t *testing.T) {
--- a/internal/frontend/work_test.go
+++ b/internal/frontend/work_test.go
@@ -94,7 +94,7 @@
 	f.apply(mirror.Update{Complete: true, KVs: []kv.KeyValue{key("a"), key("b"), key("c")}})
 	f.apply(mirror.Update{Complete: true, KVs: []kv.KeyValue{key("b")}})
 	if _, ok := f.members.all()["c"]; ok || f.members.count() != 1 {
-		t.Errorf("the known entries are %v", f.members.all())
+		t.Errorf("the known entries are %v, want only b", f.members.all())
 	}
 	select {
 	case <-f.leaseSuspect.Raised():
