--- a/internal/rank/naming/fakes_test.go
+++ b/internal/rank/naming/fakes_test.go
@@ -29,7 +29,7 @@
 
 // dropOldest removes the oldest map that the next step does not use, if more
 // than maxStaged are staged. It never removes the one staged last, and none
-// while an entry is scheduled for a later step.
+// while the schedule has an entry whose first step has not begun.
 func (e *fakeEngine) dropOldest() {
 	const maxStaged = 3
 	for i := 0; len(e.Staged) > maxStaged && i < len(e.Staged)-1; i++ {
--- a/internal/rank/naming/leader.go
+++ b/internal/rank/naming/leader.go
@@ -51,9 +51,9 @@
 
 	proposed  *expertmap.Map
 	knownMaps []*expertmap.Map
-	// current is the activation that this leader is carrying out, begun at
-	// startedAt. abandoned is the last one that it abandoned before it knew of
-	// a commit, so that no member was released.
+	// current is the activation that this leader started, at startedAt, and is
+	// carrying out. abandoned is the last one that it abandoned before it knew
+	// of a commit, so that no member was released.
 	current, abandoned Activation
 	startedAt          time.Time
 	// failedAttempts counts the activations abandoned since all members last
@@ -118,8 +118,8 @@
 // requests no further actions.
 func (l *Leader) Deposed() bool { return l.deposed }
 
-// Idle reports whether the leader has no activation in progress and no proposed
-// map.
+// Idle reports whether the leader has no activation of its own in progress and
+// no proposed map.
 func (l *Leader) Idle() bool { return l.proposed == nil && l.current == Activation{} }
 
 // HandleState processes a member's reply. It ignores members outside the group
@@ -282,8 +282,9 @@
 	return view
 }
 
-// NoActivationInProgress reports whether the leader has no activation in
-// progress. A proposed map does not count.
+// NoActivationInProgress reports whether the leader has no activation of its
+// own in progress. A proposed map does not count, and neither does another
+// leader's activation that members still hold.
 func (l *Leader) NoActivationInProgress() bool { return l.current == Activation{} }
 
 // CurrentMap returns the newest map in the schedules of all members. It returns
@@ -298,8 +299,9 @@
 	return r, same
 }
 
-// AllMapsLost reports whether all members have lost their maps, so that the
-// caller has to propose one.
+// AllMapsLost reports whether all members have lost their maps, so that one has
+// to be proposed. It returns false if the leader is deposed, not ready yet or
+// not idle.
 func (l *Leader) AllMapsLost() bool {
 	return !l.deposed && l.ready() && l.Idle() && l.allMembers(func(s State) bool { return !s.Joined && s.NoPeerJoined })
 }
--- a/internal/rank/naming/member.go
+++ b/internal/rank/naming/member.go
@@ -262,9 +262,9 @@
 // which a leader may have to stage again.
 func (m *Member) RequiredMaps() []*expertmap.Map {
 	var out []*expertmap.Map
-	for _, e := range m.maps {
-		if m.requires(RefOf(e)) {
-			out = append(out, e)
+	for _, em := range m.maps {
+		if m.requires(RefOf(em)) {
+			out = append(out, em)
 		}
 	}
 	return out
--- a/internal/rank/naming/message.go
+++ b/internal/rank/naming/message.go
@@ -58,7 +58,7 @@
 	Member      int
 	Incarnation uint64
 	// Sequence increases with each state of an incarnation, so that a delayed
-	// state is recognised.
+	// state is recognized.
 	Sequence uint64
 	// MaxToken is the highest fencing token that the member has seen.
 	MaxToken uint64
--- a/internal/rank/naming/rig_test.go
+++ b/internal/rank/naming/rig_test.go
@@ -22,7 +22,8 @@
 	return g
 }
 
-// runMembers advances members and ranks by some ticks, without leaders.
+// runMembers advances members and ranks by the given number of ticks, without
+// leaders.
 func (g *testGroup) runMembers(ticks int) {
 	for range ticks {
 		for i, m := range g.members {
@@ -47,9 +48,9 @@
 	return l
 }
 
-// runLeader advances a leader, the members and the ranks by some ticks. Orders
-// for which holdBack returns true are kept in heldBack. Writes of the record
-// are passed to write.
+// runLeader advances a leader, the members and the ranks by the given number of
+// ticks. Orders for which holdBack returns true are kept in heldBack. Writes of
+// the record are passed to write.
 func (g *testGroup) runLeader(l *Leader, ticks int, holdBack func(Send) bool, write func(WriteRecord) WriteOutcome) {
 	for range ticks {
 		g.now = g.now.Add(tick)
--- a/internal/rank/naming/tick.go
+++ b/internal/rank/naming/tick.go
@@ -30,8 +30,8 @@
 }
 
 // stageOrders gives the engine the maps in use, that of the pending activation
-// and the most recent one. The engine may have dropped others, and would load
-// their weights needlessly.
+// and the most recent one. It leaves out the others: the engine may have dropped
+// them and would needlessly load their weights again.
 func (m *Member) stageOrders() []EngineOrder {
 	var orders []EngineOrder
 	for i, em := range m.maps {
@@ -75,10 +75,10 @@
 // activateOrders gives the engine the entries in use that it lacks, one at a
 // time and the newest first.
 //
-// Restarted ranks may receive an old entry together with a step limit that was
-// set before, and would begin a step of the newer entry with the old map. With
-// the newest entry first, earlier steps have no map, and the ranks wait until
-// they receive the older entry.
+// If the older entry came first, restarted ranks that also receive a step limit
+// set before could begin a step of the newer entry with the old map. With the
+// newest entry first, earlier steps have no map, and the ranks wait until they
+// receive the older entry.
 //
 // The ranks restart at the oldest entry if it begins after their next step.
 // This happens only if all members have lost their maps at the same time.
@@ -100,8 +100,8 @@
 //
 // Ranks begin a step every 10 to 20 ms. If the limit is too close, the group
 // stops between two ticks; if it is too far, a new map is delayed by as many
-// steps. The limit is raised once half of it is used, so that an order is sent
-// every Lookahead/2 steps and not on each tick.
+// steps. The limit is raised once it is at most Lookahead/2 steps ahead, so that
+// an order is sent every Lookahead/2 steps and not on each tick.
 func (m *Member) stepLimitOrders() []EngineOrder {
 	limit := m.engine.LastStep + m.Lookahead
 	if m.pending != (Activation{}) {
