--- a/internal/rank/evenmap/jumptable/run.go
+++ b/internal/rank/evenmap/jumptable/run.go
@@ -189,8 +189,8 @@
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(perReplica(b), perReplica(a)) })
 	ranks, loads := make([][]int, s.Ranks), make([]float64, s.Ranks)
-	// The first round places one replica of each expert, so that each has a
-	// place.
+	// The first round places one replica of each expert, so that further
+	// replicas do not take the slot of an expert that has none.
 	for round := range 2 {
 		for _, e := range order {
 			n := 1
--- a/internal/rank/evenmap/jumptable/table.go
+++ b/internal/rank/evenmap/jumptable/table.go
@@ -22,7 +22,7 @@
 	// rounds after each change. A round samples counts and computes a
 	// placement.
 	Jumps, PlansPerJump int
-	// Seed initialises the random number generator.
+	// Seed initializes the random number generator.
 	Seed uint64
 }
 
--- a/internal/rank/evenmap/plan.go
+++ b/internal/rank/evenmap/plan.go
@@ -7,7 +7,7 @@
 const (
 	// normExponent is the exponent of the norm over the loads of ranks. The
 	// largest load determines how long a step lasts, but a search that
-	// minimises it alone stops where two ranks are equally loaded. A high
+	// minimizes it alone stops where two ranks are equally loaded. A high
 	// exponent approximates the maximum and still responds to the second
 	// largest load.
 	normExponent = 12
@@ -134,7 +134,7 @@
 }
 
 // score returns the gain per copy, by which changes are compared. The gain of a
-// change without copies counts ten times.
+// change without copies counts ten times, so that such changes are preferred.
 func (c change) score() float64 {
 	if c.cost == 0 {
 		return c.gain * 10
--- a/internal/rank/evenmap/plan_test.go
+++ b/internal/rank/evenmap/plan_test.go
@@ -33,8 +33,8 @@
 }
 
 // popularity draws loads from a power law of exponent 0.9 over all experts. The
-// largest are many times the mean, as with exponent 1.3 over some of the
-// experts.
+// largest are many times the mean, as in a power law of exponent 1.3 over some
+// of the experts.
 func popularity(rng *rand.Rand, experts int) []float64 {
 	load := make([]float64, experts)
 	for i, e := range rng.Perm(experts) {
