--- a/internal/rank/expertmap/example_test.go
+++ b/internal/rank/expertmap/example_test.go
@@ -8,7 +8,7 @@
 
 // One expert receives half of all tokens. With a single replica its rank has
 // twice the mean load, and all ranks wait for it in each step. Replicas on
-// other ranks level the load.
+// other ranks balance the load.
 func Example() {
 	shape := expertmap.Shape{Ranks: 4, Slots: 2, Experts: 4}
 	load := []float64{600, 200, 200, 200}
--- a/internal/rank/expertmap/layer.go
+++ b/internal/rank/expertmap/layer.go
@@ -18,7 +18,7 @@
 // slot holds the expert none.
 const none = -1
 
-// ErrInvalidShape is returned for impossible layer sizes and for numbers of
+// ErrInvalidShape is returned for impossible layer dimensions and for numbers of
 // layers or ranks that do not match.
 var ErrInvalidShape = eris.New("expertmap: invalid or mismatched shape")
 
--- a/internal/rank/expertmap/risk.go
+++ b/internal/rank/expertmap/risk.go
@@ -18,8 +18,8 @@
 	// Drift is the standard deviation of an expert's load, relative to the
 	// planned load, caused by changes in popularity after planning.
 	Drift float64
-	// Poisson says that loads are token counts, whose number in a step has
-	// Poisson variance.
+	// Poisson says that loads are in tokens per step, so that the count of a
+	// step has Poisson variance in addition.
 	Poisson bool
 }
 
--- a/internal/rank/expertmap/skewtable/table.go
+++ b/internal/rank/expertmap/skewtable/table.go
@@ -47,7 +47,8 @@
 type Case struct {
 	// Shape holds the dimensions of the layer.
 	Shape expertmap.Shape
-	// CorrelationTime is the correlation time of the popularity.
+	// CorrelationTime is the time in which the autocorrelation of an expert's
+	// log popularity decays to 1/e.
 	CorrelationTime time.Duration
 	// Interval is the time between two plans.
 	Interval time.Duration
--- a/internal/rank/expertmap/skewtable/table_test.go
+++ b/internal/rank/expertmap/skewtable/table_test.go
@@ -14,8 +14,9 @@
 
 // TestPlansKeepTheSkewLow checks the results in docs/design/expertmaps.md:
 // plans need few moves and have less skew than a static map in all cases, and
-// with up to 32 ranks and slow drift the skew itself is low. The other cases
-// run for a few intervals only, because a full run takes long.
+// with up to 32 ranks and a correlation time of at least an hour the skew itself
+// is low. The other cases run for a few intervals only, because a full run takes
+// long.
 func TestPlansKeepTheSkewLow(t *testing.T) {
 	var rows []skewtable.Row
 	for _, c := range skewtable.Cases() {
