--- a/internal/rank/expertmap/layer.go
+++ b/internal/rank/expertmap/layer.go
@@ -20,11 +20,11 @@
 
 // ErrInvalidShape is returned for impossible layer dimensions and for numbers of
 // layers or ranks that do not match.
-var ErrInvalidShape = eris.New("expertmap: invalid or mismatched shape")
+var ErrInvalidShape = eris.New("expertmap: the experts don't fit the ranks and slots")
 
 // ErrInvalidLayer is returned for slots that do not make a valid layer; see
 // NewLayer.
-var ErrInvalidLayer = eris.New("expertmap: invalid layer slots")
+var ErrInvalidLayer = eris.New("expertmap: the slots don't form a layer")
 
 // Shape holds the dimensions of a layer.
 type Shape struct {
@@ -39,7 +39,7 @@
 
 func (s Shape) check() error {
 	if s.Ranks < 1 || s.Slots < 1 || s.Experts < 1 || s.Experts > s.Ranks*s.Slots {
-		return eris.Wrapf(ErrInvalidShape, "%d ranks with %d slots each for %d experts", s.Ranks, s.Slots, s.Experts)
+		return eris.Wrapf(ErrInvalidShape, "%d ranks of %d slots, %d experts", s.Ranks, s.Slots, s.Experts)
 	}
 	return nil
 }
@@ -121,7 +121,7 @@
 	}
 	for e, sum := range sums {
 		if sum != ShareUnits {
-			return eris.Wrapf(ErrInvalidLayer, "shares of expert %d add up to %d", e, sum)
+			return eris.Wrapf(ErrInvalidLayer, "the shares of expert %d add up to %d", e, sum)
 		}
 	}
 	return nil
@@ -132,7 +132,7 @@
 	for i, s := range slots {
 		for _, other := range slots[:i] {
 			if s.Expert != none && s.Expert == other.Expert {
-				return eris.Wrapf(ErrInvalidLayer, "rank %d holds two replicas of expert %d", r, s.Expert)
+				return eris.Wrapf(ErrInvalidLayer, "rank %d holds expert %d twice", r, s.Expert)
 			}
 		}
 	}
--- a/internal/rank/expertmap/map.go
+++ b/internal/rank/expertmap/map.go
@@ -6,7 +6,7 @@
 )
 
 // ErrNoLayers is returned by NewMap if there are no layers.
-var ErrNoLayers = eris.New("expertmap: map has no layers")
+var ErrNoLayers = eris.New("expertmap: a map needs at least one layer")
 
 // Map is the immutable expert map of a model, with one Layer for each layer of
 // the model. An updated map is a new Map with a higher version.
@@ -26,7 +26,7 @@
 	h := xxhash.New()
 	for _, l := range layers {
 		if l.shape.Ranks != layers[0].shape.Ranks {
-			return nil, eris.Wrapf(ErrInvalidShape, "layers have %d and %d ranks", l.shape.Ranks, layers[0].shape.Ranks)
+			return nil, eris.Wrapf(ErrInvalidShape, "layers of %d and %d ranks", l.shape.Ranks, layers[0].shape.Ranks)
 		}
 		l.hash(h)
 	}
