--- a/internal/rank/lockstep/doc.go
+++ b/internal/rank/lockstep/doc.go
@@ -2,11 +2,12 @@
 // switch all ranks to a new expert map at the same step.
 //
 // The engines accept these orders: prepare (copy the experts that are new in a
-// map), arm (switch to the prepared map when a given step begins), disarm, hold
-// (no rank begins a given step until it is released) and release (let the held
-// step). Ranks do not compare maps, so the leader alone ensures that no step
-// begins with two of them: it holds a step in advance, arms every rank for that
-// step, and releases it only after it has observed every rank armed, or none.
+// map), arm (switch to the prepared map when a given step begins), disarm
+// (cancel an arm), hold (no rank begins a given step until it is released) and
+// release (the ranks may begin the held step). Ranks do not compare maps, so the
+// leader alone ensures that no step begins with two of them: it holds a step in
+// advance, arms every rank for that step, and releases it only after it has
+// observed every rank armed, or none.
 //
 // An order whose call got no reply may still be executed seconds later, after
 // newer orders. Each kind of delayed order is harmless for the following
--- a/internal/rank/lockstep/giveup.go
+++ b/internal/rank/lockstep/giveup.go
@@ -21,8 +21,9 @@
 }
 
 // mustAbort reports whether the change for which step h is held cannot be
-// completed. A change that another leader began is completed only if all ranks
-// are armed already, because this leader may not know the version.
+// completed. armed and same are the results of countArmed. A change that another
+// leader began is completed only if all ranks are armed already, because this
+// leader may not know the version.
 func (l *Leader) mustAbort(ranks []State, armed int, same bool, h heldStep, now time.Time) bool {
 	if !same || h.step != l.holdStep || now.Sub(l.heldSince) > armTimeout {
 		return true
@@ -71,8 +72,8 @@
 }
 
 // abortRank returns the order that disarms rank i or, if it is not armed, the
-// order to prepare the no-op version. It returns none while rank i is busy or
-// once it has prepared that version.
+// order to prepare the no-op version. For a rank that is not armed it returns
+// none while the rank is busy or once it has prepared that version.
 func (l *Leader) abortRank(ranks []State, i int) []AddressedOrder {
 	r := &ranks[i]
 	switch {
--- a/internal/rank/lockstep/lead.go
+++ b/internal/rank/lockstep/lead.go
@@ -20,8 +20,8 @@
 	leadOutliers = 2
 )
 
-// leadEstimator estimates how long before a step begins its hold has to be
-// ordered so that all ranks are armed when the step is due.
+// leadEstimator estimates the lead time of a hold: how long before the held step
+// is due the hold has to be ordered, so that all ranks are armed by then.
 //
 // Groups have 16 to 128 ranks and steps of 50 to 100 ms. Arming 16 ranks takes
 // some 20 ms and 72 ranks more than 100 ms. A group that reaches the held step
--- a/internal/rank/lockstep/leader.go
+++ b/internal/rank/lockstep/leader.go
@@ -60,8 +60,8 @@
 	// newestVersion is the largest version observed or used.
 	newestVersion uint64
 	epoch         uint64
-	// leadTime estimates how long before a step begins its hold has to be
-	// ordered.
+	// leadTime estimates how long before the held step is due its hold has to
+	// be ordered.
 	leadTime leadEstimator
 	// stepDuration is the estimated duration of a step.
 	stepDuration time.Duration
@@ -241,13 +241,13 @@
 }
 
 // fence returns the orders that present the leader's token to the ranks that
-// have not seen it: all of them, or those for which seen is true. A decision
-// requires an observation made after the last of these orders, so no other
-// order is sent along with them.
-func (l *Leader) fence(ranks []State, seen []bool) []AddressedOrder {
+// have not seen it, among all ranks if observed is nil, otherwise among those
+// for which it is true. A decision requires an observation made after the last
+// of these orders, so no other order is sent along with them.
+func (l *Leader) fence(ranks []State, observed []bool) []AddressedOrder {
 	var out []AddressedOrder
 	for i := range ranks {
-		if l.fencedAt[i].IsZero() && (seen == nil || seen[i]) {
+		if l.fencedAt[i].IsZero() && (observed == nil || observed[i]) {
 			out = append(out, newAddressedOrder(ranks, i, Fence{}))
 		}
 	}
--- a/internal/rank/lockstep/leader_test.go
+++ b/internal/rank/lockstep/leader_test.go
@@ -32,8 +32,8 @@
 
 // Guards against a group that stays held while its leader is frozen. The
 // leader's VM freezes just after the hold, and its engine cannot be reached;
-// all callers of the group would wait as long. The successor observes that
-// another rank is not armed and releases the step.
+// all callers of the group would wait until the VM is back. The successor
+// observes that another rank is not armed and releases the step.
 func TestSuccessorReleasesStepOfFrozenLeader(t *testing.T) {
 	for armed := range 4 {
 		w := newSimulation(t, 7, 4)
@@ -73,12 +73,12 @@
 	var delayedArm AddressedOrder
 	for delayedArm.Order == nil {
 		w.advance(true)
-		seen := w.observe()
+		obs := w.observe()
 		if d.l.InForce() == nil {
 			d.l.SetInForce(0, content(0))
 			d.l.Propose(content(1))
 		}
-		for _, ao := range d.l.NextOrders(seen.ranks, true, w.now) {
+		for _, ao := range d.l.NextOrders(obs.ranks, true, w.now) {
 			if _, arm := ao.Order.(Arm); arm && ao.Rank == d.l.OwnRank {
 				delayedArm = ao
 				d.l.RecordOutcome(ao, Unknown, w.now)
--- a/internal/rank/lockstep/observe.go
+++ b/internal/rank/lockstep/observe.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// reportsFollowFence reports whether the reports of all ranks, or of those for
-// which seen is true, describe them after they had seen the leader's token.
+// reportsFollowFence reports whether the reports describe the ranks after they
+// had seen the leader's token. It checks all ranks if observed is nil, otherwise
+// those for which it is true.
 //
 // It guards against stale reports. An engine queried from another VM reports
 // its state of some hundred milliseconds ago. During that time the previous
@@ -11,9 +12,9 @@
 // relied on the old report would release a step for which not all ranks are
 // armed alike. Once the report was made after the fence, only orders of this
 // leader can have changed the rank since.
-func (l *Leader) reportsFollowFence(ranks []State, seen []bool) bool {
+func (l *Leader) reportsFollowFence(ranks []State, observed []bool) bool {
 	for i, r := range ranks {
-		if (seen == nil || seen[i]) && !r.AsOf.After(l.fencedAt[i]) {
+		if (observed == nil || observed[i]) && !r.AsOf.After(l.fencedAt[i]) {
 			return false
 		}
 	}
@@ -63,7 +64,8 @@
 }
 
 // stepRiseDivisor slows the rise of the estimated step duration: after a step
-// that lasted longer, the estimate rises by the difference divided by it.
+// that lasted longer, the estimate rises by the difference divided by
+// stepRiseDivisor.
 const stepRiseDivisor = 8
 
 // updateStepDuration measures the duration of steps that were not held. The
--- a/internal/rank/lockstep/state.go
+++ b/internal/rank/lockstep/state.go
@@ -109,10 +109,11 @@
 const (
 	// Unknown means that no reply arrived: the order may be executed later.
 	Unknown Outcome = iota
-	// Accepted means that the rank has accepted the order.
+	// Accepted means that the rank has accepted the order, but may not have
+	// executed it yet.
 	Accepted
 	// Done means that the rank is in the ordered state: it was already, or it
-	// has just carried out the order.
+	// has just executed the order.
 	Done
 	// Rejected means that the rank rejected the order because it does not fit
 	// the rank's state.
--- a/internal/rank/lockstep/world_test.go
+++ b/internal/rank/lockstep/world_test.go
@@ -77,13 +77,13 @@
 }
 
 func (w *simulation) observe() observation {
-	out := observation{ranks: make([]State, len(w.ranks)), seen: make([]bool, len(w.ranks)), complete: true}
+	out := observation{ranks: make([]State, len(w.ranks)), observed: make([]bool, len(w.ranks)), complete: true}
 	for i := range w.ranks {
 		if w.isUnreachable(i) {
 			out.complete = false
 			continue
 		}
-		out.ranks[i], out.seen[i] = w.report(i), true
+		out.ranks[i], out.observed[i] = w.report(i), true
 	}
 	return out
 }
@@ -110,22 +110,24 @@
 // observation is what a leader observed of the ranks.
 type observation struct {
 	ranks    []State
-	seen     []bool
+	observed []bool
 	complete bool
 }
 
 // execute executes an order by the engines' rules.
-func (w *simulation) execute(token uint64, d AddressedOrder) Outcome {
-	r := &w.ranks[d.Rank]
+func (w *simulation) execute(token uint64, ao AddressedOrder) Outcome {
+	r := &w.ranks[ao.Rank]
 	if token < r.token {
 		return Fenced
 	}
 	r.token = token
-	if d.Epoch != r.state.Epoch {
+	if ao.Epoch != r.state.Epoch {
 		return Rejected
 	}
-	switch o := d.Order.(type) {
+	switch o := ao.Order.(type) {
 	case Fence:
+		// Any outcome but Unknown and Fenced shows that the rank has seen the
+		// token.
 		return Rejected
 	case Prepare:
 		if o.Version <= r.highestVersion && !w.resumingPrepare || r.state.Armed != nil {
@@ -166,16 +168,16 @@
 }
 
 // deliver executes an order, loses the order or its reply, or delays the order.
-func (w *simulation) deliver(token uint64, d AddressedOrder) Outcome {
-	if w.isUnreachable(d.Rank) {
+func (w *simulation) deliver(token uint64, ao AddressedOrder) Outcome {
+	if w.isUnreachable(ao.Rank) {
 		w.delayed = append(w.delayed, delayedOrder{
-			at: w.unreachableUntil + w.rng.IntN(100), token: token, order: d,
+			at: w.unreachableUntil + w.rng.IntN(100), token: token, order: ao,
 		})
 		return Unknown
 	}
-	delaying := w.tick < w.delayingUntil && d.Rank == w.delayingRank
+	delaying := w.tick < w.delayingUntil && ao.Rank == w.delayingRank
 	if !delaying && w.rng.Float64() >= w.faultRate {
-		return w.execute(token, d)
+		return w.execute(token, ao)
 	}
 	kind := w.rng.IntN(3)
 	if delaying {
@@ -185,11 +187,11 @@
 	case 0:
 		return Unknown
 	case 1:
-		w.execute(token, d)
+		w.execute(token, ao)
 		return Unknown
 	default:
-		delayed := delayedOrder{at: w.tick + 1 + w.rng.IntN(200), token: token, order: d}
-		delayed.versionAccepted = w.rng.IntN(2) == 0 && w.acceptVersion(token, d)
+		delayed := delayedOrder{at: w.tick + 1 + w.rng.IntN(200), token: token, order: ao}
+		delayed.versionAccepted = w.rng.IntN(2) == 0 && w.acceptVersion(token, ao)
 		w.delayed = append(w.delayed, delayed)
 		return Unknown
 	}
@@ -197,10 +199,10 @@
 
 // acceptVersion makes a rank accept the version of a prepare order that it
 // executes later, and reports whether it did.
-func (w *simulation) acceptVersion(token uint64, d AddressedOrder) bool {
-	r := &w.ranks[d.Rank]
-	p, ok := d.Order.(Prepare)
-	if !ok || token < r.token || p.Version <= r.highestVersion || r.state.Armed != nil || d.Epoch != r.state.Epoch {
+func (w *simulation) acceptVersion(token uint64, ao AddressedOrder) bool {
+	r := &w.ranks[ao.Rank]
+	p, ok := ao.Order.(Prepare)
+	if !ok || token < r.token || p.Version <= r.highestVersion || r.state.Armed != nil || ao.Epoch != r.state.Epoch {
 		return false
 	}
 	r.token, r.highestVersion = token, p.Version
@@ -303,21 +305,21 @@
 
 // round makes the decisions for one observation and delivers the resulting
 // orders. A frozen leader continues with an observation from before it froze.
-func (d *leaderDriver) round(seen observation) {
-	if !seen.complete {
-		for _, o := range d.l.RecoverHeldStep(seen.ranks, seen.seen) {
-			d.l.RecordOutcome(o, d.w.deliver(d.token, o), d.w.now)
+func (d *leaderDriver) round(obs observation) {
+	if !obs.complete {
+		for _, ao := range d.l.RecoverHeldStep(obs.ranks, obs.observed) {
+			d.l.RecordOutcome(ao, d.w.deliver(d.token, ao), d.w.now)
 		}
 		return
 	}
-	if d.l.InForce() == nil || d.l.InForce().Version != seen.ranks[0].Map {
-		d.l.SetInForce(seen.ranks[0].Map, content(d.w.ranks[0].content))
+	if d.l.InForce() == nil || d.l.InForce().Version != obs.ranks[0].Map {
+		d.l.SetInForce(obs.ranks[0].Map, content(d.w.ranks[0].content))
 	}
 	if !d.l.Busy() && d.w.rng.IntN(d.w.proposalInterval) == 0 {
 		d.l.Propose(content(d.w.nextContent()))
 	}
-	for _, o := range d.l.NextOrders(seen.ranks, true, d.w.now) {
-		d.l.RecordOutcome(o, d.w.deliver(d.token, o), d.w.now)
+	for _, ao := range d.l.NextOrders(obs.ranks, true, d.w.now) {
+		d.l.RecordOutcome(ao, d.w.deliver(d.token, ao), d.w.now)
 	}
 }
 
