--- a/internal/rank/codec_map.go
+++ b/internal/rank/codec_map.go
@@ -18,19 +18,19 @@
 	}
 	for i := range m.Layers() {
 		l := m.Layer(i)
-		same := base != nil && i < base.Layers() && l.SamePlacement(base.Layer(i))
-		p.Layers = append(p.Layers, layerToProto(l, same))
+		samePlacement := base != nil && i < base.Layers() && l.SamePlacement(base.Layer(i))
+		p.Layers = append(p.Layers, layerToProto(l, samePlacement))
 	}
 	return p
 }
 
-func layerToProto(l *expertmap.Layer, same bool) *rankpb.Layer {
+func layerToProto(l *expertmap.Layer, samePlacement bool) *rankpb.Layer {
 	shape := l.Shape()
 	p := &rankpb.Layer{
 		Ranks: uint32(shape.Ranks), Slots: uint32(shape.Slots), Experts: uint32(shape.Experts),
 	}
 	for _, s := range l.Slots() {
-		if !same {
+		if !samePlacement {
 			p.Expert = append(p.Expert, uint32(s.Expert+1))
 		}
 		p.Share = append(p.Share, uint32(s.Share))
--- a/internal/rank/engine.go
+++ b/internal/rank/engine.go
@@ -11,8 +11,8 @@
 // fencing token; naming.Member checks it first, because some engines do not.
 // Each order is idempotent and may take effect later, even if its call has
 // failed; but not after the ranks to which it was sent have restarted, because
-// it ends with their connection, and no later than Runner.StartDelay after the
-// agent that sent it has ended.
+// it is dropped when their connection ends, and no later than Runner.StartDelay
+// after the agent that sent it has ended.
 type Engine interface {
 	// Stage loads the weights that m needs and keeps m ready. To make room for
 	// three other maps the engine may drop maps, oldest first, except those
--- a/internal/rank/kvlease.go
+++ b/internal/rank/kvlease.go
@@ -163,7 +163,7 @@
 }
 
 // CAS implements Lease. The write is also conditional on the lease, so that a
-// holder whose lease has expired writes nothing.
+// holder whose lease has expired writes nothing; it gets ErrRecordChanged.
 func (l *KVLease) CAS(ctx context.Context, revision int64, r naming.Record) error {
 	value, err := EncodeRecord(r)
 	if err != nil {
--- a/internal/rank/kvlease_test.go
+++ b/internal/rank/kvlease_test.go
@@ -83,11 +83,11 @@
 	return platform.TxnReply{}, platform.ClassifyWriteError(context.DeadlineExceeded)
 }
 
-// TestLostAnswerOfAcquire guards against a group without a leader for a whole
+// TestLostReplyOfAcquire guards against a group without a leader for a whole
 // TTL because the holder does not know that it holds the lease. The reply to
 // the write that takes the lease is lost; the holder finds out by reading the
 // key, as does another agent that finds the lease held.
-func TestLostAnswerOfAcquire(t *testing.T) {
+func TestLostReplyOfAcquire(t *testing.T) {
 	a, b := newLeases(t, &kv.Server{})
 	plain := a.KV
 	a.KV, b.KV = lostReplyKV{plain}, lostReplyKV{plain}
--- a/internal/rank/lease.go
+++ b/internal/rank/lease.go
@@ -16,8 +16,9 @@
 // ErrLeaseLost is returned when the lease has expired.
 var ErrLeaseLost = eris.New("rank: the group's lease has expired")
 
-// ErrRecordChanged is returned by Lease.CAS when the record has another
-// revision than the given one.
+// ErrRecordChanged is returned by Lease.CAS when it has not written the record,
+// because the record has another revision than the given one or, with KVLease,
+// the lease has expired.
 var ErrRecordChanged = eris.New("rank: the group's record has changed")
 
 // Lease provides the group's lease and record in the platform's key-value
--- a/internal/rank/runner.go
+++ b/internal/rank/runner.go
@@ -46,15 +46,16 @@
 	// EventJoined means that the member has joined its group; Number is the
 	// version of the map in force.
 	EventJoined = "rankJoined"
-	// EventMapsLost means that the member has lost its maps and waits; Number
-	// is the version of the map that was in force.
+	// EventMapsLost means that the member has lost its maps and waits until it
+	// has joined its group again; Number is the version of the map that was in
+	// force.
 	EventMapsLost = "rankLost"
 )
 
 // Runner is an agent's participation in a group of ranks. Set the fields,
 // register it with the agent's gRPC server by Register, then call Run. Orders
-// that arrive before Run are answered, but the ranks receive no order before
-// it.
+// that arrive before Run is called are answered, but the ranks receive no order
+// until Run has waited for StartDelay.
 //
 // The mutex mu guards the state machines of the member and the leader. It is
 // held only for single calls to them and never while blocking; no other lock is
@@ -95,8 +96,9 @@
 	// CallTimeout is the timeout of each call to a peer, the engine or the
 	// platform.
 	CallTimeout time.Duration
-	// StartDelay is how long after the agent's start orders of its earlier run
-	// may still reach the engine. Run sends no orders for that time.
+	// StartDelay is how long orders of the agent's earlier run may still reach
+	// the engine after the agent has started again. Run sends no orders for
+	// that time.
 	StartDelay time.Duration
 	// Credentials is the TLS configuration for connections to peers; nil means
 	// plain text.
--- a/internal/rank/term.go
+++ b/internal/rank/term.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"github.com/hyssoprelay/hyssoprelay/internal/pause"
-
 	"github.com/hyssoprelay/hyssoprelay/internal/rank/naming"
 )
 
