--- a/internal/fleet/document/holder.go
+++ b/internal/fleet/document/holder.go
@@ -121,7 +121,7 @@
 	base := vs.find(e.Base)
 	vs.mu.Unlock()
 	if base.Revision != e.Base {
-		return Version{}, result.Newf(result.DocumentUnreadable, "base revision %d is not held", e.Base)
+		return Version{}, result.Newf(result.DocumentUnreadable, "revision %d, of which it is the difference, is not held", e.Base)
 	}
 	value, err := decompress(e.Bytes, base.Value)
 	if err != nil {
--- a/internal/rank/codec_map.go
+++ b/internal/rank/codec_map.go
@@ -67,7 +67,7 @@
 func layerFromProto(p *rankpb.Layer, base *expertmap.Layer) (*expertmap.Layer, error) {
 	shape := expertmap.Shape{Ranks: int(p.GetRanks()), Slots: int(p.GetSlots()), Experts: int(p.GetExperts())}
 	if max(shape.Ranks, shape.Slots, shape.Experts) > maxLayerDimension {
-		return nil, result.New(result.MalformedMsg, "layer dimension exceeds the limit")
+		return nil, result.New(result.MalformedMsg, "layer sizes")
 	}
 	slots := make([]expertmap.Slot, len(p.GetShare()))
 	for i, share := range p.GetShare() {
@@ -83,7 +83,7 @@
 			slots[i].Expert = s.Expert
 		}
 	default:
-		return nil, result.New(result.MalformedMsg, "layer has neither experts nor a matching base")
+		return nil, result.New(result.MalformedMsg, "a layer without its experts")
 	}
 	l, err := expertmap.NewLayer(shape, slots)
 	if err != nil {
--- a/internal/rank/peers.go
+++ b/internal/rank/peers.go
@@ -117,7 +117,7 @@
 		return nil, err
 	}
 	if naming.RefOf(m) != ref {
-		return nil, result.Newf(result.MalformedMsg, "member %d sent a map that does not match the requested reference", from)
+		return nil, result.Newf(result.MalformedMsg, "member %d sent another map", from)
 	}
 	return m, nil
 }
@@ -174,7 +174,7 @@
 	}
 	layers, experts := reply.GetLayers(), reply.GetExperts()
 	if len(layers) != len(reply.GetCounts()) || len(experts) != len(reply.GetCounts()) {
-		return nil, result.New(result.MalformedMsg, "layers, experts and counts differ in length")
+		return nil, result.New(result.MalformedMsg, "counts of different lengths")
 	}
 	counts := make([]ExpertLoad, len(layers))
 	for i := range counts {
--- a/internal/rank/service.go
+++ b/internal/rank/service.go
@@ -144,7 +144,7 @@
 
 func (r *Runner) checkGroup(group string) error {
 	if group != r.Group {
-		return result.Newf(result.MalformedMsg, "received a message for group %q at an agent of group %q", group, r.Group)
+		return result.Newf(result.MalformedMsg, "message for group %q at an agent of %q", group, r.Group)
 	}
 	return nil
 }
--- a/internal/ranker/orders.go
+++ b/internal/ranker/orders.go
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	if len(resp.GetReplies()) != len(req.GetOrders()) {
-		return nil, result.Newf(result.MalformedMsg, "Spread returned %d replies to %d orders", len(resp.GetReplies()), len(req.GetOrders()))
+		return nil, result.Newf(result.MalformedMsg, "%d replies to %d orders", len(resp.GetReplies()), len(req.GetOrders()))
 	}
 	return resp.GetReplies(), nil
 }
--- a/internal/ranker/service.go
+++ b/internal/ranker/service.go
@@ -200,7 +200,7 @@
 	case *fleetpb.GiveRequest_Go:
 		ao.Order = lockstep.Release{Step: o.Go.GetStep()}
 	default:
-		return ao, result.New(result.MalformedMsg, "order is of an unknown kind")
+		return ao, result.New(result.MalformedMsg, "an order of an unknown kind")
 	}
 	return ao, nil
 }
