--- a/internal/platform/acquire.go
+++ b/internal/platform/acquire.go
@@ -82,7 +82,7 @@
 }
 
 // waitForConn waits until the state of a connection has changed, so that one may be
-// ready. It returns a NotSentError when ctx ends first or the client doesn't run.
+// ready. It returns a NotSentError when ctx ends first or the client is not running.
 func (c *Client) waitForConn(ctx context.Context) error {
 	select {
 	case <-c.started:
--- a/internal/platform/claim/batcher.go
+++ b/internal/platform/claim/batcher.go
@@ -155,8 +155,8 @@
 
 // cancelClaim returns the result for a caller that stops waiting. A claim that
 // was never sent is certainly not made. One that was sent may take effect; it
-// is abandoned in the background, so that it does not stay open for operators
-// to settle.
+// is abandoned in the background, so that it does not stay open until an
+// operator releases it.
 func (b *Batcher) cancelClaim(o *op) Result {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/platform/claim/batcher_test.go
+++ b/internal/platform/claim/batcher_test.go
@@ -121,9 +121,9 @@
 	})
 }
 
-// Guards against an unknown outcome while the service is down. The claim was
-// not made, so the caller must be told that its request was not run; it may send
-// the request again when the service is back.
+// Guards against a claim that is reported as Unknown while the service is down.
+// The claim was not made, so the caller must be told that its request was not
+// run; it may send the request again when the service is back.
 func TestClaimWhileDownIsNotMade(t *testing.T) {
 	withBatcher(t, func(t *batcherTest) {
 		t.server.SetDown(true)
--- a/internal/platform/claim/history_test.go
+++ b/internal/platform/claim/history_test.go
@@ -179,8 +179,8 @@
 	for _, o := range h.ops {
 		v := o.Output.(opOutput).claimResult
 		_, held := v.(Held)
-		_, done := v.(AlreadyRun)
-		if held || done || observed[o.Input.(opInput).attempt] {
+		_, alreadyRun := v.(AlreadyRun)
+		if held || alreadyRun || observed[o.Input.(opInput).attempt] {
 			ops = append(ops, o)
 		}
 	}
@@ -206,6 +206,6 @@
 	}
 	res := porcupine.CheckOperations(claimModel.ToModel(), h.ops)
 	if res {
-		t.Error("two grants of one key were accepted")
+		t.Error("a history with two grants of one key is accepted as linearizable")
 	}
 }
--- a/internal/platform/claim/loop.go
+++ b/internal/platform/claim/loop.go
@@ -22,8 +22,8 @@
 )
 
 // The wait after a failed transaction doubles from minBackoff up to maxBackoff.
-// It limits the load on a failing service, and a recovered service is used again
-// within a second, inside the usual window.
+// It limits the load on a failing service. A recovered service is used again
+// within a second, which is less than DispatchWindow.
 const (
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = time.Second
@@ -75,8 +75,8 @@
 // nextBatch removes the next batch from the queues. If there is nothing to send
 // yet, it returns how long the oldest outcome may still wait.
 //
-// Claims and outcomes may exceed the writes that the service can take, so they
-// share transactions: writes grow with the number of agents and not with the
+// There may be more claims and outcomes than the service can handle writes, so
+// they share transactions: writes grow with the number of agents and not with the
 // number of requests. Claims go first, because callers wait for them. Half of
 // the batch is reserved for outcomes, because a backlog that only grows would
 // eventually drop outcomes. A batch holds each key at most once: the service
--- a/internal/platform/claim/registry.go
+++ b/internal/platform/claim/registry.go
@@ -116,8 +116,8 @@
 // is empty; UnknownClaim when no open claim has the key; DocumentUnreadable
 // when the record can't be decoded; ClaimRunning, with the time to retry after,
 // while the window may be open or, for a claim in state Claimed, its agent is
-// alive; Conflict when the claim was changed in the meantime; WriteUnknown when the release may have
-// been written; PlatformRefused when it was not written.
+// alive; Conflict when the claim was changed in the meantime; WriteUnknown when
+// the release may have been written; PlatformRefused when it was not written.
 func (g *Registry) Release(ctx context.Context, k Key, s State, operator string) error {
 	if s != Ran && s != NotRun || operator == "" {
 		return result.New(result.MalformedOrder, "a release says ran or notRun and who says so")
--- a/internal/platform/claim/settle.go
+++ b/internal/platform/claim/settle.go
@@ -45,8 +45,8 @@
 // effect. After a send whose outcome is unknown, the claim stays queued until a
 // reply settles it or its caller stops waiting.
 func (b *Batcher) handleError(o *op, err error) {
-	notMade := result.CodeOf(err) == result.PlatformDown
-	if !notMade {
+	hadNoEffect := result.CodeOf(err) == result.PlatformDown
+	if !hadNoEffect {
 		o.mayHaveApplied = true
 	}
 	if _, ok := o.mutation.(createClaim); !ok {
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -30,9 +30,9 @@
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
 }
 
-// maxMessage is the largest message in bytes. It fits a value of MaxValue with
-// keys, or a page of smaller values.
-const maxMessage = 8 << 20
+// maxMessageBytes is the size limit of a message. It fits a value of MaxValue bytes
+// with its key, or a page of smaller values.
+const maxMessageBytes = 8 << 20
 
 // ErrNoAddresses is returned by Client.Run if Client.Addrs is empty.
 var ErrNoAddresses = errors.New("platform: Client.Addrs is empty")
--- a/internal/platform/dial.go
+++ b/internal/platform/dial.go
@@ -40,7 +40,7 @@
 	opts := []grpc.DialOption{
 		grpc.WithTransportCredentials(creds),
 		grpc.WithConnectParams(grpc.ConnectParams{Backoff: reconnect, MinConnectTimeout: maxReconnectDelay}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage), grpc.MaxCallSendMsgSize(maxMessage)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes), grpc.MaxCallSendMsgSize(maxMessageBytes)),
 		grpc.WithDisableRetry(),
 		grpc.WithIdleTimeout(0),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
--- a/internal/platform/errors.go
+++ b/internal/platform/errors.go
@@ -42,11 +42,11 @@
 // NewRejectedError returns a RejectedError with the service's message.
 // leaseMissing states that the lease of the call does not exist, see
 // IsLeaseMissing.
-func NewRejectedError(text string, leaseMissing bool) *RejectedError {
+func NewRejectedError(msg string, leaseMissing bool) *RejectedError {
 	if leaseMissing {
-		return &RejectedError{code: codes.NotFound, msg: text}
+		return &RejectedError{code: codes.NotFound, msg: msg}
 	}
-	return &RejectedError{code: codes.FailedPrecondition, msg: text}
+	return &RejectedError{code: codes.FailedPrecondition, msg: msg}
 }
 
 // NewUnknownOutcomeError returns an UnknownOutcomeError with its cause.
--- a/internal/platform/vmlist/codec.go
+++ b/internal/platform/vmlist/codec.go
@@ -7,8 +7,8 @@
 	"net/netip"
 )
 
-// maxResponseBytes is the size limit of a response. It fits some 5,000 VMs of 200
-// bytes each several times.
+// maxResponseBytes is the size limit of a response. It is several times the size of
+// a list of 5,000 VMs of some 200 bytes each.
 const maxResponseBytes = 4 << 20
 
 // ErrMalformed reports that a response is malformed.
@@ -36,7 +36,7 @@
 	Removed  []string `json:"removed"`
 }
 
-// NewDelta returns the Delta that leads to the revision.
+// NewDelta returns a Delta whose changes lead to the revision.
 func NewDelta(revision int64, vms []VM, removed []string) Delta {
 	return Delta{revision: revision, vms: vms, removed: removed}
 }
--- a/internal/platform/vmlist/doc.go
+++ b/internal/platform/vmlist/doc.go
@@ -3,7 +3,8 @@
 //
 // The list lags in both directions: a VM may be live before it is listed, and gone
 // while it is still listed. Merge therefore gives precedence to a process's own
-// announcement that it is leaving, then to a live stream, and then to the list.
+// announcement that it is leaving, then to a live stream, and then to the list. A
+// live stream does not override the state Leaving of a listed VM.
 //
 // The list is polled with GET /vms?since=REV. The response holds the VMs that
 // changed after revision REV, the ids of the VMs that were removed, and the new
