--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -20,8 +20,9 @@
 	// maxPartsPerMessage keeps a message with parts of up to a megabyte each below
 	// maxMessageBytes.
 	maxPartsPerMessage = 4
-	// maxSyncRounds bounds the calls of one exchange. It transfers the digests, then a
-	// delta of the head or, if that can't be applied, the whole head, and the parts.
+	// maxSyncRounds bounds the calls of one exchange. An exchange transfers the
+	// digests, then a delta of the head or, if that can't be applied, the whole head,
+	// and the parts.
 	maxSyncRounds = 8
 )
 
--- a/internal/peer/spread/doc.go
+++ b/internal/peer/spread/doc.go
@@ -14,10 +14,11 @@
 // Each entry has a few peers, selected by rendezvous hashing: some in its own data
 // centre and one in each other data centre. An entry that receives a change sends it
 // once to Fanout of its peers, one of them in another data centre (rumour mongering,
-// Demers et al., 1987; the number of rounds grows with the logarithm of the number of entries).
-// Rumours may miss an entry. In each period an entry therefore also exchanges digests
-// with one other entry, a reader of its data centre or a peer in turn (anti-entropy,
-// same paper).
+// Demers et al., 1987; the number of rounds grows with the logarithm of the number of
+// entries). Rumours may miss an entry. In each round an entry therefore also exchanges
+// digests with one other entry: at a fixed interval of rounds with a reader of its
+// data centre, otherwise with a peer or an unresponsive entry (anti-entropy, same
+// paper).
 //
 // The package uses no sockets, clocks or goroutines. Random selections are seeded.
 package spread
--- a/internal/peer/spread/table.go
+++ b/internal/peer/spread/table.go
@@ -19,10 +19,11 @@
 	// anti-entropy then reaches. Each additional one would cost every entry one more
 	// exchange per change.
 	Fanout = 4
-	// localPeers is the number of peers in an entry's own data centre. It also has one in
-	// each other data centre. A connection takes some 80 KB at each end, so that
-	// connections to all of 670 entries would exceed the 32 MB of memory that control
-	// may use on a node. With localPeers an entry has some 50 open connections.
+	// localPeers is the number of peers in an entry's own data centre. An entry also has
+	// one peer in each other data centre. A connection takes some 80 KB at each end, so
+	// that connections to all of 670 entries would exceed the 32 MB of memory that a
+	// node may use for control traffic. With localPeers an entry has some 50 open
+	// connections.
 	localPeers = 8
 	// readerInterval is the interval, in rounds of NextExchange, between exchanges with a
 	// reader of the data centre. A reader exchanges with all entries of its data centre.
@@ -126,8 +127,8 @@
 	return t.ranked
 }
 
-// RumourTargets returns the entries to send a change to: at most Fanout peers, one of them
-// in another data centre. If there are too few local peers, further remote ones are
+// RumourTargets returns the entries to send a change to: at most Fanout peers, one of
+// them in another data centre. If there are too few local peers, further remote ones are
 // added. It skips unresponsive entries, because a rumour sent to them would not
 // spread; NextExchange returns them from time to time.
 func (t *Table) RumourTargets() []Node {
@@ -171,8 +172,8 @@
 // order differs from entry to entry.
 func (t *Table) score(n Node) uint64 { return xxhash.Sum64String(t.Self.Name + "\x00" + n.Name) }
 
-// NextExchange returns the entry to exchange with in this round, or false if there are no
-// other entries. Every readerInterval rounds it returns a reader of the data centre,
+// NextExchange returns the entry to exchange with in this round, or false if there are
+// no other entries. Every readerInterval rounds it returns a reader of the data centre,
 // in turn and including unresponsive ones, so that a failed reader is replaced within
 // a few rounds and takes over again once it responds. In other rounds it returns a
 // peer or an unresponsive entry.
--- a/internal/peer/spread/table_test.go
+++ b/internal/peer/spread/table_test.go
@@ -150,30 +150,30 @@
 		for _, p := range append(append(local, remote...), table.readers()...) {
 			want[p.Name] = p != table.Self
 		}
-		contacts := map[string]int{}
+		returned := map[string]int{}
 		for range 2000 {
 			p, ok := table.NextExchange()
 			if !ok {
 				t.Fatal("NextExchange returned no entry")
 			}
-			contacts[p.Name]++
+			returned[p.Name]++
 		}
-		for name := range contacts {
+		for name := range returned {
 			if !want[name] {
 				t.Errorf("%d entries: %s was returned", n, name)
 			}
 		}
 		for name, w := range want {
-			if w && contacts[name] == 0 {
+			if w && returned[name] == 0 {
 				t.Errorf("%d entries: %s was never returned", n, name)
 			}
 		}
-		if len(contacts) > localPeers+18+ReadersPerDataCentre {
-			t.Errorf("%d entries: %d were returned", n, len(contacts))
+		if len(returned) > localPeers+18+ReadersPerDataCentre {
+			t.Errorf("%d entries: %d different entries were returned", n, len(returned))
 		}
 		for _, r := range table.readers() {
-			if r != table.Self && contacts[r.Name] < 2000/readerInterval/ReadersPerDataCentre {
-				t.Errorf("%d entries: reader %s was returned %d times in 2000 rounds", n, r.Name, contacts[r.Name])
+			if r != table.Self && returned[r.Name] < 2000/readerInterval/ReadersPerDataCentre {
+				t.Errorf("%d entries: reader %s was returned %d times in 2000 rounds", n, r.Name, returned[r.Name])
 			}
 		}
 	}
