--- a/internal/caller/doc.go
+++ b/internal/caller/doc.go
@@ -9,6 +9,9 @@
 //	GET  /v1/answers/{requestId}       response to an earlier request, from piece ?from=n
 //	GET  /healthz, /readyz             checks by the platform's load balancer
 //
+// A plain service is an HTTP service that is not a model engine. A piece is a numbered part of a
+// streamed response.
+//
 // The request headers are Authorization (Bearer and the account key), X-Request-Id,
 // Idempotency-Key, X-Deadline-Ms (time until the deadline, in milliseconds) and X-Priority. An
 // error response has a JSON body with the numeric result code and whether the request was run. It
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -34,8 +34,8 @@
 	// timeout response could not be sent.
 	readDeadlineGrace = time.Second
 	// maxExcessConns is the number of connections beyond MaxConns that are still accepted, so that
-	// their requests are refused with a result code. Any further connection is closed without a
-	// response.
+	// their requests are refused with a result code. Forwarder serves its requests on these
+	// connections as on any other. Any further connection is closed without a response.
 	maxExcessConns = 64
 )
 
@@ -165,17 +165,16 @@
 	})
 }
 
-// RejectRequests makes the server answer each further request with shuttingDown. It does not apply
-// to requests that Forwarder serves, nor to /healthz, except that their responses close the
-// connection.
+// RejectRequests makes the server answer each further request with shuttingDown. Requests that
+// Forwarder serves and requests for /healthz are still answered as usual, but each response closes
+// its connection.
 func (s *Server) RejectRequests() {
 	s.draining.Store(true)
 	s.rejecting.Store(true)
 }
 
 // Run serves until ctx is done. It then calls RejectRequests, waits until no request is running or
-// drain has elapsed, and stops the server.
-// It must be called after Listen.
+// drain has elapsed, and stops the server. It must be called after Listen.
 func (s *Server) Run(ctx context.Context, drain time.Duration) error {
 	<-ctx.Done()
 	s.RejectRequests()
--- a/internal/caller/tls_test.go
+++ b/internal/caller/tls_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// Small chunks have the largest relative TLS overhead.
 	tlsChunks = 120000
-	tlsChunk  = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcde\n"
+	// tlsChunk is small, because small chunks have the largest relative TLS overhead.
+	tlsChunk = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcde\n"
 )
 
 // Guards against the loss of the end of a long stream over TLS, when the connection closes after
