--- a/internal/platform/config/change.go
+++ b/internal/platform/config/change.go
@@ -8,7 +8,8 @@
 )
 
 // Change is an operator's change of the configuration: a PutPreset,
-// SwitchPreset, TakeOutOfService or ReturnToService.
+// SwitchPreset, TakeOutOfService or ReturnToService. The unexported changes are
+// made by a Writer itself when it repairs the document.
 type Change interface{ isChange() }
 
 // PutPreset stores a preset or replaces the body of a stored one. The first
--- a/internal/platform/config/codec.go
+++ b/internal/platform/config/codec.go
@@ -23,7 +23,7 @@
 	maxPresets      = 64
 	maxOutOfService = 1024
 	maxRecent       = 128
-	maxListed       = 4 * maxRecent // the join of concurrent heads lists more
+	maxListed       = 4 * maxRecent // a join lists the changes of both heads
 	maxSettled      = 256
 	maxGeneration   = 1<<53 - 1 // other languages parse JSON numbers as doubles
 	digestLen       = 64
--- a/internal/platform/config/codec_test.go
+++ b/internal/platform/config/codec_test.go
@@ -44,14 +44,14 @@
 	good := string(sampleHead(t).Encode())
 	for _, c := range []struct{ name, old, replacement string }{
 		{"unknown key", `{"generation"`, `{"x":1,"generation"`},
-		{"data after it", good, good + "{}"},
-		{"no preset in force", `"inForce":"day"`, `"inForce":"night"`},
+		{"data after the document", good, good + "{}"},
+		{"unknown preset in force", `"inForce":"day"`, `"inForce":"night"`},
 		{"bad digest", Digest([]byte("x")), "abc"},
 		{"future order", `"name":"a","generation":2`, `"name":"a","generation":9`},
 		{"unknown kind", `"kind":"dataCentre"`, `"kind":"rack"`},
 		{"generation without its change", `{"generation":3`, `{"generation":4`},
 		{"changes out of order", `{"generation":1,"changeId":"c1"},`, `{"generation":3,"changeId":"c1"},`},
-		{"floor above", `"floor":0`, `"floor":7`},
+		{"floor above the generation", `"floor":0`, `"floor":7`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			bad := strings.Replace(good, c.old, c.replacement, 1)
--- a/internal/platform/config/delta_test.go
+++ b/internal/platform/config/delta_test.go
@@ -90,7 +90,7 @@
 }
 
 // Two processes change their configuration, in part without contact. After an
-// exchange of deltas both must have the state that a join of the full documents
+// exchange of deltas both must have the state that a join of the whole documents
 // gives.
 func TestExchangeMatchesJoinOfFullDocuments(t *testing.T) {
 	for seed := range uint64(300) {
--- a/internal/platform/config/doc.go
+++ b/internal/platform/config/doc.go
@@ -1,5 +1,6 @@
 // Package config maintains the operators' configuration, a document replicated
-// to every process.
+// to every process and stored in the platform's key-value service, which this
+// package calls the service.
 //
 // The document is a Head: a generation that never decreases, the preset in
 // force, the presets by name with the digests of their bodies, and the targets
--- a/internal/platform/config/exchange.go
+++ b/internal/platform/config/exchange.go
@@ -80,10 +80,10 @@
 	switch {
 	case r.digest == c.digest:
 		return c.digestMessage, parts, nil
-	case r.fullRequested:
+	case r.wholeRequested:
 		return fullMessage(c), parts, nil
 	case r.deltaRejected:
-		return fullRequest(c), parts, nil
+		return wholeRequest(c), parts, nil
 	}
 	if base := s.peerState(r); base != nil {
 		return deltaMessage(base, c), parts, nil
@@ -109,15 +109,15 @@
 	case r.digest == c.digest:
 		return nil, nil
 	case r.deltaRejected:
-		return fullRequest(c), nil
+		return wholeRequest(c), nil
 	}
-	if base := s.peerState(r); base != nil && !r.fullRequested {
+	if base := s.peerState(r); base != nil && !r.wholeRequested {
 		return deltaMessage(base, c), nil
 	}
 	return fullMessage(c), nil
 }
 
-func fullRequest(c *Snapshot) []byte {
+func wholeRequest(c *Snapshot) []byte {
 	return mustMarshal(message{Digest: c.digest, Whole: true})
 }
 
@@ -125,8 +125,8 @@
 type receivedMessage struct {
 	digest string
 	// state is the peer's state, or nil if the message does not contain it.
-	state         *state
-	fullRequested bool
+	state          *state
+	wholeRequested bool
 	// deltaRejected reports that the delta of the message could not be applied.
 	deltaRejected bool
 }
@@ -148,7 +148,7 @@
 	if err := strictUnmarshal(b, &m); err != nil {
 		return receivedMessage{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	r := receivedMessage{digest: m.Digest, fullRequested: m.Whole}
+	r := receivedMessage{digest: m.Digest, wholeRequested: m.Whole}
 	if m.Head == nil && m.Delta == nil {
 		return r, nil
 	}
--- a/internal/platform/config/faults_test.go
+++ b/internal/platform/config/faults_test.go
@@ -62,8 +62,8 @@
 		for _, o := range c.Head().OutOfService() {
 			seen[p][o.Target()] = true
 		}
-		for _, d := range c.Holds() {
-			seen[p][d.Target()] = true
+		for _, hold := range c.Holds() {
+			seen[p][hold.Target()] = true
 		}
 	}
 }
--- a/internal/platform/config/store.go
+++ b/internal/platform/config/store.go
@@ -199,9 +199,9 @@
 	if c := s.Current(); c.digest == digest {
 		return &state{digest: c.digest, head: c.head, holds: c.holds}
 	}
-	for _, p := range s.history {
-		if p.digest == digest {
-			return &p
+	for _, old := range s.history {
+		if old.digest == digest {
+			return &old
 		}
 	}
 	return nil
--- a/internal/platform/config/writer.go
+++ b/internal/platform/config/writer.go
@@ -60,12 +60,13 @@
 //   - WriteUnknown: the change may have been made, and the service did not
 //     confirm it.
 //   - PlatformRefused: the change was definitely not made.
-//   - HeldLocally: the service did not answer, and the order takes effect in
-//     this process: an order to take a target out of service becomes a local
-//     hold, and an order to return a target that only local holds keep out of
-//     service releases them. The newest known document is returned with it.
-//   - DocumentUnreadable: the stored document cannot be decoded; nothing was
-//     changed.
+//   - HeldLocally: the service did not answer, or the stored document cannot be
+//     decoded, and the order takes effect in this process: an order to take a
+//     target out of service becomes a local hold, and an order to return a
+//     target that only local holds keep out of service releases them. The
+//     newest known document is returned with it.
+//   - DocumentUnreadable: the stored document cannot be decoded, and the order
+//     cannot be held locally; nothing was changed.
 //   - The codes of Apply.
 func (w *Writer) Submit(ctx context.Context, o Order, now time.Time) (Head, error) {
 	if err := o.validate(); err != nil {
@@ -154,11 +155,11 @@
 	a.w.Store.Merge(h)
 }
 
-// failureResult returns the result of a change after the service did not
-// answer. It returns PlatformRefused only if no write of the change was left
-// without a response: an operator who gets PlatformRefused submits the order
-// again, perhaps modified, and if the first one took effect after all it would
-// undo the second.
+// failureResult returns the result of a change that could not be written, where
+// err is the error of the last attempt, if any. It returns PlatformRefused only
+// if no write of the change was left without a response: an operator who gets
+// PlatformRefused submits the order again, perhaps modified, and if the first
+// one took effect after all it would undo the second.
 func (a *attempt) failureResult(err error) (Head, error) {
 	switch c := a.order.Change.(type) {
 	case TakeOutOfService:
