--- a/internal/eventloop/begin.go
+++ b/internal/eventloop/begin.go
@@ -14,7 +14,7 @@
 // multiple of the number of pollers.
 const maxProbesPerPoller = 8
 
-var errPollerNotReached = errors.New("eventloop: at least one poller received no probe connection")
+var errPollerNotReached = errors.New("eventloop: no connection reached a poller")
 
 // StartEngine starts e and returns once each of its pollers is running. It returns an error if the
 // engine does not start, a probe connection fails, or a poller is not reached.
