--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -55,7 +55,7 @@
 	attemptCount atomic.Uint64
 	peers        *peer.Server
 	ranks        *rank.Runner
-	rankConns    peer.Conns
+	rankConns    peer.ConnPool
 	stopWork     context.CancelFunc
 	// announced says that the agent has told that it leaves, and leaving that
 	// it takes no more work.
@@ -63,7 +63,7 @@
 	leaving   atomic.Bool
 	tokens    atomic.Int64
 	version   atomic.Uint64
-	running   inflight.Count
+	running   inflight.Counter
 	askLoad   chan struct{}
 }
 
@@ -103,7 +103,7 @@
 // restarted notes a sign that the endpoint lost its warmth.
 func (a *Agent) restarted(c allowance.ColdStartCause, now time.Time) {
 	was := a.allowance.State().Cold()
-	a.allowance.StartColdStart(c)
+	a.allowance.ResetToCold(c)
 	if !was {
 		a.Log.WithField("cause", c.String()).Warn("endpoint is cold")
 	}
--- a/internal/caller/admission/lender.go
+++ b/internal/caller/admission/lender.go
@@ -22,8 +22,8 @@
 
 // holderState is the state of one holder.
 type holderState struct {
-	// lastNumber is the number of the newest report of the holder.
-	lastNumber uint64
+	// lastSequence is the sequence number of the newest report of the holder.
+	lastSequence uint64
 	// depositsUntil is when the deposits of the newest report expire.
 	depositsUntil time.Time
 	lastReport    time.Time
@@ -84,10 +84,10 @@
 		h = &holderState{}
 		l.holders[r.Holder] = h
 	}
-	if r.Sequence <= h.lastNumber {
+	if r.Sequence <= h.lastSequence {
 		return ShareReply{}, false
 	}
-	h.lastNumber = r.Sequence
+	h.lastSequence = r.Sequence
 	h.lastReport = now
 	h.depositsUntil = l.depositExpiry(r.Echo)
 	l.recordDemand(r)
@@ -201,7 +201,8 @@
 
 // proportionalShare divides scarce deposits in proportion to demand. Less than
 // a quantum is of no use to any holder; if the share is smaller, whole quanta
-// go to the holders that have waited longest.
+// go to the holders that have waited longest. If less than a quantum is free, it
+// returns the share, but at most free.
 func (l *ShareLender) proportionalShare(shares accountShares, holder string, deposited, wanted, free int64, now time.Time) int64 {
 	s := shares[holder]
 	units := int64(float64(deposited) * float64(s.want) / float64(wanted))
--- a/internal/capacity/mesh.go
+++ b/internal/capacity/mesh.go
@@ -54,7 +54,7 @@
 		e.table = spread.Table{Self: self, Seed: 1}
 		others := append(append([]spread.Node(nil), all[:i]...), all[i+1:]...)
 		e.table.Set(others)
-		e.store.Offer(h, parts...)
+		e.store.Merge(h, parts...)
 		e.service = peer.Service{Clock: &e.clock, Store: &e.store, Now: meshNow}
 		e.changed = e.store.Subscribe()
 		e.learnt()
@@ -85,7 +85,7 @@
 		}
 	}
 	for _, e := range tell {
-		for _, to := range e.table.OnChange() {
+		for _, to := range e.table.RumourTargets() {
 			m.exchange(ctx, e, to)
 		}
 	}
@@ -94,7 +94,7 @@
 // turns lets each entry take its periodic turn.
 func (m *mesh) turns(ctx context.Context) {
 	for _, e := range m.nodes {
-		if to, ok := e.table.Periodic(); ok && !m.dead[e.self.Name] {
+		if to, ok := e.table.NextExchange(); ok && !m.dead[e.self.Name] {
 			m.exchange(ctx, e, to)
 		}
 	}
@@ -102,8 +102,8 @@
 
 func (m *mesh) exchange(ctx context.Context, e *meshNode, to spread.Node) {
 	c := &meshClient{mesh: m, from: e, to: m.byName[to.Name]}
-	err := peer.Exchange(ctx, c, &e.store, &e.clock, meshNow)
-	e.table.Answered(to.Name, err == nil)
+	err := peer.SyncConfig(ctx, c, &e.store, &e.clock, meshNow)
+	e.table.RecordResponse(to.Name, err == nil)
 }
 
 // knowing returns how many entries have at least the generation.
@@ -121,7 +121,7 @@
 func (m *mesh) readers(dc string) int {
 	n := 0
 	for _, e := range m.nodes {
-		if e.self.DataCentre == dc && !m.dead[e.self.Name] && e.table.Watches() {
+		if e.self.DataCentre == dc && !m.dead[e.self.Name] && e.table.IsReader() {
 			n++
 		}
 	}
@@ -150,23 +150,23 @@
 	return reply, nil
 }
 
-// headOf returns a document after a number of changes, and its only part. Outs
-// targets are out of service.
-func headOf(changes, outs int) (config.Head, []byte) {
+// headOf returns a document after a number of changes, and its only part. It
+// has outOfService targets out of service.
+func headOf(changes, outOfService int) (config.Head, []byte) {
 	var h config.Head
 	body := []byte("[preset]\nname = ordinary\n")
 	for i := range changes {
-		h = after(h, i, change(i, outs, body))
+		h = after(h, i, change(i, outOfService, body))
 	}
 	return h, body
 }
 
-func change(i, outs int, body []byte) config.Change {
+func change(i, outOfService int, body []byte) config.Change {
 	switch {
 	case i == 0:
 		return config.PutPreset{Name: "ordinary", Body: body}
-	case i <= outs:
-		return config.TakeOut{Target: config.Endpoint(fmt.Sprintf("endpoint-%d", i))}
+	case i <= outOfService:
+		return config.TakeOutOfService{Target: config.Endpoint(fmt.Sprintf("endpoint-%d", i))}
 	default:
 		return config.SwitchPreset{Name: "ordinary"}
 	}
--- a/internal/endpoint/allowance/allowance.go
+++ b/internal/endpoint/allowance/allowance.go
@@ -54,8 +54,8 @@
 const (
 	// Unknown is the initial cause: nothing is known about the endpoint yet.
 	Unknown ColdStartCause = iota
-	// Announced means that the endpoint reported it or that a restart was
-	// ordered.
+	// Announced means that the endpoint reported that it is cold, or that a
+	// restart was ordered.
 	Announced
 	// ConnectionLost means that the endpoint refused or reset connections after
 	// it had accepted some.
@@ -148,9 +148,9 @@
 }
 
 // Admit reserves a slot for a request. Without a free slot it returns an error
-// with a retry delay: EndpointCold while the limit is below the full one, else
-// EndpointBusy. The slot is held until Complete or Fail is called with the
-// ticket.
+// with a retry delay: EndpointCold before Configure has been called and while the
+// limit is below the full one, else EndpointBusy. The slot is held until Complete
+// or Fail is called with the ticket.
 //
 // Entries that act on outdated load reports can together send more than the
 // endpoint can run, so the check and the reservation are one atomic step.
@@ -191,7 +191,7 @@
 		return Ticket{epoch: a.epoch, admittedAt: t.admittedAt}, nil
 	}
 	delay := a.retries.retryAfter(limit, now)
-	return Ticket{}, result.New(result.EndpointCold, "endpoint turned cold before the request was sent").WithRetryAfter(delay)
+	return Ticket{}, result.New(result.EndpointCold, "it turned cold before the request was sent").WithRetryAfter(delay)
 }
 
 // ObserveTTFT records the time to first token of a streamed request, and starts a
@@ -238,12 +238,12 @@
 	}
 }
 
-// StartColdStart resets the limit to the cold one.
+// ResetToCold resets the limit to the cold one.
 //
 // A warm endpoint that turns cold under full load crashes if the load continues.
 // The reset is therefore immediate and complete: a wrong one costs capacity until
 // some dozens of requests have completed, a missing one costs the endpoint.
-func (a *Allowance) StartColdStart(cause ColdStartCause) {
+func (a *Allowance) ResetToCold(cause ColdStartCause) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.resetToColdLocked(cause)
--- a/internal/endpoint/allowance/allowance_test.go
+++ b/internal/endpoint/allowance/allowance_test.go
@@ -32,7 +32,7 @@
 }
 
 // warmUp completes requests one by one until the limit is the full one and the
-// median of the first-token times is in use.
+// median time to first token is in use.
 func warmUp(t *testing.T, a *Allowance) {
 	t.Helper()
 	for a.State().Cold() {
@@ -89,8 +89,8 @@
 		cause   ColdStartCause
 		trigger func(a *Allowance)
 	}{
-		{Announced, func(a *Allowance) { a.StartColdStart(Announced) }},
-		{ConnectionLost, func(a *Allowance) { a.StartColdStart(ConnectionLost) }},
+		{Announced, func(a *Allowance) { a.ResetToCold(Announced) }},
+		{ConnectionLost, func(a *Allowance) { a.ResetToCold(ConnectionLost) }},
 		{NewIncarnation, func(a *Allowance) { a.SetIncarnation("1"); a.SetIncarnation("2") }},
 		{SlowFirstTokens, func(a *Allowance) {
 			for range slowRunLength {
@@ -171,7 +171,7 @@
 		}
 		tickets = append(tickets, ticket)
 	}
-	a.StartColdStart(ConnectionLost)
+	a.ResetToCold(ConnectionLost)
 	for i, ticket := range tickets {
 		_, err := a.Admit(start)
 		if refused, want := err != nil, i < 7; refused != want {
@@ -193,7 +193,7 @@
 		ticket, _ := a.Admit(start)
 		tickets = append(tickets, ticket)
 	}
-	a.StartColdStart(ConnectionLost)
+	a.ResetToCold(ConnectionLost)
 	for n, ticket := range tickets[:2] {
 		if _, err := a.Revalidate(ticket, start); result.CodeOf(err) != result.EndpointCold || err.RetryAfter() == 0 {
 			t.Fatalf("with %d tickets held: got error %v, want endpointCold with a retry delay", 4-n, err)
@@ -249,7 +249,7 @@
 }
 
 // reference is a simple model of Allowance that keeps all events and recomputes the
-// state from them.
+// state from them. It gives points in time as the number of events until then.
 type reference struct {
 	limits      Limits
 	coldSince   int
@@ -261,7 +261,8 @@
 	slowRun     int
 }
 
-// completion is a completed request. Both fields are numbers of events.
+// completion is a completed request, with the times of its admission and its
+// completion as numbers of events.
 type completion struct {
 	admittedAt, at int
 }
@@ -337,7 +338,7 @@
 		return admitBoth(t, a, ref, running, now)
 	case "restart":
 		if rapid.IntRange(0, 9).Draw(t, "rare") == 0 {
-			a.StartColdStart(ConnectionLost)
+			a.ResetToCold(ConnectionLost)
 			ref.startCold()
 		}
 		return running
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -53,7 +53,7 @@
 // members are the agents of the entry's subset. Set the exported fields before
 // Run.
 type members struct {
-	conns *peer.Conns
+	conns *peer.ConnPool
 	store *config.Store
 	clock *timeline.Clock
 	ring  *timeline.Ring
@@ -96,22 +96,22 @@
 	m.mu.Unlock()
 	for _, one := range gone {
 		one.end()
-		m.conns.Drop(one.addr)
+		m.conns.Remove(one.addr)
 		m.drop(one)
 	}
 }
 
-// seen returns the VMs whose streams are live.
-func (m *members) seen() []vmlist.Seen {
+// observations returns the VMs whose streams are live.
+func (m *members) observations() []vmlist.Observation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var all []vmlist.Seen
+	var all []vmlist.Observation
 	for addr, one := range m.byAddr {
 		if one.last == nil {
 			continue
 		}
 		vm := vmlist.NewVM(one.endpoint, vmlist.Agent, one.dataCentre, addr, vmlist.Live)
-		all = append(all, vmlist.Seen{VM: vm, Stream: true, Leaving: one.last.GetLeaving()})
+		all = append(all, vmlist.Observation{VM: vm, HasStream: true, Leaving: one.last.GetLeaving()})
 	}
 	return all
 }
--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -22,8 +22,8 @@
 	// exchangeTimeout bounds one exchange. It is longer than a round between
 	// regions takes, and a frozen entry holds up a change no longer.
 	exchangeTimeout = time.Second
-	// refreshPeers is how many peers are asked before a change is written.
-	refreshPeers = 3
+	// syncPeerCount is how many peers are asked before a change is written.
+	syncPeerCount = 3
 	// readOn is how long an entry that lost its place as reader goes on, so
 	// that places that change hands leave no moment without readers.
 	readOn = 5 * time.Second
@@ -62,7 +62,7 @@
 	for {
 		select {
 		case <-changed:
-			s.exchange(ctx, s.onChange())
+			s.exchange(ctx, s.rumourTargets())
 		case <-t.C:
 			s.exchange(ctx, s.periodic())
 		case <-ctx.Done():
@@ -71,10 +71,10 @@
 	}
 }
 
-func (s *spreading) onChange() []spread.Node {
+func (s *spreading) rumourTargets() []spread.Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.OnChange()
+	return s.table.RumourTargets()
 }
 
 // periodic takes in the newest list of entries and returns whose turn it is.
@@ -83,7 +83,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Set(nodes)
-	n, ok := s.table.Periodic()
+	n, ok := s.table.NextExchange()
 	if !ok {
 		return nil
 	}
@@ -122,7 +122,7 @@
 	}
 	limited, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	err = peer.Exchange(limited, peerpb.NewPeerClient(cc), &e.store, &e.clock, e.now)
+	err = peer.SyncConfig(limited, peerpb.NewPeerClient(cc), &e.store, &e.clock, e.now)
 	if ctx.Err() != nil {
 		return
 	}
@@ -132,21 +132,21 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.Answered(n.Name, err == nil)
+	s.table.RecordResponse(n.Name, err == nil)
 }
 
-// refresh asks some peers for their configuration before a change is written.
-func (s *spreading) refresh(ctx context.Context) {
+// syncPeers asks some peers for their configuration before a change is written.
+func (s *spreading) syncPeers(ctx context.Context) {
 	s.mu.Lock()
-	nodes := s.table.Ask(refreshPeers)
+	nodes := s.table.SamplePeers(syncPeerCount)
 	s.mu.Unlock()
 	s.exchange(ctx, nodes)
 }
 
-func (s *spreading) watches() bool {
+func (s *spreading) isReader() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Watches()
+	return s.table.IsReader()
 }
 
 // read follows the platform's document while this entry is one of its data
@@ -158,7 +158,7 @@
 		now := s.entry.now()
 		s.reach()
 		switch {
-		case s.watches():
+		case s.isReader():
 			last = now
 			if w == nil {
 				w = s.startReading(ctx)
@@ -206,7 +206,7 @@
 	e := s.entry
 	w := &config.Watcher{
 		Source: e.platform, Writer: e.writer,
-		Period: watchPeriod, Timeout: process.PlatformTimeout, Now: e.now,
+		ReadInterval: watchPeriod, Timeout: process.PlatformTimeout, Now: e.now,
 		Log: e.Log, Metrics: e.Registry,
 	}
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/frontend/follow_test.go
+++ b/internal/frontend/follow_test.go
@@ -112,6 +112,7 @@
 	reader := (&readers.SourceSelector{Self: "entry0"}).Source(names(entries[0].members.all()), boottime.Now())
 	remaining := make([]*entry, 0, len(entries))
 	for i, e := range entries {
+		// An empty reader means that entry0 polls the store itself.
 		if name := fmt.Sprint("entry", i); name == reader || reader == "" && i == 0 {
 			e.stop()
 			continue
@@ -135,7 +136,7 @@
 	s.store.Put("op/config", config(3, `"k1"`))
 	for _, e := range remaining {
 		s.eventually("the next change is in force", func() bool { return e.hasVersion(3) })
-		s.eventually("keys are accepted", func() bool { return e.freshness.Age(boottime.Now()) < e.relay.KeyAge() })
+		s.eventually("keys are accepted", func() bool { return e.freshness.Age(boottime.Now()) < e.relay.MaxKeyAge() })
 	}
 }
 
@@ -146,7 +147,7 @@
 	entries := s.startEntries(4)
 	s.store.SetFault(standin.Busy)
 	s.store.Put("op/config", config(2, `"k2"`))
-	time.Sleep(entries[0].relay.KeyAge() + 500*time.Millisecond)
+	time.Sleep(entries[0].relay.MaxKeyAge() + 500*time.Millisecond)
 	for i, e := range entries {
 		if a := e.request(context.Background(), "/look/1", fmt.Sprint("late", i), "k1"); a.status == 200 {
 			t.Errorf("entry %d accepts a revoked key", i)
@@ -183,7 +184,7 @@
 		f := &Frontend{Settings: &settings.Relay{}, Log: process.NewBoundedLog("entry", "a"), Output: io.Discard}
 		f.Settings.PlatformAddresses = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}
 		f.build()
-		f.peerConns = &peer.Conns{}
+		f.peerConns = &peer.ConnPool{}
 		ep := standin.StartEndpoint("i-1", 1)
 		t.Cleanup(ep.Close)
 		key, value := ep.Entry("s", "a", "ready")
--- a/internal/frontend/leave.go
+++ b/internal/frontend/leave.go
@@ -6,7 +6,7 @@
 	// drainAcceptTime is how long a draining entry still accepts requests as usual: the
 	// platform's balancer checks readiness once per second and sends new connections
 	// until two consecutive checks fail. When most entries of a data centre drain at
-	// once, it keeps sending; a stream that began after this time would outlast the
+	// once, the balancer keeps sending; a stream that began after this time would outlast the
 	// time until the process is killed, whereas another entry serves its caller
 	// immediately.
 	drainAcceptTime = 2800 * time.Millisecond
@@ -24,12 +24,12 @@
 func (f *Frontend) drain() {
 	start := time.Now()
 	f.stopping.Store(true)
-	f.callerServer.Announce()
-	f.Log.WithField("running", f.callerServer.Running()).Info("relay draining")
+	f.callerServer.StartDraining()
+	f.Log.WithField("running", f.callerServer.ActiveRequests()).Info("relay draining")
 	deadline := start.Add(f.bounds.Load().Grace - graceMargin)
 	idleSince := time.Time{}
 	for now := start; now.Before(deadline); now = time.Now() {
-		if f.callerServer.Running() > 0 {
+		if f.callerServer.ActiveRequests() > 0 {
 			idleSince = time.Time{}
 		} else if idleSince.IsZero() {
 			idleSince = now
@@ -43,5 +43,5 @@
 		}
 		time.Sleep(drainPollInterval)
 	}
-	f.Log.WithField("running", f.callerServer.Running()).Info("relay stopping")
+	f.Log.WithField("running", f.callerServer.ActiveRequests()).Info("relay stopping")
 }
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -20,8 +20,9 @@
 	// maxPartsPerMessage keeps a message with parts of up to a megabyte each below
 	// maxMessageBytes.
 	maxPartsPerMessage = 4
-	// maxSyncRounds bounds the calls of one exchange, which transfers the head, the
-	// rest of the head and the parts.
+	// maxSyncRounds bounds the calls of one exchange. An exchange transfers the
+	// digests, then a delta of the head or, if that can't be applied, the whole head,
+	// and the parts.
 	maxSyncRounds = 8
 )
 
@@ -32,7 +33,7 @@
 	Name       string
 	DataCentre string
 	Clock      *timeline.Clock
-	Ring       *timeline.Ring
+	Events     *timeline.Ring
 	Store      *config.Store
 	// State returns the status of the process; it must not be nil.
 	State func() *peerpb.StatusReply
@@ -45,7 +46,7 @@
 // Sync implements peerpb.PeerServer.
 func (s *Service) Sync(_ context.Context, r *peerpb.SyncRequest) (*peerpb.SyncReply, error) {
 	s.Clock.Observe(timeline.Stamp(r.GetHlc()), s.Now())
-	msg, parts, err := s.Store.Exchange(r.GetHead(), r.GetWantParts())
+	msg, parts, err := s.Store.HandleMessage(r.GetHead(), r.GetWantParts())
 	if err != nil {
 		return nil, result.New(result.MalformedMsg, err.Error())
 	}
@@ -54,13 +55,13 @@
 		Hlc:       uint64(s.Clock.Next(s.Now())),
 		Head:      msg,
 		Parts:     limitParts(parts),
-		WantParts: s.Store.Current().Missing(),
+		WantParts: s.Store.Current().MissingParts(),
 	}, nil
 }
 
 func storeParts(s *config.Store, parts map[string][]byte) {
 	for _, b := range parts {
-		s.Offer(config.Head{}, b)
+		s.Merge(config.Head{}, b)
 	}
 }
 
@@ -81,20 +82,20 @@
 // ConfigDigest returns a digest of everything that a store holds. Two processes whose
 // digests differ have data to exchange.
 func ConfigDigest(s *config.Store) uint64 {
-	h := xxhash.Sum64(s.Summary())
-	return h + uint64(len(s.Current().Missing()))
+	h := xxhash.Sum64(s.DigestMessage())
+	return h + uint64(len(s.Current().MissingParts()))
 }
 
-// Exchange synchronizes the configurations of this process and a peer: both then hold
-// the join of the two. It stops after maxSyncRounds calls.
-func Exchange(ctx context.Context, c peerpb.PeerClient, s *config.Store, clock *timeline.Clock, now func() time.Time) error {
-	msg := s.Summary()
+// SyncConfig synchronizes the configurations of this process and a peer: both then
+// hold the join of the two. It stops after maxSyncRounds calls.
+func SyncConfig(ctx context.Context, c peerpb.PeerClient, s *config.Store, clock *timeline.Clock, now func() time.Time) error {
+	msg := s.DigestMessage()
 	var partsToSend map[string][]byte
 	for range maxSyncRounds {
 		req := &peerpb.SyncRequest{
 			Hlc:       uint64(clock.Next(now())),
 			Head:      msg,
-			WantParts: s.Current().Missing(),
+			WantParts: s.Current().MissingParts(),
 			Parts:     partsToSend,
 		}
 		reply, err := c.Sync(ctx, req)
@@ -102,7 +103,7 @@
 			return err
 		}
 		clock.Observe(timeline.Stamp(reply.GetHlc()), now())
-		msg, err = s.Finish(reply.GetHead(), reply.GetParts())
+		msg, err = s.HandleReply(reply.GetHead(), reply.GetParts())
 		if err != nil {
 			return err
 		}
@@ -111,7 +112,7 @@
 			return nil
 		}
 		if msg == nil {
-			msg = s.Summary()
+			msg = s.DigestMessage()
 		}
 	}
 	return nil
@@ -134,7 +135,7 @@
 	if d := r.GetDataCentre(); d != "" && d != s.DataCentre {
 		return nil
 	}
-	events := s.Ring.Select(timeline.Filter{
+	events := s.Events.Select(timeline.Filter{
 		RequestID: r.GetRequestId(),
 		Endpoint:  r.GetEndpoint(),
 		Kind:      timeline.Kind(r.GetKind()),
--- a/internal/platform/claim/loop.go
+++ b/internal/platform/claim/loop.go
@@ -6,16 +6,15 @@
 	"time"
 
 	"github.com/hyssoprelay/hyssoprelay/internal/pause"
-
 	"github.com/hyssoprelay/hyssoprelay/internal/platform"
 	"github.com/hyssoprelay/hyssoprelay/pkg/result"
 )
 
 const (
-	// MaxBatch is the maximum number of operations per transaction: the
+	// MaxBatchOps is the maximum number of operations per transaction: the
 	// service's limit less the operations of the largest nested transaction,
 	// which the service counts too.
-	MaxBatch = platform.MaxTxnOps - nestedOps
+	MaxBatchOps = platform.MaxTxnOps - nestedOps
 
 	// maxBatchBytes keeps a transaction below the service's request size limit
 	// of a megabyte and a half.
@@ -23,19 +22,19 @@
 )
 
 // The wait after a failed transaction doubles from minBackoff up to maxBackoff.
-// It limits the load on a failing service, and a recovered service is used again
-// within a second, inside the usual window.
+// It limits the load on a failing service. A recovered service is used again
+// within a second, which is less than DispatchWindow.
 const (
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = time.Second
 )
 
 // Run sends queued operations until ctx ends. Claims that still wait then get
-// NotMade if none of their sends may have had an effect, otherwise Unknown. It
-// returns ErrFields if a required field is not set.
+// NotClaimed if none of their sends may have had an effect, otherwise Unknown.
+// It returns ErrMissingFields if a required field is not set.
 func (b *Batcher) Run(ctx context.Context) error {
-	if b.KV == nil || b.Now == nil || b.Window <= 0 || b.Retention <= 0 || b.MaxQueue <= 0 || b.MaxBacklog <= 0 {
-		return ErrFields
+	if b.KV == nil || b.Now == nil || b.DispatchWindow <= 0 || b.Retention <= 0 || b.MaxQueue <= 0 || b.MaxBacklog <= 0 {
+		return ErrMissingFields
 	}
 	b.init()
 	backoff := time.Duration(0)
@@ -76,12 +75,12 @@
 // nextBatch removes the next batch from the queues. If there is nothing to send
 // yet, it returns how long the oldest outcome may still wait.
 //
-// Claims and outcomes may exceed the writes that the service can take, so they
-// share transactions: writes grow with the number of agents and not with the
+// There may be more claims and outcomes than the service can handle writes, so
+// they share transactions: writes grow with the number of agents and not with the
 // number of requests. Claims go first, because callers wait for them. Half of
 // the batch is reserved for outcomes, because a backlog that only grows would
 // eventually drop outcomes. A batch holds each key at most once: the service
-// refuses a transaction that writes a key twice, and with it all operations of
+// rejects a transaction that writes a key twice, and with it all operations of
 // the batch.
 func (b *Batcher) nextBatch(now time.Time) ([]*op, time.Duration) {
 	b.mu.Lock()
@@ -89,23 +88,23 @@
 	if wait := b.lingerRemaining(now); len(b.pendingClaims) == 0 && (len(b.pendingOutcomes) == 0 || wait > 0) {
 		return nil, wait
 	}
-	p := batchBuilder{keys: make(map[Key]bool)}
-	reservedForOutcomes := min(len(b.pendingOutcomes), MaxBatch/2)
-	b.pendingClaims = p.addOps(b.pendingClaims, MaxBatch-reservedForOutcomes)
-	b.pendingOutcomes = p.addOps(b.pendingOutcomes, MaxBatch)
-	for _, o := range p.batch {
+	builder := batchBuilder{keys: make(map[Key]bool)}
+	reservedForOutcomes := min(len(b.pendingOutcomes), MaxBatchOps/2)
+	b.pendingClaims = builder.addOps(b.pendingClaims, MaxBatchOps-reservedForOutcomes)
+	b.pendingOutcomes = builder.addOps(b.pendingOutcomes, MaxBatchOps)
+	for _, o := range builder.batch {
 		o.inFlight = true
 		if _, ok := o.mutation.(createClaim); !ok {
 			b.inFlightOutcomes++
 		}
 	}
-	return p.batch, 0
+	return builder.batch, 0
 }
 
 // lingerRemaining returns how long the oldest outcome may still wait for a
 // claim. Zero or less means that outcomes are due or that there are none.
 func (b *Batcher) lingerRemaining(now time.Time) time.Duration {
-	if len(b.pendingOutcomes) == 0 || len(b.pendingOutcomes) >= MaxBatch {
+	if len(b.pendingOutcomes) == 0 || len(b.pendingOutcomes) >= MaxBatchOps {
 		return 0
 	}
 	return b.pendingOutcomes[0].queuedAt.Add(b.Linger).Sub(now)
@@ -120,19 +119,20 @@
 
 // addOps moves operations into the batch until it holds limit operations, and
 // returns the others. It leaves out operations whose key is already in the
-// batch or that would exceed maxBatchBytes.
-func (p *batchBuilder) addOps(ops []*op, limit int) []*op {
+// batch or that would exceed maxBatchBytes. The size of an operation is an
+// estimate: its answer in base64 and an allowance for the rest.
+func (b *batchBuilder) addOps(ops []*op, limit int) []*op {
 	var remaining []*op
 	for _, o := range ops {
 		r := recordOf(o.mutation)
 		size := len(r.answer.Body)*4/3 + maxRecordBytes/16
-		if len(p.batch) >= limit || p.keys[r.key] || p.bytes+size > maxBatchBytes {
+		if len(b.batch) >= limit || b.keys[r.key] || b.bytes+size > maxBatchBytes {
 			remaining = append(remaining, o)
 			continue
 		}
-		p.keys[r.key] = true
-		p.bytes += size
-		p.batch = append(p.batch, o)
+		b.keys[r.key] = true
+		b.bytes += size
+		b.batch = append(b.batch, o)
 	}
 	return remaining
 }
@@ -167,8 +167,8 @@
 	return err == nil
 }
 
-// requeueLeaseOps returns the operations that need a lease to their queue, and
-// returns the others.
+// requeueLeaseOps requeues the operations that need a lease and returns the
+// others.
 func (b *Batcher) requeueLeaseOps(batch []*op) []*op {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -191,10 +191,10 @@
 	b.stopped = true
 	for _, o := range b.pendingClaims {
 		if o.mayHaveApplied {
-			o.verdict <- Unknown{Err: errors.New("the agent stopped before the platform answered")}
+			o.resultCh <- Unknown{Err: errors.New("the agent stopped before the platform answered")}
 			continue
 		}
-		o.verdict <- NotMade{Err: result.New(result.ShuttingDown, "claims have stopped")}
+		o.resultCh <- NotClaimed{Err: result.New(result.ShuttingDown, "claims have stopped")}
 	}
 	b.pendingClaims = nil
 	if n := len(b.pendingOutcomes); n > 0 {
--- a/internal/platform/claim/settle.go
+++ b/internal/platform/claim/settle.go
@@ -38,15 +38,15 @@
 	b.pendingOutcomes = append([]*op{o}, b.pendingOutcomes...)
 }
 
-// handleError handles an operation whose transaction was refused or got no
+// handleError handles an operation whose transaction was rejected or got no
 // reply. The caller must hold mu.
 //
-// A claim gets NotMade only if each of its sends is known to have had no
+// A claim gets NotClaimed only if each of its sends is known to have had no
 // effect. After a send whose outcome is unknown, the claim stays queued until a
 // reply settles it or its caller stops waiting.
 func (b *Batcher) handleError(o *op, err error) {
-	notMade := result.CodeOf(err) == result.PlatformDown
-	if !notMade {
+	hadNoEffect := result.CodeOf(err) == result.PlatformDown
+	if !hadNoEffect {
 		o.mayHaveApplied = true
 	}
 	if _, ok := o.mutation.(createClaim); !ok {
@@ -60,23 +60,23 @@
 		b.requeue(o)
 	case !o.abandoned:
 		o.inFlight = false
-		o.verdict <- NotMade{Err: err}
+		o.resultCh <- NotClaimed{Err: err}
 	}
 }
 
 // handleReply handles an operation whose transaction got a reply. The caller
 // must hold mu.
 func (b *Batcher) handleReply(o *op, r platform.TxnReply) {
-	switch s := o.mutation.(type) {
+	switch m := o.mutation.(type) {
 	case createClaim:
-		b.finishClaim(o, s, r)
+		b.finishClaim(o, m, r)
 	case storeOutcome:
 		b.inFlightOutcomes--
-		stored, next := s.interpretReply(r)
+		stored, next := m.interpretReply(r)
 		b.finishOutcome(o, stored, next)
 	case closeKey:
 		b.inFlightOutcomes--
-		if next := s.interpretReply(r); next != nil {
+		if next := m.interpretReply(r); next != nil {
 			b.enqueueBackground(next, o.queuedAt)
 		}
 	}
@@ -110,12 +110,12 @@
 	g, granted := v.(Granted)
 	if granted {
 		g.Grant.firstSentAt = o.firstSentAt
-		g.Grant.window = b.Window
+		g.Grant.dispatchWindow = b.DispatchWindow
 		v = g
 	}
 	o.inFlight = false
 	if !o.abandoned {
-		o.verdict <- v
+		o.resultCh <- v
 		return
 	}
 	if granted {
--- a/internal/platform/config/change.go
+++ b/internal/platform/config/change.go
@@ -8,7 +8,8 @@
 )
 
 // Change is an operator's change of the configuration: a PutPreset,
-// SwitchPreset, TakeOut or BringIn.
+// SwitchPreset, TakeOutOfService or ReturnToService. The unexported changes are
+// made by a Writer itself when it repairs the document.
 type Change interface{ isChange() }
 
 // PutPreset stores a preset or replaces the body of a stored one. The first
@@ -22,12 +23,12 @@
 // SwitchPreset makes the named preset the one in force.
 type SwitchPreset struct{ Name string }
 
-// TakeOut takes a target out of service.
-type TakeOut struct{ Target Target }
+// TakeOutOfService takes a target out of service.
+type TakeOutOfService struct{ Target Target }
 
-// BringIn brings a target back into service. It removes every entry in the
-// document that keeps the target out of service.
-type BringIn struct{ Target Target }
+// ReturnToService returns a target to service. It removes every entry in
+// the document that keeps the target out of service.
+type ReturnToService struct{ Target Target }
 
 // releaseHold records the release of a hold in the document. It removes the
 // entry made by that hold, if the document has one, and no other.
@@ -36,12 +37,12 @@
 // recordJoin gives the join of concurrent heads a generation of its own.
 type recordJoin struct{}
 
-func (PutPreset) isChange()    {}
-func (SwitchPreset) isChange() {}
-func (TakeOut) isChange()      {}
-func (BringIn) isChange()      {}
-func (releaseHold) isChange()  {}
-func (recordJoin) isChange()   {}
+func (PutPreset) isChange()        {}
+func (SwitchPreset) isChange()     {}
+func (TakeOutOfService) isChange() {}
+func (ReturnToService) isChange()  {}
+func (releaseHold) isChange()      {}
+func (recordJoin) isChange()       {}
 
 // Order is a change submitted by an operator.
 type Order struct {
@@ -60,33 +61,33 @@
 // order that no head can accept.
 func (o Order) validate() error {
 	if !validName(o.ChangeID) {
-		return result.New(result.MalformedOrder, "the change id must be 1 to 64 printable ASCII characters other than space, quotes, <, >, & and backslash")
+		return result.New(result.MalformedOrder, "the change id must be 1 to 64 printable characters without spaces and quotes")
 	}
 	if !validName(o.By) {
-		return result.New(result.MalformedOrder, "the operator name must be 1 to 64 printable ASCII characters other than space, quotes, <, >, & and backslash")
+		return result.New(result.MalformedOrder, "the operator must be 1 to 64 printable characters without spaces and quotes")
 	}
 	name := ""
 	switch c := o.Change.(type) {
 	case PutPreset:
 		name = c.Name
-		if len(c.Body) > MaxPart {
-			return result.Newf(result.BodyTooLarge, "the preset has %d bytes, the maximum is %d", len(c.Body), MaxPart)
+		if len(c.Body) > MaxPartBytes {
+			return result.Newf(result.BodyTooLarge, "%d bytes, at most %d", len(c.Body), MaxPartBytes)
 		}
 	case SwitchPreset:
 		name = c.Name
-	case TakeOut:
+	case TakeOutOfService:
 		name = c.Target.name
-	case BringIn:
+	case ReturnToService:
 		name = c.Target.name
 	case releaseHold:
 		name = c.holdID
 	case recordJoin:
 		return nil
 	default:
-		return result.New(result.MalformedOrder, "the order contains no change")
+		return result.New(result.MalformedOrder, "the order names no change")
 	}
 	if !validName(name) {
-		return result.Newf(result.MalformedOrder, "%q is not a valid name", name)
+		return result.Newf(result.MalformedOrder, "%q is not a name", name)
 	}
 	return nil
 }
@@ -99,7 +100,7 @@
 		return Head{}, err
 	}
 	if h.dot.generation == maxGeneration {
-		return Head{}, result.New(result.MalformedOrder, "the generation has reached its maximum")
+		return Head{}, result.New(result.MalformedOrder, "the generation can't grow any more")
 	}
 	next := h
 	next.dot = Dot{generation: h.dot.generation + 1, changeID: o.ChangeID}
@@ -118,12 +119,12 @@
 		return h.putPreset(old, c)
 	case SwitchPreset:
 		return h.switchPreset(c.Name)
-	case TakeOut:
-		return h.takeOut(old, Out{target: c.Target, dot: h.dot, by: o.By, at: truncateToMicros(now)})
-	case BringIn:
-		h.outOfService = removeEntries(old.outOfService, func(p Out) bool { return p.target == c.Target })
+	case TakeOutOfService:
+		return h.takeOutOfService(old, OutOfServiceEntry{target: c.Target, dot: h.dot, by: o.By, at: truncateToMicros(now)})
+	case ReturnToService:
+		h.outOfService = removeEntries(old.outOfService, func(p OutOfServiceEntry) bool { return p.target == c.Target })
 	case releaseHold:
-		h.outOfService = removeEntries(old.outOfService, func(p Out) bool { return p.dot.changeID == c.holdID })
+		h.outOfService = removeEntries(old.outOfService, func(p OutOfServiceEntry) bool { return p.dot.changeID == c.holdID })
 		h.recordSettled(old, c.holdID, o.ChangeID)
 	}
 	return nil
@@ -138,7 +139,7 @@
 	}
 	m[c.Name] = Preset{name: c.Name, digest: Digest(c.Body), since: h.dot.generation}
 	if len(m) > maxPresets {
-		return result.Newf(result.MalformedOrder, "the maximum of %d presets is reached", maxPresets)
+		return result.Newf(result.MalformedOrder, "there are %d presets already", maxPresets)
 	}
 	h.presets = sortedPresets(m)
 	if h.inForce != "" {
@@ -156,13 +157,13 @@
 	return nil
 }
 
-// takeOut adds an entry even if the target is already out of service, so that
-// this order prevails over a concurrent order to bring the target in, which has
-// not seen the new entry.
-func (h *Head) takeOut(old Head, o Out) error {
-	entries := removeEntries(old.outOfService, func(p Out) bool { return p.target == o.target })
+// takeOutOfService adds an entry even if the target is already out of service,
+// so that this order prevails over a concurrent order to return the target
+// to service, which has not seen the new entry.
+func (h *Head) takeOutOfService(old Head, o OutOfServiceEntry) error {
+	entries := removeEntries(old.outOfService, func(p OutOfServiceEntry) bool { return p.target == o.target })
 	if len(entries) == maxOutOfService {
-		return result.Newf(result.MalformedOrder, "the maximum of %d targets out of service is reached", maxOutOfService)
+		return result.Newf(result.MalformedOrder, "%d targets are out already", maxOutOfService)
 	}
 	entries = append(entries, o)
 	sort.Slice(entries, func(i, j int) bool { return entries[i].less(entries[j]) })
@@ -175,7 +176,7 @@
 // holds to the list of settled orders. That list reaches further back than the
 // list of recent changes: a process that was disconnected for a long time must
 // still find its hold there, or it would take the target out of service again
-// after others have brought it in.
+// after others have returned it to service.
 func (h *Head) recordSettled(old Head, ids ...string) {
 	h.settled = old.settled
 	for _, id := range ids {
@@ -187,8 +188,8 @@
 }
 
 // removeEntries returns the entries for which drop returns false.
-func removeEntries(entries []Out, drop func(Out) bool) []Out {
-	var kept []Out
+func removeEntries(entries []OutOfServiceEntry, drop func(OutOfServiceEntry) bool) []OutOfServiceEntry {
+	var kept []OutOfServiceEntry
 	for _, o := range entries {
 		if !drop(o) {
 			kept = append(kept, o)
--- a/internal/platform/config/delta.go
+++ b/internal/platform/config/delta.go
@@ -7,8 +7,9 @@
 )
 
 // deltaJSON is the difference between a document known to the peer and a newer
-// one. Sending the whole document of 15 to 30 KB for each of 36,000 changes a
-// day would exceed the 7 KB/s that a node may use for control traffic.
+// one. Receiving and sending the whole document of 15 to 30 KB in each process
+// for each of 36,000 changes a day would exceed the 7 KB/s that a node may use
+// for control traffic.
 //
 // The receiver compares the digest of the resulting state with the digest in
 // the message and requests the whole document if they differ.
@@ -56,8 +57,8 @@
 	return slices.DeleteFunc(all, func(p presetJSON) bool { return slices.Contains(old, p) })
 }
 
-func addedOutEntries(old, all []outEntryJSON) []outEntryJSON {
-	return slices.DeleteFunc(all, func(o outEntryJSON) bool { return slices.Contains(old, o) })
+func addedOutEntries(old, all []outOfServiceJSON) []outOfServiceJSON {
+	return slices.DeleteFunc(all, func(o outOfServiceJSON) bool { return slices.Contains(old, o) })
 }
 
 func addedDots(old, all []dotJSON) []dotJSON {
@@ -102,7 +103,7 @@
 	return all
 }
 
-func compareOutEntries(a, b outEntryJSON) int {
+func compareOutEntries(a, b outOfServiceJSON) int {
 	return cmp.Or(
 		cmp.Compare(a.Kind, b.Kind),
 		cmp.Compare(a.Name, b.Name),
--- a/internal/platform/config/exchange.go
+++ b/internal/platform/config/exchange.go
@@ -7,13 +7,13 @@
 	"fmt"
 )
 
-// maxMessage is the maximum size of an exchange message in bytes.
-const maxMessage = MaxHead + maxHolds*1<<10
+// maxMessageBytes is the maximum size of an exchange message in bytes.
+const maxMessageBytes = MaxHeadBytes + maxHolds*1<<10
 
-// maxReplyParts limits the total size in bytes of the parts in one reply, to
+// maxReplyPartBytes limits the total size in bytes of the parts in one reply, to
 // stay below the message size that peers accept. The peer requests the
 // remaining parts with its next message.
-const maxReplyParts = 2 * MaxPart
+const maxReplyPartBytes = 2 * MaxPartBytes
 
 // message is sent between peers. It always contains the digest of the sender's
 // state. If the receiver lacks something, it also contains the holds and either
@@ -31,12 +31,12 @@
 	Whole bool `json:"whole,omitempty"`
 }
 
-// Summary returns the message that starts an exchange, which must not be
+// DigestMessage returns the message that starts an exchange, which must not be
 // modified. It is encoded once per change of the configuration.
-func (s *Store) Summary() []byte { return s.Current().summary }
+func (s *Store) DigestMessage() []byte { return s.Current().digestMessage }
 
-// State returns a message with the whole document and all holds.
-func (s *Store) State() []byte { return fullMessage(s.Current()) }
+// FullMessage returns a message with the whole document and all holds.
+func (s *Store) FullMessage() []byte { return fullMessage(s.Current()) }
 
 func fullMessage(c *Snapshot) []byte {
 	return mustMarshal(message{
@@ -66,11 +66,11 @@
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-// Exchange processes a peer's message. It joins the peer's state into the store
-// and returns the reply and those wanted parts that are known, up to
-// maxReplyParts bytes. For a message that cannot be decoded the error wraps
+// HandleMessage processes a peer's message. It joins the peer's state into the
+// store and returns the reply and those wanted parts that are known, up to
+// maxReplyPartBytes. For a message that cannot be decoded the error wraps
 // ErrMalformed or ErrTooLarge.
-func (s *Store) Exchange(msg []byte, want []string) ([]byte, map[string][]byte, error) {
+func (s *Store) HandleMessage(msg []byte, want []string) ([]byte, map[string][]byte, error) {
 	r, err := s.receive(msg)
 	if err != nil {
 		return nil, nil, err
@@ -79,45 +79,45 @@
 	parts := selectParts(c, want)
 	switch {
 	case r.digest == c.digest:
-		return c.summary, parts, nil
-	case r.fullRequested:
+		return c.digestMessage, parts, nil
+	case r.wholeRequested:
 		return fullMessage(c), parts, nil
 	case r.deltaRejected:
-		return fullRequest(c), parts, nil
+		return wholeRequest(c), parts, nil
 	}
 	if base := s.peerState(r); base != nil {
 		return deltaMessage(base, c), parts, nil
 	}
 	// The peer's state is unknown here. The peer replies with a delta if it
 	// knows the state with this digest, or else with its whole document.
-	return c.summary, parts, nil
+	return c.digestMessage, parts, nil
 }
 
-// Finish processes a peer's reply to Summary, State or an earlier result of
-// Finish. It returns the message to send next, or nil if the exchange is
-// complete. The errors are those of Exchange.
-func (s *Store) Finish(reply []byte, parts map[string][]byte) ([]byte, error) {
+// HandleReply processes a peer's reply to DigestMessage, FullMessage or an
+// earlier result of HandleReply. It returns the message to send next, or nil if
+// the exchange is complete. The errors are those of HandleMessage.
+func (s *Store) HandleReply(reply []byte, parts map[string][]byte) ([]byte, error) {
 	r, err := s.receive(reply)
 	if err != nil {
 		return nil, err
 	}
 	for _, b := range parts {
-		s.Offer(Head{}, b)
+		s.Merge(Head{}, b)
 	}
 	c := s.Current()
 	switch {
 	case r.digest == c.digest:
 		return nil, nil
 	case r.deltaRejected:
-		return fullRequest(c), nil
+		return wholeRequest(c), nil
 	}
-	if base := s.peerState(r); base != nil && !r.fullRequested {
+	if base := s.peerState(r); base != nil && !r.wholeRequested {
 		return deltaMessage(base, c), nil
 	}
 	return fullMessage(c), nil
 }
 
-func fullRequest(c *Snapshot) []byte {
+func wholeRequest(c *Snapshot) []byte {
 	return mustMarshal(message{Digest: c.digest, Whole: true})
 }
 
@@ -125,8 +125,8 @@
 type receivedMessage struct {
 	digest string
 	// state is the peer's state, or nil if the message does not contain it.
-	state         *state
-	fullRequested bool
+	state          *state
+	wholeRequested bool
 	// deltaRejected reports that the delta of the message could not be applied.
 	deltaRejected bool
 }
@@ -141,14 +141,14 @@
 
 // receive decodes a message and joins the peer's state into the store.
 func (s *Store) receive(b []byte) (receivedMessage, error) {
-	if len(b) > maxMessage {
-		return receivedMessage{}, fmt.Errorf("%w: message of %d bytes", ErrTooLarge, len(b))
+	if len(b) > maxMessageBytes {
+		return receivedMessage{}, fmt.Errorf("%w: %d bytes", ErrTooLarge, len(b))
 	}
 	var m message
 	if err := strictUnmarshal(b, &m); err != nil {
 		return receivedMessage{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	r := receivedMessage{digest: m.Digest, fullRequested: m.Whole}
+	r := receivedMessage{digest: m.Digest, wholeRequested: m.Whole}
 	if m.Head == nil && m.Delta == nil {
 		return r, nil
 	}
@@ -187,14 +187,13 @@
 	return &state{digest: m.Digest, head: h, holds: holds}
 }
 
-// selectParts returns the wanted parts that are known, up to maxReplyParts
-// bytes.
+// selectParts returns the wanted parts that are known, up to maxReplyPartBytes.
 func selectParts(c *Snapshot, want []string) map[string][]byte {
 	parts := make(map[string][]byte)
 	size := 0
 	for _, d := range want {
 		b, ok := c.parts[d]
-		if !ok || size+len(b) > maxReplyParts {
+		if !ok || size+len(b) > maxReplyPartBytes {
 			continue
 		}
 		parts[d] = b
--- a/internal/platform/config/writer.go
+++ b/internal/platform/config/writer.go
@@ -29,10 +29,10 @@
 	KV platform.KV
 	// Store holds the configuration known to the process.
 	Store *Store
-	// Refresh, if set, exchanges the configuration with peers. It is called
+	// SyncPeers, if set, exchanges the configuration with peers. It is called
 	// before each change, so that even a process that was disconnected while
 	// newer changes were made detects a service restored from an older copy.
-	Refresh func(ctx context.Context)
+	SyncPeers func(ctx context.Context)
 
 	mu        sync.Mutex      // guards lostParts
 	lostParts map[string]bool // digests of parts missing in the service
@@ -60,19 +60,20 @@
 //   - WriteUnknown: the change may have been made, and the service did not
 //     confirm it.
 //   - PlatformRefused: the change was definitely not made.
-//   - HeldLocally: the service did not answer, and the order takes effect here
-//     as a local hold. This applies to an order to take a target out, and to an
-//     order to bring in a target that only local holds keep out. The newest
-//     known document is returned with it.
-//   - DocumentUnreadable: the stored document cannot be decoded; nothing was
-//     changed.
+//   - HeldLocally: the service did not answer, or the stored document cannot be
+//     decoded, and the order takes effect in this process: an order to take a
+//     target out of service becomes a local hold, and an order to return a
+//     target that only local holds keep out of service releases them. The
+//     newest known document is returned with it.
+//   - DocumentUnreadable: the stored document cannot be decoded, and the order
+//     cannot be held locally; nothing was changed.
 //   - The codes of Apply.
 func (w *Writer) Submit(ctx context.Context, o Order, now time.Time) (Head, error) {
 	if err := o.validate(); err != nil {
 		return Head{}, err
 	}
-	if w.Refresh != nil {
-		w.Refresh(ctx)
+	if w.SyncPeers != nil {
+		w.SyncPeers(ctx)
 	}
 	a := &attempt{w: w, order: o, now: now}
 	for {
@@ -112,7 +113,7 @@
 	if err != nil || !ok {
 		return Head{}, false, err
 	}
-	if cur.head.Accepted(a.order.ChangeID) {
+	if cur.head.ListsChange(a.order.ChangeID) {
 		return cur.head, true, nil
 	}
 	if cur.revision != a.pendingRevision {
@@ -122,7 +123,7 @@
 		a.outcomeUnknown = false
 	}
 	if g := a.order.IfGeneration; g != 0 && g != cur.head.Generation() {
-		return Head{}, true, result.Newf(result.Conflict, "the current generation is %d, not %d", cur.head.Generation(), g)
+		return Head{}, true, result.Newf(result.Conflict, "the generation is %d, not %d", cur.head.Generation(), g)
 	}
 	next, err := Apply(cur.head, a.order, a.now)
 	if err != nil {
@@ -142,28 +143,28 @@
 	if err != nil || !ok {
 		return Head{}, false, err
 	}
-	a.offer(next)
+	a.mergeIntoStore(next)
 	return next, true, nil
 }
 
-func (a *attempt) offer(h Head) {
+func (a *attempt) mergeIntoStore(h Head) {
 	if p, put := a.order.Change.(PutPreset); put {
-		a.w.Store.Offer(h, p.Body)
+		a.w.Store.Merge(h, p.Body)
 		return
 	}
-	a.w.Store.Offer(h)
+	a.w.Store.Merge(h)
 }
 
-// failureResult returns the result of a change after the service did not
-// answer. It returns PlatformRefused only if no write of the change was left
-// without a response: an operator who gets PlatformRefused submits the order
-// again, perhaps modified, and if the first one took effect after all it would
-// undo the second.
+// failureResult returns the result of a change that could not be written, where
+// err is the error of the last attempt, if any. It returns PlatformRefused only
+// if no write of the change was left without a response: an operator who gets
+// PlatformRefused submits the order again, perhaps modified, and if the first
+// one took effect after all it would undo the second.
 func (a *attempt) failureResult(err error) (Head, error) {
 	switch c := a.order.Change.(type) {
-	case TakeOut:
+	case TakeOutOfService:
 		return a.holdLocally(c.Target)
-	case BringIn:
+	case ReturnToService:
 		if h, err := a.releaseHolds(c.Target); err != nil {
 			return h, err
 		}
@@ -174,23 +175,23 @@
 	if isUnreadable(err) {
 		return Head{}, err
 	}
-	detail := "the time limit was exceeded"
+	detail := "the time limit passed"
 	if err != nil {
 		detail = err.Error()
 	}
 	return Head{}, result.New(result.PlatformRefused, detail)
 }
 
-// holdLocally enforces an order to take out in this process at once. If an
-// unconfirmed write of the same order did take effect, the document lists its
-// id, and the hold is dropped when the document is received.
+// holdLocally enforces an order to take a target out of service in this process
+// at once. If an unconfirmed write of the same order did take effect, the
+// document lists its id, and the hold is dropped when the document is received.
 func (a *attempt) holdLocally(t Target) (Head, error) {
 	c := a.w.Store.Current()
 	if g := a.order.IfGeneration; g != 0 && g != c.head.Generation() {
 		return Head{}, result.Newf(result.Conflict, "the newest known generation is %d, not %d", c.head.Generation(), g)
 	}
 	if len(c.holds) == maxHolds {
-		return Head{}, result.Newf(result.PlatformRefused, "the maximum of %d local holds is reached", maxHolds)
+		return Head{}, result.Newf(result.PlatformRefused, "there are %d local holds already", maxHolds)
 	}
 	a.w.Store.addHold(newHold(a.order, t, a.now))
 	return c.head, result.New(result.HeldLocally, t.String())
@@ -200,7 +201,7 @@
 // out of service. Its error is nil if there is no hold that can be released.
 func (a *attempt) releaseHolds(t Target) (Head, error) {
 	c := a.w.Store.Current()
-	if a.outcomeUnknown || c.head.IsOut(t) {
+	if a.outcomeUnknown || c.head.IsOutOfService(t) {
 		return Head{}, nil
 	}
 	r := release{changeID: a.order.ChangeID, by: a.order.By}
@@ -247,8 +248,8 @@
 		c = platform.RevisionIs{Key: HeadKey, Revision: cur.revision}
 	}
 	b := next.Encode()
-	if len(b) > MaxHead {
-		return storedHead{}, false, result.Newf(result.MalformedOrder, "the document would have %d bytes, the maximum is %d", len(b), MaxHead)
+	if len(b) > MaxHeadBytes {
+		return storedHead{}, false, result.Newf(result.MalformedOrder, "the document would have %d bytes, at most %d", len(b), MaxHeadBytes)
 	}
 	r, err := w.KV.Txn(ctx, platform.Txn{
 		If:   []platform.Compare{c},
--- a/internal/platform/mirror/copy.go
+++ b/internal/platform/mirror/copy.go
@@ -8,7 +8,7 @@
 )
 
 // maxEvents is the number of changes that a Copy keeps: those of several seconds
-// while a fleet of hundreds of processes starts. A reader that is further behind
+// while a fleet of hundreds of processes starts. A process that is further behind
 // gets the complete state.
 const maxEvents = 1024
 
@@ -32,7 +32,7 @@
 	// separateRevision is the revision of the value of SeparateKey that the process
 	// holds.
 	separateRevision int64
-	// updated, unless nil, is closed by the next call of Apply or Advance.
+	// updated, unless nil, is closed by the next call of Apply or AdvanceSeparate.
 	updated chan struct{}
 }
 
@@ -80,9 +80,9 @@
 	c.advance(u.RequestedAt, u.SeparateRevision)
 }
 
-// Advance records that the process holds the value of SeparateKey at a revision and
-// therefore knows every change made before knownAt.
-func (c *Copy) Advance(knownAt time.Time, separateRevision int64) {
+// AdvanceSeparate records that the process holds the value of SeparateKey at a revision
+// and therefore knows every change made before knownAt.
+func (c *Copy) AdvanceSeparate(knownAt time.Time, separateRevision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.advance(knownAt, separateRevision)
@@ -108,11 +108,12 @@
 }
 
 // Since returns the changes after a revision, or the complete state if known is
-// false or the changes are no longer kept. It reports false before the first update.
+// false, which means that the process has no state yet, or if the changes are no longer
+// kept. It reports false before the first update.
 //
-// A reader that is ahead of the copy gets no changes. RequestedAt still holds for
+// A process that is ahead of the copy gets no changes. RequestedAt still holds for
 // it: all changes made before RequestedAt have revisions up to that of the copy, and
-// so up to that of the reader.
+// so up to that of the process.
 func (c *Copy) Since(after int64, known bool) (Update, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,7 +131,7 @@
 	var changed platform.Changed
 	for _, e := range c.events {
 		if e.revision > after {
-			changed.Order(e.item, e.deleted)
+			changed.Apply(e.item, e.deleted)
 		}
 	}
 	u.KVs, u.Deleted = changed.KVs, changed.Deleted
@@ -145,7 +146,7 @@
 	return c.recoveredAt
 }
 
-// Updated returns a channel that is closed by the next call of Apply or Advance.
+// Updated returns a channel that is closed by the next call of Apply or AdvanceSeparate.
 func (c *Copy) Updated() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/rank/codec_map.go
+++ b/internal/rank/codec_map.go
@@ -18,19 +18,19 @@
 	}
 	for i := range m.Layers() {
 		l := m.Layer(i)
-		same := base != nil && i < base.Layers() && l.SamePlacement(base.Layer(i))
-		p.Layers = append(p.Layers, layerToProto(l, same))
+		samePlacement := base != nil && i < base.Layers() && l.SamePlacement(base.Layer(i))
+		p.Layers = append(p.Layers, layerToProto(l, samePlacement))
 	}
 	return p
 }
 
-func layerToProto(l *expertmap.Layer, same bool) *rankpb.Layer {
+func layerToProto(l *expertmap.Layer, samePlacement bool) *rankpb.Layer {
 	shape := l.Shape()
 	p := &rankpb.Layer{
 		Ranks: uint32(shape.Ranks), Slots: uint32(shape.Slots), Experts: uint32(shape.Experts),
 	}
 	for _, s := range l.Slots() {
-		if !same {
+		if !samePlacement {
 			p.Expert = append(p.Expert, uint32(s.Expert+1))
 		}
 		p.Share = append(p.Share, uint32(s.Share))
@@ -67,7 +67,7 @@
 func layerFromProto(p *rankpb.Layer, base *expertmap.Layer) (*expertmap.Layer, error) {
 	shape := expertmap.Shape{Ranks: int(p.GetRanks()), Slots: int(p.GetSlots()), Experts: int(p.GetExperts())}
 	if max(shape.Ranks, shape.Slots, shape.Experts) > maxLayerDimension {
-		return nil, result.New(result.MalformedMsg, "layer dimension exceeds the limit")
+		return nil, result.New(result.MalformedMsg, "layer sizes")
 	}
 	slots := make([]expertmap.Slot, len(p.GetShare()))
 	for i, share := range p.GetShare() {
@@ -83,7 +83,7 @@
 			slots[i].Expert = s.Expert
 		}
 	default:
-		return nil, result.New(result.MalformedMsg, "layer has neither experts nor a matching base")
+		return nil, result.New(result.MalformedMsg, "a layer without its experts")
 	}
 	l, err := expertmap.NewLayer(shape, slots)
 	if err != nil {
--- a/internal/rank/engine.go
+++ b/internal/rank/engine.go
@@ -11,8 +11,8 @@
 // fencing token; naming.Member checks it first, because some engines do not.
 // Each order is idempotent and may take effect later, even if its call has
 // failed; but not after the ranks to which it was sent have restarted, because
-// it ends with their connection, and no later than Runner.StartDelay after the
-// agent that sent it has ended.
+// it is dropped when their connection ends, and no later than Runner.StartDelay
+// after the agent that sent it has ended.
 type Engine interface {
 	// Stage loads the weights that m needs and keeps m ready. To make room for
 	// three other maps the engine may drop maps, oldest first, except those
@@ -25,10 +25,10 @@
 	// entries for earlier steps and skip to the entry's first step, unless they
 	// have already begun it.
 	Activate(ctx context.Context, e naming.ScheduleEntry, restart bool, token uint64) error
-	// Allow sets the step limit: the ranks may begin steps up to and including
-	// step. Ranks wait before a step that they may not begin or have no map
-	// for. A step lower than the current limit has no effect.
-	Allow(ctx context.Context, step, token uint64) error
+	// SetStepLimit sets the step limit: the ranks may begin steps up to and
+	// including step. Ranks wait before a step that they may not begin or have
+	// no map for. A step lower than the current limit has no effect.
+	SetStepLimit(ctx context.Context, step, token uint64) error
 	// State returns the state that the ranks report.
 	State(ctx context.Context) (naming.EngineState, error)
 	// Counts returns the mean number of tokens per step that the endpoint's
--- a/internal/ranker/loads.go
+++ b/internal/ranker/loads.go
@@ -31,7 +31,8 @@
 	// closed then.
 	lastSent   time.Time
 	lastClosed bool
-	// sentLists records which list of engines each entry has received.
+	// sentLists records which target list, here one of engines, each entry has
+	// received.
 	sentLists fleet.SentLists
 }
 
@@ -109,7 +110,7 @@
 	case err != nil:
 		t.loads.sentLists.Forget(m.Name)
 		t.loads.tree.NoteFailure(m.Name, boottime.Now())
-		t.ranker.conns.DropSilent(m.Address)
+		t.ranker.conns.RemoveUnresponsive(m.Address)
 		t.ranker.Log.WithFields(logrus.Fields{"entry": m.Name, "cause": err.Error()}).Debug("cannot report loads to entry")
 	case resp.GetUnknownList():
 		t.loads.sentLists.Forget(m.Name)
--- a/internal/ranker/orders.go
+++ b/internal/ranker/orders.go
@@ -102,7 +102,9 @@
 	}
 }
 
-// addressedProto encodes an order for a rank that was polled through a delegate.
+// addressedProto encodes an order for a rank that was polled through a delegate. The
+// fencing token and the map of a Prepare are left out, because the SpreadRequest has
+// them once for all orders.
 func addressedProto(ao lockstep.AddressedOrder, target rankReport) *fleetpb.Addressed {
 	order := &fleetpb.Addressed{Order: giveRequestProto(0, ao, &fleetpb.Prepare{}), Direct: target.agent == nil}
 	if order.Direct {
@@ -135,7 +137,7 @@
 		return nil, err
 	}
 	if len(resp.GetReplies()) != len(req.GetOrders()) {
-		return nil, result.Newf(result.MalformedMsg, "Spread returned %d replies to %d orders", len(resp.GetReplies()), len(req.GetOrders()))
+		return nil, result.Newf(result.MalformedMsg, "%d replies to %d orders", len(resp.GetReplies()), len(req.GetOrders()))
 	}
 	return resp.GetReplies(), nil
 }
--- a/internal/ranker/ranker.go
+++ b/internal/ranker/ranker.go
@@ -29,8 +29,8 @@
 	// storeTimeout bounds a call to the store, which answers in milliseconds.
 	storeTimeout = 700 * time.Millisecond
 	// memberPollWait is how long the store may hold a leader's long poll for fleet
-	// members. The answer may be old, because the leader's own polls show which
-	// agents respond.
+	// members. An outdated list does no harm, because the leader's own polls show
+	// which agents respond.
 	memberPollWait = 10 * time.Second
 	// memberPollSettle is how long the leader waits after a change of members before
 	// it polls again, so that one poll returns several changes.
@@ -44,7 +44,8 @@
 	leaseTTL = 1200 * time.Millisecond
 	// renewInterval leaves time for two further renewal attempts within leaseTTL.
 	renewInterval = 350 * time.Millisecond
-	// engineTimeout bounds a call to the engine on the same VM.
+	// engineTimeout bounds a call to the engine on the same VM, and a leader's calls
+	// to engines on other VMs.
 	engineTimeout = 150 * time.Millisecond
 	// ownPollInterval is how often an agent polls its own engine for the group it
 	// belongs to and checks whether the group has a leader.
@@ -66,7 +67,7 @@
 	store    *platform.Store
 	engine   *platform.Engine
 	peers    *peer.Server
-	conns    *peer.Conns
+	conns    *peer.ConnPool
 	counters counters
 	// leader tracks which agent leads the group.
 	leader leaderTracker
@@ -120,7 +121,7 @@
 	r.lapsed = map[string]lapsedMember{}
 	r.store = &platform.Store{
 		Addr: s.PlatformAddresses[0].String(), Timeout: storeTimeout,
-		Budget: kv.Budget{PerSecond: storeCallsPerSecond}, Metrics: r.Registry,
+		Budget: kv.RateLimiter{PerSecond: storeCallsPerSecond}, Metrics: r.Registry,
 	}
 	r.store.Open()
 	r.engine = &platform.Engine{Addr: s.EndpointAddress.String(), Timeout: engineTimeout}
@@ -128,7 +129,7 @@
 	r.countHistory = newCountHistory(boottime.Now())
 	r.delegate = newDelegate(r)
 	r.groupKnown = make(chan struct{})
-	r.conns = &peer.Conns{}
+	r.conns = &peer.ConnPool{}
 	r.peers = &peer.Server{Addr: s.PeerAddress.String(), Register: func(g grpc.ServiceRegistrar) {
 		fleetpb.RegisterAgentServer(g, &service{ranker: r})
 	}}
@@ -150,8 +151,9 @@
 	})
 }
 
-// resign waits until the term of a leader has ended, so that no step stays held and
-// another agent can lead at once. It waits for at most resignTimeout.
+// resign makes this agent's term end, if it leads a group, and waits for the end, so
+// that no step stays held and another agent can lead at once. It waits for at most
+// resignTimeout.
 func (r *Ranker) resign() {
 	r.stopping.Store(true)
 	deadline := time.Now().Add(resignTimeout)
@@ -173,7 +175,7 @@
 	}
 	registrar := &fleet.Registrar{Store: r.store, OnError: r.logStoreFailure, RenewNow: &r.leaseInDoubt, OnRecovered: r.storeReturned.Raise, Member: fleet.Member{
 		Kind: fleet.Agent, Name: r.Settings.Name, DataCentre: r.Settings.DataCentre,
-		Address: r.peers.Address(), Endpoint: r.Settings.EndpointAddress.String(), Group: group,
+		Address: r.peers.ListenAddr(), Endpoint: r.Settings.EndpointAddress.String(), Group: group,
 	}}
 	return registrar.Run(ctx)
 }
@@ -240,8 +242,8 @@
 	}
 	own := leaderInfo{name: r.Settings.Name, Predecessor: lockstep.Predecessor{Token: token, Rank: s.Rank}}
 	r.leader.observe(own, now)
-	// The own term counts as seen until its end, so that this agent waits as long as
-	// the others before it asks the store again.
+	// This agent counts as seen leading until its term ends, so that it waits as long
+	// as the others before it asks the store again.
 	defer func() { r.leader.observe(own, boottime.Now()) }()
 	r.counters.terms.Inc(1)
 	r.Log.WithFields(logrus.Fields{"group": s.Group, "token": token, "epoch": s.Epoch}).Info("group leadership acquired")
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -24,10 +24,10 @@
 }
 
 var (
-	errUnsigned          = errors.New("relay: successful answer lacks the endpoint's signature")
-	errEncoded           = errors.New("relay: answer has a content encoding that was not requested")
-	errRequestIDMismatch = errors.New("relay: successful answer does not carry the ID of its request")
-	errAnswerTooLarge    = errors.New("relay: answer exceeds the size limit")
+	errUnsigned          = errors.New("relay: a success without the endpoint's signature")
+	errEncoded           = errors.New("relay: the body is encoded, which nobody asked for")
+	errRequestIDMismatch = errors.New("relay: a success that doesn't name its request")
+	errAnswerTooLarge    = errors.New("relay: the answer is too long")
 	errEventOrder        = errors.New("relay: events are missing or out of order")
 )
 
@@ -76,7 +76,7 @@
 
 // endpointRequest returns the caller's request as it is sent to the endpoint.
 func (j *job) endpointRequest(assigned Assignment) *direct.Request {
-	h := caller.EndToEnd(j.raw.Header)
+	h := caller.EndToEndHeaders(j.raw.Header)
 	info := EndpointInfo{Endpoint: assigned.Endpoint.ID, TimeLeft: j.deadline.Sub(j.relay.Now()), Urgency: j.urgency()}
 	if j.account != nil {
 		info.Account = j.account.Name
@@ -170,12 +170,12 @@
 	}
 	now := j.relay.Now()
 	j.relay.State.PartReceived(assigned, now)
-	answer := &BufferedAnswer{Status: resp.Status, Header: caller.EndToEnd(resp.Header), Body: body}
+	answer := &BufferedAnswer{Status: resp.Status, Header: caller.EndToEndHeaders(resp.Header), Body: body}
 	if resp.Status >= http.StatusInternalServerError {
 		return Failed{Answer: answer}
 	}
 	j.firstPartAt = now
-	if err := j.reply.AnswerRaw(answer.Status, answer.Header, body); err != nil {
+	if err := j.reply.SendRaw(answer.Status, answer.Header, body); err != nil {
 		return Disconnected{Cause: err}
 	}
 	return Delivered{}
@@ -222,30 +222,30 @@
 	j.lastPartAt = now
 	if !j.headerSent {
 		j.headerSent, j.firstPartAt = true, now
-		if err := j.reply.BeginRaw(resp.Status, caller.EndToEnd(resp.Header)); err != nil {
+		if err := j.reply.BeginRawStream(resp.Status, caller.EndToEndHeaders(resp.Header)); err != nil {
 			return err
 		}
 	}
 	if ev.HasID {
 		j.lastEventID = ev.ID
 	}
-	return j.reply.Piece(ev.Raw)
+	return j.reply.WriteChunk(ev.Raw)
 }
 
 func (j *job) endStream(resp *direct.Response) Outcome {
 	if !j.headerSent {
-		if err := j.reply.BeginRaw(resp.Status, caller.EndToEnd(resp.Header)); err != nil {
+		if err := j.reply.BeginRawStream(resp.Status, caller.EndToEndHeaders(resp.Header)); err != nil {
 			return Disconnected{Cause: err}
 		}
 		j.headerSent = true
 	}
-	if err := j.reply.End(); err != nil {
+	if err := j.reply.EndStream(); err != nil {
 		return Disconnected{Cause: err}
 	}
 	return Delivered{}
 }
 
-// CloseIdleConns closes idle connections once a second until ctx ends.
+// CloseIdleConns closes the idle connections that have expired, once a second until ctx ends.
 func (r *Relay) CloseIdleConns(ctx context.Context) error {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -32,7 +32,7 @@
 		}
 		ctx, cancel := context.WithCancelCause(t.Context())
 		r := &movableAttempt{
-			service: g.service, query: placement.Query{Tried: []string{assigned.Endpoint.ID}}, assigned: assigned,
+			service: g.service, query: placement.Query{Excluded: []string{assigned.Endpoint.ID}}, assigned: assigned,
 			deadline: start.Add(8 * time.Second), cancel: cancel,
 		}
 		g.st.registerMovable(r)
@@ -92,8 +92,8 @@
 	}
 }
 
-// An engine is half as fast as the others. Guards against moving streams that it can run without
-// exceeding the route's MaxGap.
+// An engine is 2.4 times slower than the others. Guards against moving streams that it can run
+// without exceeding the route's MaxGap.
 func TestOnlyExcessStreamsAreMoved(t *testing.T) {
 	g := newSlowGroup(t, 40)
 	g.report(start, 1, 1, 2.4, 1)
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -40,11 +40,11 @@
 // choose is Choose with mu held, without refreshing the state first.
 func (st *State) choose(service *routing.Service, q placement.Query, now time.Time) (Assignment, *result.Error) {
 	state, closed := st.groupState(service, now)
-	if closed && !st.mayProbe(service, state, len(q.Tried) > 0, now) {
+	if closed && !st.mayProbe(service, state, len(q.Excluded) > 0, now) {
 		return Assignment{}, st.refusal(service.Name, result.GroupClosed, now)
 	}
 	q.Route = service.Name
-	q.Tried = slices.Concat(q.Tried, state.closedEngines)
+	q.Excluded = slices.Concat(q.Excluded, state.closedEngines)
 	st.excludeBeyondQuota(service, &q, now)
 	wait := st.excludeCold(service, &q, now)
 	limited := st.excludeLimited(service, &q, now)
@@ -68,8 +68,9 @@
 }
 
 // assignmentError returns the error for a request that can't be assigned, with a Retry-After time.
-// reason is the balancer's reason, cold the time until a cold endpoint may be sent a request, and
-// limited the effect of limits.
+// reason is the balancer's reason, which is NoEndpoint if there is no endpoint besides the excluded
+// ones. cold is the time until a cold endpoint may be sent a request, and limited the effect of
+// limits.
 func (st *State) assignmentError(service *routing.Service, reason result.Code, cold time.Duration, limited limitState, now time.Time) *result.Error {
 	othersExist := reason != result.NoEndpoint
 	switch {
@@ -105,7 +106,7 @@
 		if st.coldShares.Ready(id, service.ColdRate, n, now) {
 			continue
 		}
-		q.Tried = append(q.Tried, id)
+		q.Excluded = append(q.Excluded, id)
 		if w := st.coldShares.Wait(id, service.ColdRate, n, now); minWait == 0 || w < minWait {
 			minWait = w
 		}
@@ -122,6 +123,7 @@
 		st.latencies.recordFirst(assigned.Endpoint.Service, now.Sub(assigned.assignedAt), now)
 	}
 	st.outages.answered(assigned.Endpoint.Service, now)
+	// An engine that answers belongs to an open group, even if the last report said otherwise.
 	if l := st.loads[assigned.Endpoint.ID]; l.Closed {
 		l.Closed = false
 		st.loads[assigned.Endpoint.ID] = l
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -49,17 +49,17 @@
 // The default of zero accepts none.
 func (r *Relay) SetMaxKeyAge(d time.Duration) { r.maxKeyAge.Store(int64(d)) }
 
-// KeyAge returns the value set by SetMaxKeyAge.
-func (r *Relay) KeyAge() time.Duration { return time.Duration(r.maxKeyAge.Load()) }
+// MaxKeyAge returns the value set by SetMaxKeyAge.
+func (r *Relay) MaxKeyAge() time.Duration { return time.Duration(r.maxKeyAge.Load()) }
 
-// StopAccepting makes the relay answer each further request as not run, because the process is
-// about to exit and could not finish it.
+// StopAccepting makes the relay refuse each further request with result.ShuttingDown, which says
+// that it was not run, because the process is about to exit and could not finish it.
 func (r *Relay) StopAccepting() { r.stopping.Store(true) }
 
 // job is the state of one request.
 type job struct {
 	relay       *Relay
-	raw         *caller.Raw
+	raw         *caller.RawRequest
 	reply       *caller.Reply
 	requestInfo RequestInfo
 	table       *routing.Table
@@ -88,7 +88,7 @@
 }
 
 // Forward implements caller.Forwarder.
-func (r *Relay) Forward(ctx context.Context, raw *caller.Raw, w *caller.Reply) {
+func (r *Relay) Forward(ctx context.Context, raw *caller.RawRequest, w *caller.Reply) {
 	r.State.AwaitReady(ctx, r.Now())
 	now := r.Now()
 	j := &job{relay: r, raw: raw, reply: w, requestInfo: r.HeaderCodec.ReadRequest(raw.Header)}
@@ -100,7 +100,7 @@
 	r.State.CountFirstAttempt(j.service.Name, now)
 	ctx, cancel := context.WithTimeout(ctx, j.deadline.Sub(now))
 	defer cancel()
-	w.Within(ctx)
+	w.SetContext(ctx)
 	j.run(ctx)
 	r.Metrics.decRunning()
 }
@@ -127,7 +127,7 @@
 	if j.service == nil {
 		return result.New(result.NoEndpoint, "the route has no service").WithRetryAfter(retryAfterNoEndpoint)
 	}
-	j.deadline = j.raw.At.Add(j.timeout())
+	j.deadline = j.raw.ReceivedAt.Add(j.timeout())
 	if !now.Before(j.deadline) {
 		return result.New(result.DeadlinePassed, "")
 	}
@@ -155,9 +155,9 @@
 
 // checkKey determines the account of a request that needs one.
 //
-// A revoked key must not be accepted some seconds later, also not by an entry that is cut off from
-// the store or was suspended. Such an entry can't learn of the revocation, so it accepts no key at
-// all when its knowledge is too old.
+// A key must not be accepted for longer than some seconds after it was revoked, even by an entry
+// that is cut off from the store or was suspended. Such an entry can't learn of the revocation, so
+// it accepts no key at all when its knowledge is too old.
 func (j *job) checkKey(now time.Time) *result.Error {
 	if !j.table.NeedsKeys() || j.route.Anonymous {
 		return nil
@@ -173,7 +173,7 @@
 }
 
 func (j *job) checkKeyAge(now time.Time) *result.Error {
-	if j.relay.State.Freshness.Age(now) <= j.relay.KeyAge() {
+	if j.relay.State.Freshness.Age(now) <= j.relay.MaxKeyAge() {
 		return nil
 	}
 	return result.New(result.PlatformDown, "keys can't be checked").WithRetryAfter(retryAfterStale)
