--- a/internal/caller/fuzz_test.go
+++ b/internal/caller/fuzz_test.go
@@ -105,7 +105,7 @@
 // Guards against callers that exhaust the server: by many connections that send one byte at a
 // time, or by a body, headers or a request line without end. Their connections must be closed, and
 // valid requests must be served in the meantime.
-func TestFloodsDontStopOthers(t *testing.T) {
+func TestFloodsDoNotBlockOtherCallers(t *testing.T) {
 	t.Run("slow senders", func(t *testing.T) {
 		s := startFuzzServer(t, 2*time.Second)
 		var conns []net.Conn
--- a/internal/caller/server_test.go
+++ b/internal/caller/server_test.go
@@ -128,7 +128,7 @@
 // Guards against a truncated stream that looks complete. When the endpoint fails in the middle of
 // a stream, the end of the body must be missing. Otherwise the caller's HTTP library would return
 // the partial response as a complete one.
-func TestHalfAnswerIsNotWhole(t *testing.T) {
+func TestPartialResponseIsNotComplete(t *testing.T) {
 	s := startServer(t, func(_ context.Context, _ *Request, w *Reply) {
 		_ = w.BeginStream(http.StatusOK, "text/event-stream", "f")
 		_ = w.WriteChunk([]byte("data: half\n\n"))
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestStreamArrivesPieceByPiece(t *testing.T) {
+func TestStreamIsWrittenPieceByPiece(t *testing.T) {
 	next := make(chan struct{})
 	s := startServer(t, func(_ context.Context, _ *Request, w *Reply) {
 		_ = w.BeginStream(http.StatusOK, "text/event-stream", "f")
@@ -170,7 +170,7 @@
 
 // Guards against an undetected disconnect while a request waits for the endpoint: the engine would
 // continue to compute tokens that nobody reads.
-func TestCallerWhoLeavesEndsTheContext(t *testing.T) {
+func TestDisconnectCancelsContext(t *testing.T) {
 	ended := make(chan struct{})
 	started := make(chan struct{})
 	s := startServer(t, func(ctx context.Context, _ *Request, _ *Reply) {
@@ -190,7 +190,7 @@
 
 // Guards against unbounded buffering: a caller requests a long stream and reads none of it.
 // Without the limit on pending bytes, the entry would hold the whole response in memory.
-func TestSlowCallerIsHeldBack(t *testing.T) {
+func TestSlowCallerGetsBackpressure(t *testing.T) {
 	const total = 256 << 20
 	sent := make(chan int, 1)
 	stalled := make(chan struct{})
@@ -242,7 +242,7 @@
 	}
 }
 
-func TestRequestsSentAheadAreAnsweredInOrder(t *testing.T) {
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	s := startServer(t, func(_ context.Context, r *Request, w *Reply) {
 		w.Send(http.StatusOK, "text/plain", "", r.Body())
 	})
--- a/internal/endpoint/allowance/allowance_test.go
+++ b/internal/endpoint/allowance/allowance_test.go
@@ -83,7 +83,7 @@
 
 // A warm endpoint turns cold without reporting it and crashes if its load stays
 // the same. Each sign of a cold start must reset the limit.
-func TestColdnessIsNoticed(t *testing.T) {
+func TestColdStartResetsLimit(t *testing.T) {
 	limits := Limits{Cold: 2, Full: 8, RampCompletions: 3}
 	for _, tc := range []struct {
 		cause   ColdStartCause
@@ -127,7 +127,7 @@
 
 // A lasting change to longer prompts may cause one cold start, not a series of
 // them.
-func TestLastingSlownessCostsOneColdStart(t *testing.T) {
+func TestLastingSlownessCausesOneColdStart(t *testing.T) {
 	a := newAllowance(t, Limits{Cold: 1, Full: 4, RampCompletions: 1})
 	warmUp(t, a)
 	resets := 0
--- a/internal/endpoint/allowance/burst_test.go
+++ b/internal/endpoint/allowance/burst_test.go
@@ -89,7 +89,7 @@
 
 // An endpoint that was idle for an hour is not stalled: the first requests refused
 // after that must not get a long retry delay.
-func TestIdleTimeIsNoStall(t *testing.T) {
+func TestIdleTimeIsNotAStall(t *testing.T) {
 	a := newAllowance(t, Limits{Cold: 1, Full: 1, RampCompletions: 1})
 	out := simulateBurst(a, 3, 100*time.Millisecond, func(e *result.Error) time.Duration { return e.RetryAfter() })
 	later := start.Add(out.duration + time.Hour)
--- a/internal/endpoint/direct/client_test.go
+++ b/internal/endpoint/direct/client_test.go
@@ -84,7 +84,7 @@
 
 // An endpoint responds to a request twice, and the duplicate is taken for the
 // response to the next request on the connection.
-func TestSecondAnswerBelongsToNobody(t *testing.T) {
+func TestDuplicateResponseIsSkipped(t *testing.T) {
 	t.Run("duplicate arrives before the next request", func(t *testing.T) {
 		addr := serve(t,
 			func(t *testing.T, c net.Conn, br *bufio.Reader) {
@@ -141,7 +141,7 @@
 	})
 }
 
-func TestBrokenAnswers(t *testing.T) {
+func TestBrokenResponses(t *testing.T) {
 	for name, text := range map[string]string{
 		"cut short":           "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 100\r\n\r\nshort",
 		"not an HTTP message": "\x00\x01 what is this\r\n\r\n",
@@ -167,7 +167,7 @@
 
 // When a reused connection breaks, some HTTP clients resend the request on their
 // own, which runs it twice. Here it must fail with an unknown outcome.
-func TestBrokenKeptConnectionIsNotRetried(t *testing.T) {
+func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
 	seen := make(chan string, 4)
 	addr := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
 		seen <- readRequest(t, br).Header.Get("X-Id")
@@ -186,7 +186,7 @@
 }
 
 // An endpoint closes an idle connection. The next request must not be sent on it.
-func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
+func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{})
 	addr := serve(t,
 		func(t *testing.T, c net.Conn, br *bufio.Reader) {
@@ -220,7 +220,7 @@
 
 // An endpoint rejects a long request before it has read the body, and reads the
 // body later. It must still receive all of the body and nothing else.
-func TestEarlyAnswerGetsTheRestOfTheBody(t *testing.T) {
+func TestEarlyResponseGetsTheRestOfTheBody(t *testing.T) {
 	body := strings.Repeat("b", 4<<20)
 	got := make(chan int, 1)
 	addr := serve(t, func(t *testing.T, c net.Conn, br *bufio.Reader) {
--- a/internal/endpoint/placement/placement_test.go
+++ b/internal/endpoint/placement/placement_test.go
@@ -109,7 +109,7 @@
 
 // If own attempts are counted twice, or not at all, while reports lag, an
 // endpoint looks full or idle when it is not.
-func TestOwnWorkIsJoinedWithLaggingReports(t *testing.T) {
+func TestOwnLoadIsCombinedWithLaggingReports(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	b := &Balancer{DataCentre: "dc0"}
 	b.Update(idleReport(0, epoch), epoch)
@@ -193,7 +193,7 @@
 
 // The endpoints of a data centre that comes back look idle, so that without
 // slow start all entries would send it all requests at once.
-func TestReturningDataCentreIsNotStormed(t *testing.T) {
+func TestSlowStartOfReturningDataCentre(t *testing.T) {
 	b := newBalancer(12, epoch)
 	b.SetOutOfService(nil, []string{"dc1"}, epoch)
 	startRequests(t, b, query, 30, epoch)
@@ -235,7 +235,7 @@
 	}
 }
 
-func TestNearDataCentreUntilPressed(t *testing.T) {
+func TestLocalDataCentreIsPreferred(t *testing.T) {
 	b := newBalancer(12, epoch)
 	b.RemotePenalty = DefaultRemotePenalty
 	got := startRequests(t, b, query, 30, epoch)
@@ -246,7 +246,7 @@
 }
 
 // Sampling must not distribute requests much less evenly than a full scan.
-func TestDrawsAreNearTheFullScan(t *testing.T) {
+func TestSamplingIsCloseToFullScan(t *testing.T) {
 	b := newBalancer(90, epoch)
 	got := startRequests(t, b, query, 360, epoch)
 	maxCount := 0
--- a/internal/endpoint/placement/slow_test.go
+++ b/internal/endpoint/placement/slow_test.go
@@ -50,7 +50,7 @@
 
 // A slow endpoint completes few requests, so its reported load is low. It must
 // get fewer requests, and its normal share again after it has recovered.
-func TestSlowEndpointGetsLessAndIsProbedBack(t *testing.T) {
+func TestSlowEndpointGetsLessUntilProbed(t *testing.T) {
 	b := newBalancer(6, epoch)
 	got := runWithSlowEndpoint(t, b, epoch, 10*time.Second, 1)
 	assertShare(t, got, name(2), 0.08, 0.3)
@@ -135,7 +135,7 @@
 // alone it would receive a large part of all requests. Among the
 // first 1000 requests, all that go to endpoint 2 fail; the last 500 show whether it
 // gets its share again.
-func TestFailingEndpointIsLeftAlone(t *testing.T) {
+func TestFailingEndpointIsEjected(t *testing.T) {
 	b := newBalancer(6, epoch)
 	got := make(map[string]int)
 	now := epoch
@@ -167,7 +167,7 @@
 // failures counted, the endpoint would be ejected for 16 s although the engine
 // is back immediately, and where it is the only one, requests would miss their
 // deadlines.
-func TestStreamsThatBreakTogetherAreOneFailure(t *testing.T) {
+func TestSimultaneousFailuresCountOnce(t *testing.T) {
 	b := newBalancer(1, epoch)
 	b.Update(idleReport(0, epoch), epoch)
 	var broken []*Attempt
--- a/internal/fleet/readers/choice_test.go
+++ b/internal/fleet/readers/choice_test.go
@@ -99,7 +99,7 @@
 // The first reader is cut off from the store throughout the test, while changes come all
 // the time. Guards against a data centre whose other processes, which could reach the
 // store, get changes too late.
-func TestChangesAreKnownInTimeThoughTheReaderIsCutOff(t *testing.T) {
+func TestChangesArriveInTimeWithPartitionedReader(t *testing.T) {
 	const (
 		// changeTime is the time limit for a change to be in force, and latency the part
 		// of it that the transfer to the last process takes.
@@ -169,7 +169,7 @@
 
 // All three readers are cut off from the store. Guards against the other processes, which
 // could reach it, getting changes too late.
-func TestChangesAreKnownInTimeThoughThreeReadersAreCutOff(t *testing.T) {
+func TestChangesArriveInTimeWithThreePartitionedReaders(t *testing.T) {
 	const changeTime, latency = 2 * time.Second, 300 * time.Millisecond
 	for _, n := range []int{5, 12} {
 		s := newLongPollSimulation(n, changeTime)
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -241,7 +241,7 @@
 // An endpoint runs an order and its connection breaks before the answer. Guards
 // against running the order twice (a customer was sent two pallets): it must not be
 // sent again, and its caller must not be told that it did not run.
-func TestOrderWhoseAnswerIsLostRunsOnce(t *testing.T) {
+func TestOrderWithLostResponseRunsOnce(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, 2)
 	e := s.start("entry1", s.store.Addr())
@@ -256,7 +256,7 @@
 
 // Every endpoint is full. The refusal must state that the order did not run, and when
 // to retry.
-func TestRefusalIsTrue(t *testing.T) {
+func TestRefusedOrderDidNotRun(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, 2)
 	e := s.start("entry1", s.store.Addr())
--- a/internal/frontend/streams_test.go
+++ b/internal/frontend/streams_test.go
@@ -86,7 +86,7 @@
 
 // A caller disconnects. Guards against an engine that goes on generating output that
 // nobody reads.
-func TestCallerWhoLeavesFreesItsEndpoint(t *testing.T) {
+func TestDisconnectFreesEndpoint(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, 1)
 	e := s.start("entry1", s.store.Addr())
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -180,7 +180,7 @@
 
 // A call made while the service is down must be reported as not sent, and calls
 // must succeed again once the service is back.
-func TestDownIsNotSent(t *testing.T) {
+func TestUnavailableServiceIsNotSent(t *testing.T) {
 	s := &kv.Server{}
 	s.SetDown(true)
 	c := startClient(t, s, 100*time.Millisecond)
--- a/internal/rank/lockstep/lead_test.go
+++ b/internal/rank/lockstep/lead_test.go
@@ -145,7 +145,7 @@
 
 // Guards against rare slow changes that delay all others: a rank loses orders
 // for some seconds, so that two changes in ten take 400 ms.
-func TestLeadForgetsWhatIsRare(t *testing.T) {
+func TestLeadTimeIgnoresOutliers(t *testing.T) {
 	var l leadEstimator
 	now := time.Unix(1000, 0)
 	for i := range leadSamples {
@@ -164,7 +164,7 @@
 
 // Guards against a hold that arrives too late after an idle period, during
 // which steps seem to last a second.
-func TestStepTimeFallsAtOnce(t *testing.T) {
+func TestStepDurationFallsAtOnce(t *testing.T) {
 	l := &Leader{}
 	now := time.Unix(1000, 0)
 	l.updateStepDuration(1, now)
--- a/internal/rank/lockstep/leader_test.go
+++ b/internal/rank/lockstep/leader_test.go
@@ -67,7 +67,7 @@
 // disarmed while that rank could still be armed, and the leader's VM froze in
 // between, its successor would release a step for which that rank alone is
 // armed.
-func TestOwnRankIsTakenBackFirst(t *testing.T) {
+func TestOwnRankIsDisarmedFirst(t *testing.T) {
 	w := newSimulation(t, 7, 4)
 	d := newLeaderDriver(w, 1)
 	var delayedArm AddressedOrder
@@ -107,7 +107,7 @@
 // Guards against keeping an old map after a jump of expert popularity: a rank
 // accepts the version of the next map without replying and begins to copy 12 s
 // later.
-func TestPrepareThatIsTakenLateIsGivenUp(t *testing.T) {
+func TestStalledPrepareIsReplaced(t *testing.T) {
 	w := newSimulation(t, 7, 4)
 	d := newLeaderDriver(w, 1)
 	accepted := false
--- a/internal/rank/naming/guards_test.go
+++ b/internal/rank/naming/guards_test.go
@@ -117,12 +117,12 @@
 	g.assertLatestVersion(3)
 }
 
-// TestRestartedGroupNamesLaterStep guards against two maps in one step,
+// TestRestartedGroupActivatesAtLaterStep guards against two maps in one step,
 // which garbles answers. The ranks of one member have an activation scheduled
 // for a later step when all agents restart and the other member's ranks lose
 // their maps. The group starts again and must not reach the scheduled step with
 // another map.
-func TestRestartedGroupNamesLaterStep(t *testing.T) {
+func TestRestartedGroupActivatesAtLaterStep(t *testing.T) {
 	g, a := newActiveGroup(t)
 	a.Propose(testMap(2))
 	g.runLeader(a, 8, releaseTo(1), g.writeRecord)
@@ -141,11 +141,11 @@
 	g.assertLatestVersion(3)
 }
 
-// TestReleasedNameIsFinished guards against a group that stops, which
+// TestReleasedActivationIsFinished guards against a group that stops, which
 // makes callers wait. One member has been released and its ranks have the
 // activation scheduled; then its agent and the other member's ranks restart.
 // The leader, which keeps running, has to finish the activation.
-func TestReleasedNameIsFinished(t *testing.T) {
+func TestReleasedActivationIsFinished(t *testing.T) {
 	g, a := newActiveGroup(t)
 	a.Propose(testMap(2))
 	g.runLeader(a, 8, releaseTo(1), g.writeRecord)
@@ -174,10 +174,10 @@
 	g.assertOneMap()
 }
 
-// TestNoNameWithoutLease guards against a leader that starts an
+// TestNoActivationWithoutLease guards against a leader that starts an
 // activation after its lease has lapsed, when another leader may exist. The
 // lease lapses and a map is proposed; no member may be asked to hold.
-func TestNoNameWithoutLease(t *testing.T) {
+func TestNoActivationWithoutLease(t *testing.T) {
 	g, a := newActiveGroup(t)
 	a.ExtendLease(g.now)
 	a.Propose(testMap(2))
--- a/internal/ranker/encoding_test.go
+++ b/internal/ranker/encoding_test.go
@@ -12,7 +12,7 @@
 
 // Counts are transferred as differences. Guards against wrong counts after lost
 // replies, a restart of the agent, or a restart of the engine.
-func TestCountsAreHeardWhole(t *testing.T) {
+func TestCountsArriveComplete(t *testing.T) {
 	agent, leader := newCountHistory(start), &countDecoder{}
 	counts := []uint64{1000, 2000, 3000}
 	transfer := func() []uint64 {
@@ -66,7 +66,7 @@
 // Full maps for 63 agents are 250 kB, a quarter of a second of the leader's 8 Mbit/s
 // link in each change; as changes of one copy per rank they take a tenth. Guards
 // against larger messages and against changes applied to a missing or different base.
-func TestMapsAreToldByChanges(t *testing.T) {
+func TestMapsAreSentAsChanges(t *testing.T) {
 	inForce := &lockstep.Goal{Version: 7, Sets: largeMap(0)}
 	next := lockstep.Prepare{Version: 8, Sets: largeMap(0)}
 	for r := range 63 {
@@ -110,7 +110,7 @@
 // received its initial map. Guards against sending the next map in full to each
 // agent: this fills the leader's link for half a second, agents count as unreachable,
 // and the first change holds every stream for over a second.
-func TestFirstMapIsToldByChanges(t *testing.T) {
+func TestFirstMapIsSentAsChanges(t *testing.T) {
 	initial, ok := roundRobinMap(&fleetpb.InTurn{Sets: 12, Ranks: 72, Experts: 144})
 	if !ok {
 		t.Fatal("no map of 12 sets with 144 experts on 72 ranks")
--- a/internal/ranker/led_test.go
+++ b/internal/ranker/led_test.go
@@ -29,7 +29,7 @@
 
 // Guards against calls to the store that grow with the group, because all agents ask
 // who leads when the leader is lost or all processes start.
-func TestFewAgentsAskWhoLeads(t *testing.T) {
+func TestFewAgentsPollForTheLeader(t *testing.T) {
 	for _, size := range []int{3, 12, 129, 258} {
 		lost := countAsks(1400*time.Millisecond, size, func(l *leaderTracker) { l.observe(leaderAt(1, 5), start) })
 		if most := firstCandidates * 6; lost > most || lost == 0 {
--- a/internal/ranker/looker_test.go
+++ b/internal/ranker/looker_test.go
@@ -49,7 +49,7 @@
 
 // Guards against adding load to a congested link: all agents fail at once, and each
 // of their engines is then polled over a new connection.
-func TestMostSilentConcludesNothingAtFirst(t *testing.T) {
+func TestEnginesAreNotPolledWhenMostAgentsFail(t *testing.T) {
 	p, members := newUnreachableAgents(t, 5)
 	if n := countPolled(p, members); n != 0 || len(p.failures) != 0 {
 		t.Errorf("%d engines were polled without their agents and %d failures recorded, want none", n, len(p.failures))
--- a/internal/ranker/popularity_test.go
+++ b/internal/ranker/popularity_test.go
@@ -140,7 +140,7 @@
 // Popularity jumps in the middle of an observation, so the counts mix the old and the
 // new popularity. Guards against planning from them: such a map took half a second to
 // come into force, balanced neither, and delayed the right one by that time.
-func TestNothingIsPlannedByAMixture(t *testing.T) {
+func TestNoPlanFromMixedPopularity(t *testing.T) {
 	const experts, choices, interval = 252, 6000, 100 * time.Millisecond
 	for seed := range uint64(10) {
 		source := newChoiceSource(seed, experts)
--- a/internal/ranker/sums_test.go
+++ b/internal/ranker/sums_test.go
@@ -31,7 +31,7 @@
 
 // Guards against counts that are reported twice, that stem from before an engine's
 // restart, or that are too old.
-func TestSumsAreOfWhatWasCountedSince(t *testing.T) {
+func TestSumsCoverCountsSinceLastReport(t *testing.T) {
 	r := &recentCounts{}
 	now := start
 	checkCounts(t, "first", r.sinceLast(reportWithCounts(0, 1, 10, 20), now))
@@ -52,7 +52,7 @@
 // Ten delegates report the sums of twelve ranks each. Guards against a rounding
 // error, with half a byte per count, that looks like a jump, and against counts
 // decoded for the wrong set.
-func TestSumsAreReadAsTold(t *testing.T) {
+func TestSumsRoundTrip(t *testing.T) {
 	const sets, experts, subgroups, ranks = 16, 258, 10, 12
 	rng := rand.New(rand.NewPCG(1, 2))
 	means := make([]float64, sets*experts)
@@ -109,7 +109,7 @@
 // The leader of 129 ranks has a 6 Mbit/s link. Guards against polls, counts and load
 // reports that take more than a quarter of it while no change is in progress: when
 // load reports alone took 42 Mbit/s, no rank was polled in time.
-func TestLeaderLineBearsAGroupOf129Ranks(t *testing.T) {
+func TestLeaderLinkCarriesGroupOf129Ranks(t *testing.T) {
 	const bandwidth = 6e6 / 8 // bytes a second
 	for _, ranks := range []int{16, 72, 129, 258} {
 		if used := leaderBytesPerSecond(ranks); used > bandwidth/4*max(1, float64(ranks)/129) {
@@ -120,7 +120,7 @@
 
 // A delegate answers for 12 other agents. Guards against counts that fill its link at
 // each poll, so that all its ranks count as unreachable.
-func TestDelegateLineBearsTheCountsOfItsSubgroup(t *testing.T) {
+func TestDelegateLinkCarriesCountsOfItsSubgroup(t *testing.T) {
 	const bandwidth = 6e6 / 8 // bytes a second
 	sums := &fleetpb.LookReply{Sums: sumsProto(slices.Repeat([]float64{1}, 16*258), 258, rankLevelBits)}
 	if took := float64((maxSubgroupAgents-1)*proto.Size(sums)) / bandwidth; took > delegateAgentTimeout.Seconds()/2 {
@@ -180,9 +180,9 @@
 // versionBits is how many bits of a version number count the maps of one leader.
 const versionBits = 20
 
-// BenchmarkLeaderLook measures the leader's work for one poll of all ranks without
+// BenchmarkLeaderPoll measures the leader's work for one poll of all ranks without
 // the network: decoding the delegates' reports and adding up their counts.
-func BenchmarkLeaderLook(b *testing.B) {
+func BenchmarkLeaderPoll(b *testing.B) {
 	const sets, experts = 16, 258
 	for _, ranks := range []int{16, 72, 129, 258} {
 		b.Run(fmt.Sprint(ranks), func(b *testing.B) {
--- a/internal/ranker/tries_test.go
+++ b/internal/ranker/tries_test.go
@@ -12,7 +12,7 @@
 // against giving the successor's release order once per round only, with a poll of
 // the frozen VM in between: the step was released after 2.6 s, when callers had left
 // and engines still worked for them.
-func TestLostGoIsGivenAgainInItsRound(t *testing.T) {
+func TestLostReleaseIsResentInItsRound(t *testing.T) {
 	t.Parallel()
 	g := standin.StartGroup(3, 2, 9, 4)
 	t.Cleanup(g.Close)
--- a/internal/relay/belief_test.go
+++ b/internal/relay/belief_test.go
@@ -280,7 +280,7 @@
 // A service has one endpoint left, and one in seven of its requests fails for reasons of its own.
 // Guards against the exclusion of the endpoint after each failure, by which callers were refused
 // although it had free slots.
-func TestLastEndpointIsNotLeftAloneForOneFailure(t *testing.T) {
+func TestLastEndpointIsNotExcludedAfterOneFailure(t *testing.T) {
 	st := newState("me", &routing.Service{Name: "orders"})
 	listEndpoints(st, 1, "orders")
 	s := st.Table().Service("orders")
--- a/internal/relay/decide_test.go
+++ b/internal/relay/decide_test.go
@@ -16,7 +16,7 @@
 func budgetLeft() bool { return true }
 func noBudget() bool   { return false }
 
-func TestNextStep(t *testing.T) {
+func TestNextDecision(t *testing.T) {
 	runOnce := &routing.Route{RetrySemantics: routing.RunOnce, MaxAttempts: 2}
 	idempotent := &routing.Route{RetrySemantics: routing.Idempotent, MaxAttempts: 2}
 	stream := &routing.Route{RetrySemantics: routing.Stream, Resumable: true, MaxAttempts: 2}
@@ -105,7 +105,7 @@
 
 // A slow engine recovers and has twelve free slots, and nine entries with waiting requests learn of
 // it at the same moment. Guards against quotas that add up to more or fewer than the free slots.
-func TestQuotasAddUpToTheFreePlaces(t *testing.T) {
+func TestQuotasAddUpToFreeSlots(t *testing.T) {
 	for n := 2; n <= 40; n++ {
 		for free := range 30 {
 			for turn := range n {
@@ -136,7 +136,7 @@
 
 // A group of engines is down for 6 s. Guards against a caller that is refused in the fourth second,
 // comes back at once and has then used up its one retry.
-func TestComeBackGrowsWithTheOutage(t *testing.T) {
+func TestRetryAfterGrowsWithTheOutage(t *testing.T) {
 	var o outages
 	usual := 250 * time.Millisecond
 	for _, c := range []struct{ after, want time.Duration }{
--- a/internal/relay/late_test.go
+++ b/internal/relay/late_test.go
@@ -85,7 +85,7 @@
 
 // Callers on their first attempt are asked to come back when the group has opened. If they waited
 // too, the waiting requests would fill the group as it opens and make all later ones late.
-func TestFirstCallersAreAskedBackWhileAGroupForms(t *testing.T) {
+func TestFirstCallersGetRetryAfterWhileGroupForms(t *testing.T) {
 	st, s := newGroup(2)
 	reportLoads(st, true, true, start)
 	req := newAdmitRequest("r1", s, start)
@@ -170,7 +170,7 @@
 
 // A group opens after an outage with many late requests waiting. Guards against late requests that
 // take all slots, so that new requests which could meet their target become late too.
-func TestLateCrowdLeavesRoom(t *testing.T) {
+func TestLateRequestsLeaveSlotsForOthers(t *testing.T) {
 	const n = 8
 	st, s := newGroup(n)
 	now := start.Add(time.Minute)
@@ -270,7 +270,7 @@
 // Callers of one route have time limits of 7 to 8 s. Guards against a caller with a shorter limit
 // that counts as one that has asked before. A caller with little more than 5 s left was asked to
 // come back and has done so.
-func TestCallerOfLessPatienceIsNotLate(t *testing.T) {
+func TestCallerWithShortTimeLimitIsNotLate(t *testing.T) {
 	st, _ := newGroup(1)
 	for _, c := range []struct {
 		left        time.Duration
